--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -63,7 +63,7 @@
     ),
     "spins": Broken(
         "from laddergw.loop import base; ends = base.BaseLoop.end_turn; "
-        "base.BaseLoop.end_turn = lambda self: (ends(self), self.soon(lambda: None))",
+        "base.BaseLoop.end_turn = lambda self: (ends(self), self.call_soon(lambda: None))",
         "limits",
         "spins",
     ),
--- a/benchmarks/director_cost.py
+++ b/benchmarks/director_cost.py
@@ -37,11 +37,11 @@
         return original(self, run, *args)
     director.Director.feed = timed
     for owner in server.Peer, client.Connection:
-        def reading(self, stream, data, got=owner.got):
+        def reading(self, stream, data, got=owner.data_received):
             began, before = clock(), spent["module"]
             got(self, stream, data)
             spent["http"] += clock() - began - (spent["module"] - before)
-        owner.got = reading
+        owner.data_received = reading
     status = program.run(arguments[0], "error", None, "cost")
     usage = resource.getrusage(resource.RUSAGE_SELF)
     with open(arguments[1], "w") as stream:
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -20,7 +20,7 @@
 from laddergw.interface import READY
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import draw, plant
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import wire
 from laddergw.planner.audit_side import limits_text
 from laddergw.planner.edge_side import EdgeSide
@@ -40,7 +40,7 @@
 class Light:
     """What the planner's line needs of a director."""
 
-    def __init__(self, world: Memory, house, number: int, nodes: int):
+    def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
         self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
         self.limits, self.watch, self.pages, self.tries, self.on_node = Limits("built in", usual(house)), lambda what, **facts: None, {}, {}, {}
         self.stopping, self.bounds, self.chance, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
@@ -59,7 +59,7 @@
 
 class Fleet:
     def __init__(self, directors: int, nodes: int, seed: int, folder: str):
-        self.world, self.seed, self.size = Memory(seed), seed, 0
+        self.world, self.seed, self.size = MemoryNetwork(seed), seed, 0
         self.turns: list[float] = []
         world = self.world
         host = world.host("p0")
--- a/laddergw/cli/__main__.py
+++ b/laddergw/cli/__main__.py
@@ -2,8 +2,8 @@
 import sys
 
 if __name__ == "__main__" and sys.argv[1:2] and sys.argv[1] in ("director", "edge", "planner"):
-    from laddergw.loop import held           # before all else: until the loop takes them, signals end a process by default
-    held.hold()
+    from laddergw.loop import signal_mask           # before all else: until the loop takes them, signals end a process by default
+    signal_mask.block_signals()
 
 from pathlib import Path
 from typing import Annotated, Optional
--- a/laddergw/cli/fleet.py
+++ b/laddergw/cli/fleet.py
@@ -42,7 +42,7 @@
 def ask_one(told, address: tuple, questions: list) -> list[dict]:
     """One planner's answers, in order; fewer where it broke off."""
     from laddergw.loop.sockets import SocketLoop
-    from laddergw.loop.tls import Secure, client_context
+    from laddergw.loop.tls import TlsStream, client_context
     from laddergw.planner import wire
     from laddergw.planner.peer import Peer
     loop, came, left = SocketLoop(), [], list(questions)
@@ -55,8 +55,8 @@
             came.append(json.loads(frame.body))
             go_on(peer)
     peer = Peer(loop, wire.Hello(wire.VERSION, f"d{told.number}-operator", wire.OPERATOR, 0), got, go_on, lambda peer, why: loop.stop())
-    loop.dial(address, peer if told.tls is None else Secure(peer, client_context(*told.tls), False, address[0]), WAIT_MS)
-    loop.after(WAIT_MS, loop.stop)
+    loop.dial(address, peer if told.tls is None else TlsStream(peer, client_context(*told.tls), False, address[0]), WAIT_MS)
+    loop.call_later(WAIT_MS, loop.stop)
     loop.run()
     loop.close()
     return came
@@ -143,7 +143,7 @@
         came.append(call)
         loop.stop()
     Pool(loop, told.listen, PoolLimits()).call("POST", "/v1/audit", json.dumps({"play": play}).encode(), done)
-    loop.after(WAIT_MS, loop.stop)
+    loop.call_later(WAIT_MS, loop.stop)
     loop.run()
     loop.close()
     if not came or came[0].status not in (200, 404):
--- a/laddergw/cli/planning.py
+++ b/laddergw/cli/planning.py
@@ -13,7 +13,7 @@
     """Hears plans as an edge does, and prints the first of each planner that answers."""
     from laddergw.terms import house as houses
     from laddergw.loop.sockets import SocketLoop
-    from laddergw.loop.tls import Secure, client_context
+    from laddergw.loop.tls import TlsStream, client_context
     from laddergw.planner import plan as plans, wire
     from laddergw.planner.peer import Peer
     from laddergw.terms.sexpr import Refused
@@ -43,10 +43,10 @@
                 typer.echo(f"{address[0]}:{address[1]}: {why}", err=True)
             ended(address)
         peer = Peer(loop, wire.Hello(wire.VERSION, "plan-show", wire.STANDBY, 0), got, lambda peer: None, down)
-        loop.dial(address, peer if told.tls is None else Secure(peer, client_context(*told.tls), False, address[0]), WAIT_MS)
+        loop.dial(address, peer if told.tls is None else TlsStream(peer, client_context(*told.tls), False, address[0]), WAIT_MS)
     for address in told.planners:
         hear(address)
-    loop.after(WAIT_MS, loop.stop)
+    loop.call_later(WAIT_MS, loop.stop)
     if told.planners:
         loop.run()
     loop.close()
--- a/laddergw/director/carrying.py
+++ b/laddergw/director/carrying.py
@@ -37,10 +37,10 @@
             if spent is not None:
                 self.watch("budget spent", play=ply.id, budget=spent)
                 life.spend()
-            return self.loop.soon(lambda: self.apply_to(ply, name, Allocation.taken_back))
-        ply.lease_timer = self.loop.at(a.answer_by, lambda: self.set_up_late(ply, name))
+            return self.loop.call_soon(lambda: self.apply_to(ply, name, Allocation.taken_back))
+        ply.lease_timer = self.loop.call_at(a.answer_by, lambda: self.set_up_late(ply, name))
         if pause:
-            return self.loop.after(pause, lambda: self.connect(ply, verdict.node, name)) and None
+            return self.loop.call_later(pause, lambda: self.connect(ply, verdict.node, name)) and None
         return self.connect(ply, verdict.node, name)
 
     def connect(self, ply: Try, node: int, name: str) -> None:
@@ -48,10 +48,10 @@
         link = self.fleet.links.get(node)
         if link is None:
             return self.apply_to(ply, name, Allocation.taken_back)
-        ply.sent_at = self.loop.reading()
+        ply.sent_at = self.loop.read_clock()
         connect = ply.life.terms.connect_ms
         if connect < ply.allocation.answer_by - self.loop.now:
-            self.loop.after(connect, lambda: not written(ply)[0] and self.apply_to(ply, name, Allocation.timed_out, self.loop.now, 0, 1))
+            self.loop.call_later(connect, lambda: not written(ply)[0] and self.apply_to(ply, name, Allocation.timed_out, self.loop.now, 0, 1))
         return self.send_set_up(ply, link, name)
 
     def apply_to(self, ply: Try, name: str, fact: Callable[..., Step], *args) -> None:
@@ -117,7 +117,7 @@
                 link.release(a.name)
             if ply.lease_timer is not None:
                 ply.lease_timer.cancel()
-            ply.lease_timer = self.loop.at(max(a.let_go_by(self.loop.now), self.loop.now), lambda: self.lease_over(ply, a.name))
+            ply.lease_timer = self.loop.call_at(max(a.let_go_by(self.loop.now), self.loop.now), lambda: self.lease_over(ply, a.name))
         if step.confirm and link is not None:
             link.confirm(a.name)
         if step.playing:
@@ -135,7 +135,7 @@
         ply.playing = True
         link = self.fleet.links.get(a.node)
         self.watch("answer", play=ply.id, answer="playing", product=ply.request.product, tries=ply.earlier.tries,
-                   own_ms=self.loop.reading() - ply.asked_at - ply.node_ms, first_ms=now - ply.asked_at, reason="")
+                   own_ms=self.loop.read_clock() - ply.asked_at - ply.node_ms, first_ms=now - ply.asked_at, reason="")
         ply.exchange.begin(200, frames.playing(tokens.sign(self.house.keys, ply.earlier), a.node,
                                                link.address if link else ("", 0), a.name, a.rung, self.rate(ply)))
         self.feed(self.controller.playing, now, ply.id, a.number, now - a.asked_at, a.node)
@@ -177,7 +177,7 @@
         """Asks a node for its load; the module hears what came, in a later turn."""
         link, asked_at = self.fleet.links.get(node), self.loop.now
         if link is None:
-            return self.loop.soon(lambda: self.feed(self.controller.probed, self.loop.now, node, face.UNREACHABLE, 0.0, ()))
+            return self.loop.call_soon(lambda: self.feed(self.controller.probed, self.loop.now, node, face.UNREACHABLE, 0.0, ()))
         return link.probe(lambda call: self.probe_ended(node, asked_at, call))
 
     def probe_ended(self, node: int, asked_at: float, call: Call) -> None:
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -65,7 +65,7 @@
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.arrive,
                                                                              ("POST", "/v1/mail"): self.mail_came}
         self.post = Post(loop, house.number, house.peers, lambda: self.house.keys, wall)
-        loop.at_turn_end(self.turn_ends)
+        loop.on_turn_end(self.turn_ends)
         if not house.deployment.must_ask:
             self.fleet.follow()
         self.feed(self.controller.wake, loop.now)
@@ -129,7 +129,7 @@
             else:
                 self.finish(ply, face.FAILED, None, "director failed")
         self.server.stop_accepting()
-        self.loop.after(100, self.loop.stop)
+        self.loop.call_later(100, self.loop.stop)
 
     def chance(self) -> float:
         self.draws += 1
@@ -170,7 +170,7 @@
         exchange.on_gone = lambda: self.viewer_left(ply)
         if turned is not None:
             return self.finish(ply, face.FAILED if turned.failed else face.DECLINED, turned.retry_ms, turned.reason)
-        ply.timer = self.loop.at(life.guard, lambda: self.overdue(ply))
+        ply.timer = self.loop.call_at(life.guard, lambda: self.overdue(ply))
         self.budgets.took(ply.budgets, self.loop.now)
         self.admit(ply)
 
@@ -243,7 +243,7 @@
             status = 502 if answer == face.FAILED else 503
             extra = "" if retry_ms is None else f"Retry-After: {-int(-retry_ms // 1000)}\r\n"
             self.watch("answer", play=ply.id, answer=answer, product=ply.request.product, tries=ply.earlier.tries,
-                       own_ms=self.loop.reading() - ply.asked_at - ply.node_ms, first_ms=None, reason=reason)
+                       own_ms=self.loop.read_clock() - ply.asked_at - ply.node_ms, first_ms=None, reason=reason)
             ply.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra=extra)
         if ply.allocation is None:
             self.forget(ply)
@@ -347,7 +347,7 @@
         self.stopping = True
         self.watch("stopping", waiting=self.waiting, held=self.held)
         self.close_door()
-        self.loop.after(self.bounds.finish_ms, self.stop_plays)
+        self.loop.call_later(self.bounds.finish_ms, self.stop_plays)
 
     def close_door(self) -> None:
         self.server.stop_accepting()
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -35,20 +35,20 @@
             self.timer = None
         self.version, self.heard_at = None, self.loop.now
         self.stream = self.pool.call("GET", f"/v1/list?director={self.director}", b"", self.broke, self.line)
-        self.loop.after(SILENT_MS, self.check_silence)
+        self.loop.call_later(SILENT_MS, self.check_silence)
 
     def check_silence(self) -> None:
         if self.stream is None or self.closed:
             return
         if self.loop.now >= self.heard_at + SILENT_MS:       # the very sum that the timer was set to
             return self.stream.cut("the list is silent")
-        self.loop.at(self.heard_at + SILENT_MS, self.check_silence)
+        self.loop.call_at(self.heard_at + SILENT_MS, self.check_silence)
 
     def broke(self, call: Call) -> None:
         self.stream = None
         if not self.closed:
             self.failed()
-            self.timer = self.loop.after(REDIAL_MS, self.follow)
+            self.timer = self.loop.call_later(REDIAL_MS, self.follow)
 
     def line(self, line: bytes | None) -> None:
         if line is None:
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -45,7 +45,7 @@
         asked.seek(0)
         child = self.loop.spawn([sys.executable, "-m", "laddergw.terms.checking", self.house_path, name], lambda status: ended(status), stdin=asked, stdout=answer,
                                 stderr=subprocess.DEVNULL)
-        limit = self.loop.after(CHECK_MOST_MS, child.kill)
+        limit = self.loop.call_later(CHECK_MOST_MS, child.kill)
 
         def ended(status: int) -> None:
             limit.cancel()
@@ -63,12 +63,12 @@
         self.name = os.path.basename(path)
         self.seen = self.settled = digest(in_force)      # of the last look, and of the last version that was dealt with
         self.trouble, self.checking, self.data = "", False, b""
-        loop.after(LOOK_MS, self.look)
+        loop.call_later(LOOK_MS, self.look)
 
     def look(self, at_once: bool = False) -> None:
         """One look; `at_once`: an operator says that the file is whole."""
         if not at_once and self.loop.running:
-            self.loop.after(LOOK_MS, self.look)
+            self.loop.call_later(LOOK_MS, self.look)
         if self.checking:
             return
         try:
@@ -95,7 +95,7 @@
         """A version that came over a line: checked like the file, and held against `sure(limits)`; in force first, then on the disk, where it takes the
         file's place. Where it cannot be written the file's own version comes back with the next start. `done(faults)`."""
         if self.checking:
-            self.loop.after(LOOK_MS, lambda: self.bring(data, sure, done))
+            self.loop.call_later(LOOK_MS, lambda: self.bring(data, sure, done))
             return
 
         def checked(loaded: Loaded) -> None:
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -51,7 +51,7 @@
         if self.closed:
             return
         self.stream = self.notes.call("GET", f"/v1/notes?director={self.director}", b"", self.stream_ended, self.line)
-        self.limit = self.loop.after(OPEN_LIMIT_MS, self.open_late)
+        self.limit = self.loop.call_later(OPEN_LIMIT_MS, self.open_late)
 
     def open_late(self) -> None:
         if self.stream is not None and not self.session.up:
@@ -93,11 +93,11 @@
         if was_up:
             self.forget()
             pause = 0.0
-            self.dying = self.loop.at(lease_ends, lambda: self.over("its lease is over"))
+            self.dying = self.loop.call_at(lease_ends, lambda: self.over("its lease is over"))
         if call.refused:
             self.over("no process there")
         if not self.closed and self.timer is None:
-            self.timer = self.loop.after(pause, self.open)
+            self.timer = self.loop.call_later(pause, self.open)
 
     def over(self, why: str) -> None:
         if self.dying is not None:
@@ -123,7 +123,7 @@
             return self.stream.cut("the node is silent and its lease is over") if self.stream is not None else None
         if self.session.due(self.loop.now):
             self.keep()
-        self.loop.after(KEEP_MS / 4, self.watch)
+        self.loop.call_later(KEEP_MS / 4, self.watch)
 
     def flush(self) -> None:
         """Sends what the turn has gathered, one keep at a time."""
@@ -139,7 +139,7 @@
         body = frames.keep(session.name, session.until(now, LEASE_MS), *self.sent)
         session.keeping(now)
         self.keeping = call = self.control.call("POST", "/v1/keep", body, self.kept)
-        self.loop.after(KEEP_LIMIT_MS, lambda: call.cut("no answer to a keep in time"))
+        self.loop.call_later(KEEP_LIMIT_MS, lambda: call.cut("no answer to a keep in time"))
 
     def kept(self, call: Call) -> None:
         if self.keeping is not call:
@@ -191,7 +191,7 @@
     def probe(self, done: Callable[[Call], None]) -> None:
         """Asks the node for its load."""
         call = self.probes.call("GET", "/v1/report", b"", done)
-        self.loop.after(PROBE_LIMIT_MS, lambda: call.cut("no answer to a probe in time"))
+        self.loop.call_later(PROBE_LIMIT_MS, lambda: call.cut("no answer to a probe in time"))
 
     def when_up(self, call: Callable[[], None]) -> None:
         self.held_up.append(call)
--- a/laddergw/director/post.py
+++ b/laddergw/director/post.py
@@ -44,7 +44,7 @@
 
     def send_one(self, pool: Pool, body: bytes) -> None:
         call = pool.call("POST", "/v1/mail", body, lambda call: None)
-        self.loop.after(LIMIT_MS, lambda: call.cut("no answer to mail in time"))
+        self.loop.call_later(LIMIT_MS, lambda: call.cut("no answer to mail in time"))
 
     def read(self, body: bytes) -> tuple[int, list, list]:
         """(sender, loads, shares). Raises mail.Malformed for what is not signed by a key of ours, stale or makes no sense."""
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -11,7 +11,7 @@
 from laddergw.director.director import Director
 from laddergw.director.limits_file import Beside, LimitsFile, at_start
 from laddergw.director.watching import Watcher, health, logger
-from laddergw.loop import held
+from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.limits import Limits
 from laddergw.terms.loading import load_file
@@ -25,7 +25,7 @@
 
     def __init__(self, loop, path: str):
         self.stream, self.lines, self.encode = open(path, "ab", buffering=0), [], msgspec.json.Encoder().encode
-        loop.at_turn_end(self.flush)
+        loop.on_turn_end(self.flush)
 
     def record(self, what: str, now: float, **facts) -> None:
         self.lines.append(self.encode([now, what, facts]))
@@ -137,7 +137,7 @@
     sys.stdout.write(f"ready {director.address[0]} {director.address[1]}\n")    # one write: whoever reads it may close
     sys.stdout.flush()
     loop.run()
-    held.hold()              # what comes to a process that ends must not end it otherwise
+    signal_mask.block_signals()              # what comes to a process that ends must not end it otherwise
     log.info("director ends", broken=director.broken)
     loop.close()
     return EXIT_FAILED if director.broken else EXIT_GOOD
--- a/laddergw/director/watching.py
+++ b/laddergw/director/watching.py
@@ -89,7 +89,7 @@
         """The metrics page in Prometheus' text form."""
 
         def metrics(exchange: Exchange) -> None:
-            for name, value in (("waiting", director.waiting), ("held", director.held), ("lag_ms", director.loop.worst_lag),
+            for name, value in (("waiting", director.waiting), ("held", director.held), ("lag_ms", director.loop.max_lag_ms),
                                 ("nodes", len(director.fleet.links)), ("bad_list_frames", director.fleet.bad_frames),
                                 ("limits_generation", director.generations.current.number), ("limits_older", len(director.generations.older)),
                                 ("limits_refused", director.generations.refused)):
--- a/laddergw/edge/fetching.py
+++ b/laddergw/edge/fetching.py
@@ -31,15 +31,15 @@
         """The next source is asked; a copy goes to the one after it in time."""
         if not self.rest:
             if not self.calls:
-                self.fetcher.loop.soon(lambda: self.finish(None))
+                self.fetcher.loop.call_soon(lambda: self.finish(None))
             return
         pool, loop = self.fetcher.pool(self.rest.popleft()), self.fetcher.loop
         self.fetcher.fetches += 1
         call = pool.call("GET", self.path, b"", self.ended)
         self.calls.append(call)
-        loop.after(LIMIT_MS, lambda: call.cut("no playlist in time"))
+        loop.call_later(LIMIT_MS, lambda: call.cut("no playlist in time"))
         if self.extra and self.rest:
-            loop.after(self.copies.after_ms, lambda: self.copy(call))
+            loop.call_later(self.copies.after_ms, lambda: self.copy(call))
 
     def copy(self, call: Call) -> None:
         if not self.over and call in self.calls and self.extra and self.rest:
@@ -84,7 +84,7 @@
         """The playlist at a path, from the first of the addresses that has it."""
         value = self.cache.get(path, self.loop.now)
         if value is not None:
-            return self.loop.soon(lambda: got(value))
+            return self.loop.call_soon(lambda: got(value))
         return self.anew(path, addresses, got, copies)
 
     def anew(self, path: str, addresses: list[tuple[str, int]], got: Callable[[Media | None], None], copies: Copies = Copies()) -> None:
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -54,7 +54,7 @@
         super().__init__(loop, house, **more)
         self.pages["POST", "/v1/sessions"] = self.open_session
         self.ended_sessions: dict[str, int] = {}
-        loop.after(LOOK_MS, self.look)
+        loop.call_later(LOOK_MS, self.look)
 
     def serve(self, exchange: Exchange) -> None:
         if exchange.path.startswith(f"/{addresses.PREFIX}/") and exchange.method == "GET":
@@ -76,7 +76,7 @@
         session = self.sessions[name] = Session(self, name, exchange, frame)
         exchange.on_gone = lambda: self.end(session, LEFT)
         margin = self.bounds.answer_margin_ms
-        self.loop.at(exchange.read_at + door.waits(frame["wait_ms"], exchange.late, margin) + margin / 2, lambda: self.too_late(session))
+        self.loop.call_at(exchange.read_at + door.waits(frame["wait_ms"], exchange.late, margin) + margin / 2, lambda: self.too_late(session))
         self.ask(session, exchange.body, exchange.read_at, exchange.late)
 
     def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
@@ -175,7 +175,7 @@
 
     def lost(self, session: Session, why: str) -> None:
         self.watch("session seeks", session=session.name, why=why)
-        self.loop.after(SEEK_MS, lambda: self.seek(session))
+        self.loop.call_later(SEEK_MS, lambda: self.seek(session))
 
     def seek(self, session: Session) -> None:
         if session.state != SEEKS:
@@ -191,7 +191,7 @@
         if session.buffered_ms() <= 0:
             return self.end(session, "failed")
         # Never sooner than SEEK_MS: a buffer of next to nothing would ask again in the same moment, for ever
-        self.loop.after(max(SEEK_MS, min(retry, session.buffered_ms())), lambda: self.seek(session))
+        self.loop.call_later(max(SEEK_MS, min(retry, session.buffered_ms())), lambda: self.seek(session))
 
     # What players fetch
 
@@ -370,7 +370,7 @@
             del self.ending[name]
         self.item_load.forget(self.fleet.links, self.loop.now)
         if self.loop.running:
-            self.loop.after(LOOK_MS, self.look)
+            self.loop.call_later(LOOK_MS, self.look)
 
     def end(self, session: Session, how: str) -> None:
         """The session is over: its play is left, its addresses are of no more use."""
--- a/laddergw/hosting.py
+++ b/laddergw/hosting.py
@@ -53,12 +53,12 @@
         self.wake_by(wake_at)
 
     def wake_by(self, when: float) -> None:
-        if self.waker is not None and self.waker.call is not None and self.wake_at <= when:
+        if self.waker is not None and self.waker.callback is not None and self.wake_at <= when:
             return
         if self.waker is not None:
             self.waker.cancel()
         if when < float("inf"):
-            self.wake_at, self.waker = when, self.loop.at(when, self.wake)
+            self.wake_at, self.waker = when, self.loop.call_at(when, self.wake)
 
     def wake(self) -> None:
         self.feed(self.controller.wake, self.loop.now)
@@ -69,6 +69,6 @@
         """
         while not self.broken and self.controller.pending:
             self.feed(self.controller.decide, self.loop.now, 1)
-            if self.loop.reading() - self.loop.now >= SLICE_MS:
-                self.loop.after(0, lambda: None)
+            if self.loop.read_clock() - self.loop.now >= SLICE_MS:
+                self.loop.call_later(0, lambda: None)
                 return
--- a/laddergw/http/client.py
+++ b/laddergw/http/client.py
@@ -9,7 +9,7 @@
 import httptools
 
 from laddergw.http.limits import PoolLimits
-from laddergw.loop.base import REFUSED
+from laddergw.loop.base import CONNECTION_REFUSED
 
 
 class Call:
@@ -31,7 +31,7 @@
     @property
     def refused(self) -> bool:
         """Whether no process listens there, which is more than that no connection came."""
-        return self.why is not None and self.why.endswith(REFUSED)
+        return self.why is not None and self.why.endswith(CONNECTION_REFUSED)
 
     @property
     def written(self) -> int:
@@ -39,7 +39,7 @@
             return 0
         if self.connection is None:
             return self.base
-        return min(self.size, max(0, self.connection.stream.taken - self.base))
+        return min(self.size, max(0, self.connection.stream.bytes_sent - self.base))
 
     def end(self, why: str | None) -> None:
         if not self.over:
@@ -84,7 +84,7 @@
         self.pool.opened(self)
 
     def start(self, call: Call) -> None:
-        self.call, call.connection, call.base = call, self, self.stream.asked
+        self.call, call.connection, call.base = call, self, self.stream.bytes_written
         self.complete = False
         self.stream.write(call.data)
         call.data = b""
@@ -98,10 +98,10 @@
             call.last_byte_at = self.pool.loop.now
             self.pool.tapped("sent", call)
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         self.progress()
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         if self.call is None:
             return stream.abort()                # an answer that nobody asked for
         try:
@@ -165,7 +165,7 @@
         call, self.call = self.call, None
         self.pool.lost(self, why)
         if call is not None:
-            call.base = min(call.size, max(0, stream.taken - call.base))
+            call.base = min(call.size, max(0, stream.bytes_sent - call.base))
             call.connection = None
             call.status = None
             call.end(why or "the peer closed before its answer was whole")
@@ -199,7 +199,7 @@
                 connection.start(call)
                 return call
         if len(self.waiting) >= self.limits.waiting:
-            self.loop.soon(lambda: call.end("too many calls wait for this peer"))
+            self.loop.call_soon(lambda: call.end("too many calls wait for this peer"))
             return call
         self.waiting.append(call)
         self.grow()
@@ -225,7 +225,7 @@
             return connection.start(self.waiting.popleft())
         self.idle.append(connection)
         if self.sweep is None:
-            self.sweep = self.loop.after(self.limits.idle_ms, self.drop_idle)
+            self.sweep = self.loop.call_later(self.limits.idle_ms, self.drop_idle)
 
     def drop_idle(self) -> None:
         self.sweep = None
@@ -238,7 +238,7 @@
                 keep.append(connection)
         self.idle = keep
         if keep:
-            self.sweep = self.loop.after(self.limits.idle_ms, self.drop_idle)
+            self.sweep = self.loop.call_later(self.limits.idle_ms, self.drop_idle)
 
     def lost(self, connection: Connection, why: str | None) -> None:
         self.all.pop(connection, None)
--- a/laddergw/http/server.py
+++ b/laddergw/http/server.py
@@ -89,14 +89,14 @@
         if self.timer is None or self.timer.when > self.deadline:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer = loop.at(self.deadline, self.ring)
+            self.timer = loop.call_at(self.deadline, self.ring)
 
     def ring(self) -> None:
         self.timer = None
         if self.stream is None or not self.why:
             return
         if self.stream.loop.now < self.deadline:
-            self.timer = self.stream.loop.at(self.deadline, self.ring)
+            self.timer = self.stream.loop.call_at(self.deadline, self.ring)
         elif self.reading is not None and self.current is None:
             self.refuse(408, f"the request was not complete in time: {self.why}")
         elif self.why == "idle" and not self.stream.queued:
@@ -109,7 +109,7 @@
     def opened(self, stream) -> None:
         self.limit(self.limits.head_ms, "no request after the connect")
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         if self.refused:
             return
         if self.reading is None and self.current is None:
@@ -131,9 +131,9 @@
         if not self.in_body and self.reading is not None and self.seen > self.limits.head_bytes:
             return self.refuse(431, f"a head of more than {self.limits.head_bytes} bytes")
         if len(self.waiting) >= self.limits.pipelined and self.stream is not None:
-            self.stream.pause()
+            self.stream.pause_reading()
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         self.rearm()
 
     def rearm(self) -> None:
@@ -157,7 +157,7 @@
         self.server.peers.pop(self, None)
         for exchange in filter(None, (self.current, *self.waiting)):
             if exchange.on_gone is not None and not exchange.ended:
-                stream.loop.guarded(exchange.on_gone)
+                stream.loop.run_guarded(exchange.on_gone)
         self.current, self.reading = None, None
         self.waiting.clear()
 
@@ -193,7 +193,7 @@
 
     def on_message_complete(self) -> None:
         exchange, self.reading, self.seen, self.in_body = self.reading, None, 0, False
-        exchange.read_at, exchange.late = self.stream.loop.now, self.stream.loop.stalled
+        exchange.read_at, exchange.late = self.stream.loop.now, self.stream.loop.stall_ms
         if self.current is None:
             self.start(exchange)
         else:
@@ -203,7 +203,7 @@
 
     def start(self, exchange: Exchange) -> None:
         self.current, self.why = exchange, ""
-        self.stream.loop.soon(lambda: self.hand_over(exchange))
+        self.stream.loop.call_soon(lambda: self.hand_over(exchange))
 
     def hand_over(self, exchange: Exchange) -> None:
         if self.stream is not None and self.current is exchange:
@@ -229,7 +229,7 @@
         elif self.waiting:
             self.start(self.waiting.popleft())
             if not self.stream.reading and len(self.waiting) < self.limits.pipelined:
-                self.stream.resume()
+                self.stream.resume_reading()
         else:
             self.rearm()
 
@@ -271,7 +271,7 @@
         self.peers[peer] = None
         if len(self.peers) > self.limits.connections:
             self.turned_away += 1
-            self.loop.soon(lambda: peer.stream is not None and peer.refuse(503, "too many connections"))
+            self.loop.call_soon(lambda: peer.stream is not None and peer.refuse(503, "too many connections"))
         return peer
 
     def tapped(self, what: str, exchange: Exchange) -> None:
--- a/laddergw/lab/apart.py
+++ b/laddergw/lab/apart.py
@@ -47,7 +47,7 @@
             start = self.world.now
             for kill in range(self.kills):
                 at = between(self.plant.seed, 2_000, self.plant.crowd.seconds * 1000, "planner", kill)
-                self.loop.at(start + at, lambda kill=kill: self.kill_planner(kill % max(1, self.count)))
+                self.loop.call_at(start + at, lambda kill=kill: self.kill_planner(kill % max(1, self.count)))
             return super().run()
         finally:
             shutil.rmtree(self.folder, ignore_errors=True)
@@ -82,7 +82,7 @@
             store.db.close()                     # as the end of its process does
         self.record("planner down", self.world.now, number=number)
         away = between(self.plant.seed, *AWAY_MS, "away", number, self.names)
-        self.loop.at(self.world.now + away, lambda: self.start_planner(number, True))
+        self.loop.call_at(self.world.now + away, lambda: self.start_planner(number, True))
 
     def start_director(self, number: int) -> None:
         super().start_director(number)
--- a/laddergw/lab/apart_processes.py
+++ b/laddergw/lab/apart_processes.py
@@ -10,7 +10,7 @@
 from laddergw.lab.plant import Plant, between
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_processes import HOST, START_MS, ProcessStage
-from laddergw.loop.sockets import Watch
+from laddergw.loop.sockets import DescriptorWatch
 
 PLANNERS = 2
 EVENTS = ("plan", "recovered", "leads", "fenced", "store fault", "peer down")
@@ -63,13 +63,13 @@
             child.stdout.close()
             if line[:1] == [b"ready"]:
                 self.places[number] = line[1].decode(), int(line[2])
-        watch = Watch(self.loop, child.stdout, said)
+        watch = DescriptorWatch(self.loop, child.stdout, said)
 
     def let_them_come(self) -> None:
         super().let_them_come()
         for kill in range(self.kills):
             at = between(self.plant.seed, 1_000, self.plant.crowd.seconds * 1000, "planner", kill)
-            self.loop.after(at, lambda kill=kill: self.kill_planner(kill % PLANNERS))
+            self.loop.call_later(at, lambda kill=kill: self.kill_planner(kill % PLANNERS))
 
     def kill_planner(self, number: int) -> None:
         child = None if self.ending else self.planners.pop(number, None)     # (at the end all that are known here are ended)
@@ -78,7 +78,7 @@
         child.send_signal(signal.SIGKILL)
         self.record("planner down", self.loop.now, number=number)
         away = between(self.plant.seed, *AWAY_MS, "away", number, self.names)
-        self.loop.after(away, lambda: self.ending or self.start_planner(number, True))
+        self.loop.call_later(away, lambda: self.ending or self.start_planner(number, True))
 
     def end(self) -> None:
         for child in self.planners.values():
--- a/laddergw/lab/conductor.py
+++ b/laddergw/lab/conductor.py
@@ -60,7 +60,7 @@
     def begin(self) -> None:
         start = self.stage.loop.now
         for trouble in self.script:
-            self.stage.loop.at(start + trouble.at, lambda trouble=trouble: self.strike(trouble))
+            self.stage.loop.call_at(start + trouble.at, lambda trouble=trouble: self.strike(trouble))
 
     def strike(self, trouble: Trouble) -> None:
         self.record("trouble", self.stage.loop.now, kind=trouble.kind, who=trouble.who, value=trouble.value)
@@ -97,7 +97,7 @@
         if how == "vanish":
             low, high = self.plant.silent_lag_ms
             incarnation = self.incarnations[node]
-            self.stage.loop.after(between(self.plant.seed, low, high, "silent", node),
+            self.stage.loop.call_later(between(self.plant.seed, low, high, "silent", node),
                                   lambda: self.incarnations[node] == incarnation and self.tell(node, "gone"))
         else:
             self.tell(node, "gone")
@@ -105,7 +105,7 @@
     def withdraw(self, place: int, node: int, drain_ms: float, then=lambda: None) -> None:
         """Drains a node and ends it."""
         self.tell(node, "draining")
-        self.stage.loop.after(drain_ms * 0.6, lambda: node in self.up and self.stage.fault(node, "drain", None))
+        self.stage.loop.call_later(drain_ms * 0.6, lambda: node in self.up and self.stage.fault(node, "drain", None))
 
         def end() -> None:
             if node not in self.up:
@@ -113,7 +113,7 @@
             self.stage.fault(node, "die", None)
             self.fallen(node, "die")
             then()
-        self.stage.loop.after(drain_ms, end)
+        self.stage.loop.call_later(drain_ms, end)
 
     def succeed(self, place: int) -> None:
         """A cold successor in the cell of a node that was taken away."""
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -21,7 +21,7 @@
 from laddergw.lab.stage_processes import HOST
 from laddergw.lab.viewers_stand_in import LIMITS
 from laddergw.lab.wanting import BAD_EACH, SOAK_MS, TEXTS, WANT_MS
-from laddergw.loop.tls import Secure, client_context
+from laddergw.loop.tls import TlsStream, client_context
 from laddergw.planner import wire
 from laddergw.planner.audit_side import limits_text
 from laddergw.planner.peer import Peer
@@ -72,21 +72,21 @@
         super().let_them_come()
         seconds = self.plant.crowd.seconds * 1000
         for fault in self.faults:
-            self.loop.after(fault.at, lambda fault=fault: self.strike(fault))
+            self.loop.call_later(fault.at, lambda fault=fault: self.strike(fault))
         for moment in range(BOTH_DIE):
             at = between(self.plant.seed, 0, seconds, "both", moment)
             for planner in range(PLANNERS):
-                self.loop.after(at, lambda planner=planner: self.kill_planner(planner))
+                self.loop.call_later(at, lambda planner=planner: self.kill_planner(planner))
         for stop in range(STOPS):
-            self.loop.after(between(self.plant.seed, 0, seconds, "stop", stop), lambda stop=stop: self.stop_planner(stop))
-        self.loop.after(SWITCH_MS, self.switch)
-        self.loop.after(WANTS_FROM * seconds, self.want)
+            self.loop.call_later(between(self.plant.seed, 0, seconds, "stop", stop), lambda stop=stop: self.stop_planner(stop))
+        self.loop.call_later(SWITCH_MS, self.switch)
+        self.loop.call_later(WANTS_FROM * seconds, self.want)
 
     def strike(self, fault: LineFault) -> None:
         line = self.lines.by_ends.get((fault.source, fault.target))
         if line is not None and not self.ending:
             line.fault(fault.what, fault.value)
-            self.loop.after(fault.lasts, lambda: self.ending or line.fault("heal"))
+            self.loop.call_later(fault.lasts, lambda: self.ending or line.fault("heal"))
 
     def stop_planner(self, stop: int) -> None:
         child = self.planners.get(stop % PLANNERS)
@@ -94,13 +94,13 @@
             return
         child.send_signal(signal.SIGSTOP)
         self.record("planner stopped", self.loop.now, number=stop % PLANNERS)
-        self.loop.after(between(self.plant.seed, *STOP_MS, "stopped", stop), lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
+        self.loop.call_later(between(self.plant.seed, *STOP_MS, "stopped", stop), lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
 
     def switch(self) -> None:
         if not self.ending and not self.wanting:
             self.switches += 1
             self.write_limits()
-            self.loop.after(SWITCH_MS, self.switch)
+            self.loop.call_later(SWITCH_MS, self.switch)
 
     def want(self) -> None:
         """Both are asked; the one that keeps the journal begins, or says that the last one goes on."""
@@ -113,7 +113,7 @@
         name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(load(data, "wanted", self.read_house).limits)).hash
         for planner in self.places:
             self.asking(planner, wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS}), lambda found: None)
-        self.loop.after(WANT_MS, self.want)
+        self.loop.call_later(WANT_MS, self.want)
 
     # The judge
 
@@ -183,4 +183,4 @@
         peer = Peer(self.loop, wire.Hello(wire.VERSION, "d-operator", wire.OPERATOR, 0), told, lambda peer: peer.send(question),
                     lambda peer, why: done(came[0] if came else None))
         host, port = self.places[planner]
-        self.loop.dial((host, port), Secure(peer, client_context(*self.edge_papers), False, host), ASK_MS)
+        self.loop.dial((host, port), TlsStream(peer, client_context(*self.edge_papers), False, host), ASK_MS)
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -113,15 +113,15 @@
         start = self.world.now + 3_000
         self.wanting.begin(start + WANTS_FROM * self.plant.crowd.seconds * 1000)
         for fault in self.faults:
-            self.loop.at(start + fault.at, lambda fault=fault: self.strike(fault))
-        self.loop.at(start, self.switch)
+            self.loop.call_at(start + fault.at, lambda fault=fault: self.strike(fault))
+        self.loop.call_at(start, self.switch)
         for moment in range(BOTH_DIE):
             at = start + between(self.plant.seed, 0, self.plant.crowd.seconds * 1000, "both", moment)
             for planner in range(self.count):
-                self.loop.at(at + planner, lambda planner=planner: self.done or self.kill_planner(planner))
+                self.loop.call_at(at + planner, lambda planner=planner: self.done or self.kill_planner(planner))
         for stop in range(STOPS):
             at = start + between(self.plant.seed, 0, self.plant.crowd.seconds * 1000, "stop", stop)
-            self.loop.at(at, lambda stop=stop: self.stop_planner(stop))
+            self.loop.call_at(at, lambda stop=stop: self.stop_planner(stop))
         return super().run()
 
     def stop_planner(self, stop: int) -> None:
@@ -136,7 +136,7 @@
             return
         line.loop.now = self.world.now
         line.fault(fault.what, fault.value)
-        self.loop.at(self.world.now + fault.lasts, lambda: self.heal(line))
+        self.loop.call_at(self.world.now + fault.lasts, lambda: self.heal(line))
 
     def heal(self, line) -> None:
         line.loop.now = self.world.now
@@ -150,9 +150,9 @@
         loaded = load(text.encode(), f"version-{self.switches % 4}", self.house)
         for number, director in self.directors.items():
             host, wait = self.world.hosts[f"d{number}"], between(self.plant.seed, 0, SPREAD_MS, "spread", number, self.switches)
-            self.loop.at(self.world.now + wait, lambda host=host, director=director: host.alive and host.running
-                         and host.tell(self.world.now, lambda: director.change_limits(loaded.limits)))
-        self.loop.at(self.world.now + SWITCH_MS, self.switch)
+            self.loop.call_at(self.world.now + wait, lambda host=host, director=director: host.alive and host.running
+                         and host.deliver_at(self.world.now, lambda: director.change_limits(loaded.limits)))
+        self.loop.call_at(self.world.now + SWITCH_MS, self.switch)
 
     def finished(self) -> None:
         """The last viewer is served: all lines are whole again, and the judge waits until all have come back."""
@@ -160,12 +160,12 @@
             for line in self.lines.by_ends.values():
                 self.heal(line)
             self.wanting.over = True
-            self.loop.at(self.world.now + BACK_MS, lambda: self.judge(self.world.now + BACK_MS))
+            self.loop.call_at(self.world.now + BACK_MS, lambda: self.judge(self.world.now + BACK_MS))
 
     def judge(self, latest: float) -> None:
         """Once no rollout goes on any more, or it is too late for that."""
         if self.wanting.ask("stragglers").get("state") == "going" and self.world.now < latest:
-            return self.loop.at(self.world.now + 500.0, lambda: self.judge(latest))
+            return self.loop.call_at(self.world.now + 500.0, lambda: self.judge(latest))
         self.done = True
         leader = next((p for p in self.planners.values() if p.standing.state == "leads" and p.store is not None), None)
         if leader is None:
--- a/laddergw/lab/hosts.py
+++ b/laddergw/lab/hosts.py
@@ -7,7 +7,7 @@
 from laddergw.director.program import TapFile, raise_descriptors
 from laddergw.lab.node_stand_in import NodeFacts, NodeStandIn, Rack
 from laddergw.lab.viewers_stand_in import Audience, Crowd, Viewers
-from laddergw.loop.sockets import SocketLoop, Watch
+from laddergw.loop.sockets import DescriptorWatch, SocketLoop
 
 
 class Commands:
@@ -16,7 +16,7 @@
     def __init__(self, loop: SocketLoop, serve):
         self.loop, self.serve, self.rest = loop, serve, b""
         os.set_blocking(0, False)
-        self.watch = Watch(loop, 0, self.read)
+        self.watch = DescriptorWatch(loop, 0, self.read)
 
     def read(self) -> None:
         data = os.read(0, 65_536)
@@ -63,8 +63,8 @@
         directors = {int(number): tuple(address) for number, address in command["directors"].items()}
 
         def done() -> None:
-            tap.record("viewers ended", loop.now, lag_ms=loop.worst_lag)
-            loop.soon(lambda: say(done=True))
+            tap.record("viewers ended", loop.now, lag_ms=loop.max_lag_ms)
+            loop.call_soon(lambda: say(done=True))
         crowds.append(Viewers(loop, plan, directors, seed, tap.record, done))
     raise_descriptors()
     Commands(loop, serve)
@@ -85,10 +85,10 @@
         def over(_: Player) -> None:
             left[0] -= 1
             if not left[0]:
-                tap.record("viewers ended", loop.now, lag_ms=loop.worst_lag)
-                loop.soon(lambda: say(done=True))
+                tap.record("viewers ended", loop.now, lag_ms=loop.max_lag_ms)
+                loop.call_soon(lambda: say(done=True))
         for at, frame in command["sessions"]:
-            loop.at(start + at, lambda frame=frame: Player(wire, directors, frame, Judge(), tap.record, over, 900.0))
+            loop.call_at(start + at, lambda frame=frame: Player(wire, directors, frame, Judge(), tap.record, over, 900.0))
     raise_descriptors()
     Commands(loop, serve)
     loop.run()
--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -81,7 +81,7 @@
         super().__init__(plant, script, **more)
         self.house = houses.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.numbers = 0
-        self.loop.after(EVERY_MS, self.switch)
+        self.loop.call_later(EVERY_MS, self.switch)
 
     def switch(self) -> None:
         if self.done:
@@ -92,9 +92,9 @@
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
-                host.tell(self.world.now, lambda director=director: director.change_limits(loaded.limits) if loaded.limits is not None
+                host.deliver_at(self.world.now, lambda director=director: director.change_limits(loaded.limits) if loaded.limits is not None
                           else director.limits_refused(loaded.texts()))
-        self.loop.after(EVERY_MS, self.switch)
+        self.loop.call_later(EVERY_MS, self.switch)
 
 
 class ProcessLimits(ProcessStage):
@@ -112,7 +112,7 @@
     def let_them_come(self) -> None:
         """Versions change once all directors run: each has a good one by then."""
         super().let_them_come()
-        self.loop.after(EVERY_MS, self.switch)
+        self.loop.call_later(EVERY_MS, self.switch)
 
     def write(self, text: str) -> None:
         """In one move."""
@@ -130,7 +130,7 @@
             self.write(text)
         else:
             self.in_halves(text, how > 0.75)
-        self.loop.after(EVERY_MS, self.switch)
+        self.loop.call_later(EVERY_MS, self.switch)
 
     def in_halves(self, text: str, folder: bool) -> None:
         """First half, a folder in between where told so, then all of it."""
@@ -144,7 +144,7 @@
             if folder:
                 os.rmdir(self.limits)
             self.write(text)
-        self.loop.after(HALF_MS, rest)
+        self.loop.call_later(HALF_MS, rest)
 
 
 def switched(records: list[tuple]) -> dict[str, int]:
--- a/laddergw/lab/lines.py
+++ b/laddergw/lab/lines.py
@@ -47,7 +47,7 @@
         self.waiting.append((due, data))
         self.held += len(data)
         if self.held > HELD_MOST:
-            self.source.stream.pause()
+            self.source.stream.pause_reading()
         self.go()
 
     def go(self) -> None:
@@ -63,11 +63,11 @@
             self.held -= len(data)
             target.stream.write(data)
         if self.waiting:
-            self.timer = line.loop.at(self.waiting[0][0], self.go)
+            self.timer = line.loop.call_at(self.waiting[0][0], self.go)
         elif self.ended:
             target.stream.close()
         if self.held <= HELD_MOST and self.source.stream is not None and not line.stalled[self.source.way]:
-            self.source.stream.resume()
+            self.source.stream.resume_reading()
 
 
 class End:
@@ -79,13 +79,13 @@
     def opened(self, stream) -> None:
         self.stream = stream
         if self.pair.line.stalled[self.way]:
-            stream.pause()
+            stream.pause_reading()
         self.pair.opened(self)
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.pair.ways[self.way].come(data)
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
     def closed(self, stream, why: str | None) -> None:
@@ -106,7 +106,7 @@
         line = self.line
         if end.way == TO:
             if not line.hole:
-                line.loop.after(line.late_ms, self.dial)
+                line.loop.call_later(line.late_ms, self.dial)
             return
         for way, other in (TO, BACK), (BACK, TO):
             self.ways[way].target = self.ends[other]
@@ -131,7 +131,7 @@
     def abort_when_out(self, way: Way) -> None:
         """Once what came before has gone: a reset in the middle of a frame."""
         due = way.waiting[-1][0] if way.waiting else self.line.loop.now
-        self.line.loop.at(due + 1.0, self.abort)
+        self.line.loop.call_at(due + 1.0, self.abort)
 
     def abort(self) -> None:
         for end in self.ends.values():
@@ -170,7 +170,7 @@
     def accept(self, stream) -> Owner:
         pair = Pair(self)
         if self.shut:
-            self.loop.soon(pair.abort)
+            self.loop.call_soon(pair.abort)
         return pair.ends[TO]
 
     def fault(self, what: str, value: float | str | None = None) -> None:
@@ -181,7 +181,7 @@
             self.dropped |= dict.fromkeys(ways, True)
         elif what == "stall":
             self.stalled |= dict.fromkeys(ways, True)
-            self.each(lambda pair: [pair.ends[way].stream.pause() for way in ways if pair.ends[way].stream is not None])
+            self.each(lambda pair: [pair.ends[way].stream.pause_reading() for way in ways if pair.ends[way].stream is not None])
         elif what == "hole":
             self.hole, self.dropped = True, dict.fromkeys(WAYS, True)
         elif what in ("delay", "jitter", "late"):
@@ -210,7 +210,7 @@
                 continue
             for way in pair.ways.values():
                 if way.source.stream is not None:
-                    way.source.stream.resume()
+                    way.source.stream.resume_reading()
                 way.go()
 
     def each(self, call: Callable[[Pair], object]) -> None:
--- a/laddergw/lab/list_stand_in.py
+++ b/laddergw/lab/list_stand_in.py
@@ -20,7 +20,7 @@
         self.followers: dict[Exchange, float] = {}     # when its next frame may go, so that frames keep their order
         self.server = Server(loop, address, self.serve, LIMITS)
         self.address = self.server.address
-        loop.after(ALIVE_MS, self.alive)
+        loop.call_later(ALIVE_MS, self.alive)
 
     def chance(self) -> float:
         self.draws += 1
@@ -51,7 +51,7 @@
         for exchange, free in list(self.followers.items()):
             when = max(free, self.loop.now + low + (high - low) * self.chance() + self.extra_lag)
             self.followers[exchange] = when
-            self.loop.at(when, lambda exchange=exchange: self.tell(exchange, version, entry))
+            self.loop.call_at(when, lambda exchange=exchange: self.tell(exchange, version, entry))
         if entry["state"] == "gone":
             self.entries.pop(entry["node"])
 
@@ -64,7 +64,7 @@
     def alive(self) -> None:
         for exchange in list(self.followers):
             exchange.push(b'{"form": "alive"}\n')
-        self.loop.after(ALIVE_MS, self.alive)
+        self.loop.call_later(ALIVE_MS, self.alive)
 
     def reach(self, out: bool) -> None:
         self.out_of_reach = out
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -51,14 +51,14 @@
                 self.fault(node, "untold", True if shape == NEW else None)
         self.put(shape, self.numbers)
         self.record("files put", self.loop.now, shape=shape)
-        self.loop.after(EVERY_MS, self.move)
+        self.loop.call_later(EVERY_MS, self.move)
 
 
 class MemoryMove(Moving, MemoryStage):
     def __init__(self, plant: Plant, script: list[Trouble], **more):
         super().__init__(plant, script, **more)
         self.refused = 0
-        self.loop.after(EVERY_MS, self.move)
+        self.loop.call_later(EVERY_MS, self.move)
 
     def over(self) -> bool:
         return self.done
@@ -70,7 +70,7 @@
             if host.alive and host.running:
                 old = self.plant.house(number, director.house.listen, director.house.lists, director.house.seed)
                 text = file_of(self.plant, old, shape, turn, peers)
-                host.tell(self.world.now, lambda director=director, text=text: self.switch(director, text))
+                host.deliver_at(self.world.now, lambda director=director, text=text: self.switch(director, text))
 
     def switch(self, director, text: str) -> None:
         try:
@@ -88,7 +88,7 @@
 
     def let_them_come(self) -> None:
         super().let_them_come()
-        self.loop.after(EVERY_MS, self.move)
+        self.loop.call_later(EVERY_MS, self.move)
 
     def put(self, shape: str, turn: int) -> None:
         ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no handler yet
--- a/laddergw/lab/node_stand_in.py
+++ b/laddergw/lab/node_stand_in.py
@@ -109,8 +109,8 @@
             if not self.down:
                 if not self.still():
                     call()
-                self.loop.after(ms, again)
-        self.loop.after(ms * (0.5 + self.chance() / 2), again)
+                self.loop.call_later(ms, again)
+        self.loop.call_later(ms * (0.5 + self.chance() / 2), again)
 
     # Faults, by script
 
@@ -118,7 +118,7 @@
         """Sets a fault: mute, late (ms), errors (part), cut (part), drip, lose (part), hush (part), untold (load is told to probes alone), still (ms), die, vanish, drain; None ends it."""
         if what == "still":
             self.still_until = max(self.still_until, self.loop.now + value)
-            self.loop.at(self.still_until, self.wake)
+            self.loop.call_at(self.still_until, self.wake)
         elif what in ("die", "vanish"):
             self.end(what)
         elif what == "drain":
@@ -244,7 +244,7 @@
                     title=held.title, rung=held.rung, director=session.director)
         low, high = self.facts.work_ms
         work = (low + (high - low) * self.chance()) / self.warmth() * (1 + len(self.held) / self.places())
-        self.loop.after(work + self.faults.get("late", 0.0), lambda: self.finish_set_up(held))
+        self.loop.call_later(work + self.faults.get("late", 0.0), lambda: self.finish_set_up(held))
         return None
 
     def refuse(self, exchange: Exchange, status: int, name: str, why: str) -> None:
@@ -271,7 +271,7 @@
         if self.down or self.held.get(held.name) is not held:
             return
         if self.still():
-            self.loop.at(self.still_until, lambda: self.finish_set_up(held))
+            self.loop.call_at(self.still_until, lambda: self.finish_set_up(held))
             return
         self.expire()
         if self.held.get(held.name) is not held or self.faults.get("mute"):
@@ -286,7 +286,7 @@
             return self.abort(held.exchange)
         if self.chance() < self.faults.get("cut", 0.0):
             held.exchange.peer.send(b"HTTP/1.1 201 Created\r\nContent-Length: 500\r\n\r\n" + body[:20].encode())
-            return self.loop.after(5, lambda: self.abort(held.exchange))
+            return self.loop.call_later(5, lambda: self.abort(held.exchange))
         if self.faults.get("drip"):
             return self.drip(held.exchange, b"HTTP/1.1 201 Created\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body.encode()))
         held.exchange.answer(201, body.encode())
@@ -299,7 +299,7 @@
     def drip(self, exchange: Exchange, data: bytes) -> None:
         if data and not exchange.gone and not self.down:
             exchange.peer.send(data[:1])
-            self.loop.after(DRIP_MS, lambda: self.drip(exchange, data[1:]))
+            self.loop.call_later(DRIP_MS, lambda: self.drip(exchange, data[1:]))
 
     def keep(self, exchange: Exchange, frame: dict) -> None:
         session, released, unknown = self.sessions.get(frame["session"]), [], []
--- a/laddergw/lab/player_stand_in.py
+++ b/laddergw/lab/player_stand_in.py
@@ -38,7 +38,7 @@
         if pool is None:
             pool = self.pools[address] = Pool(self.loop, address, LIMITS)
         call = pool.call(method, path, body, done, headers=cookie)
-        self.loop.after(limit_ms, lambda: call.cut("no answer in time"))
+        self.loop.call_later(limit_ms, lambda: call.cut("no answer in time"))
         return call
 
 
@@ -84,7 +84,7 @@
             return self.finish("broken" if self.reopened else outcome)
         pause = max(self.pause or REOPEN_MS, retry_ms)
         self.frame = self.frame | {"unsettled_ms": max(0.0, unsettled_ms - pause)}
-        self.loop.after(pause, self.ask)
+        self.loop.call_later(pause, self.ask)
         return None
 
     def edge_gone(self, call: Call) -> bool:
@@ -132,7 +132,7 @@
     def later(self, ms: float, call: Callable[[], None]) -> None:
         """Unless the session was asked for anew by then."""
         opening = self.opening
-        self.loop.after(ms, lambda: opening == self.opening and call())
+        self.loop.call_later(ms, lambda: opening == self.opening and call())
 
     def reload(self) -> None:
         if not self.done and not self.ended:
@@ -175,10 +175,10 @@
             return
         if not self.queue:
             if self.ended:
-                self.loop.after(max(0.0, self.ahead()), lambda: self.finish("played"))
+                self.loop.call_later(max(0.0, self.ahead()), lambda: self.finish("played"))
             return
         if self.ahead() > BUFFER_MS:
-            self.loop.after(self.ahead() - BUFFER_MS + 1, self.next)
+            self.loop.call_later(self.ahead() - BUFFER_MS + 1, self.next)
             return
         self.fetching = True
         self.fetch(self.queue.pop(0), 0)
--- a/laddergw/lab/soak/bad_clients.py
+++ b/laddergw/lab/soak/bad_clients.py
@@ -24,5 +24,5 @@
         if self.data:
             stream.write(self.data)
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         pass
--- a/laddergw/lab/soak/change_log.py
+++ b/laddergw/lab/soak/change_log.py
@@ -22,7 +22,7 @@
     def __init__(self, log: "ChangeLog", director: int):
         self.log, self.director, self.data, self.told = log, director, b"", None
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.data += data
         if self.data.endswith(b"\n") and self.told is None:
             self.told = int(self.data.split()[1])
@@ -65,7 +65,7 @@
         return one | {"fleet": one["fleet"] | {"members": members}}
 
     def beat(self) -> None:
-        self.loop.after(BEAT_MS, self.beat)
+        self.loop.call_later(BEAT_MS, self.beat)
         for side in [] if self.silent else self.sides:
             side.stream.write(line({"seq": len(self.events)}))
 
--- a/laddergw/lab/soak/directors.py
+++ b/laddergw/lab/soak/directors.py
@@ -117,7 +117,7 @@
     def look(self, process) -> None:
         if self.process is process and not self.takes and not self.stopping:
             Tested(self.trial.loop, self.address, lambda: self.ready(process))
-            self.trial.loop.after(LOOK_MS, lambda: self.look(process))
+            self.trial.loop.call_later(LOOK_MS, lambda: self.look(process))
 
     def ready(self, process) -> None:
         if self.process is process and not self.takes and not self.stopping:
@@ -133,10 +133,10 @@
         process, self.stopping = self.process, True
         self.trial.record("director told to stop", director=self.name)
         process.send_signal(signal.SIGTERM)
-        self.trial.loop.after(
+        self.trial.loop.call_later(
             self.trial.draw.uniform(*STOPPED_MS), lambda: self.no_new_connections(process)
         )
-        self.trial.loop.after(self.trial.terms.kill_ms, lambda: self.kill_stopped(process))
+        self.trial.loop.call_later(self.trial.terms.kill_ms, lambda: self.kill_stopped(process))
 
     def no_new_connections(self, process) -> None:
         if self.process is process:
@@ -161,7 +161,7 @@
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGSTOP)
             self.trial.record("director frozen", director=self.name, ms=ms)
-            self.trial.loop.after(
+            self.trial.loop.call_later(
                 ms, lambda: process.poll() is None and process.send_signal(signal.SIGCONT)
             )
 
--- a/laddergw/lab/soak/faults.py
+++ b/laddergw/lab/soak/faults.py
@@ -23,7 +23,7 @@
         return getattr(self, fault.kind)(fault)
 
     def later(self, fault: Fault, call: Callable[[], Any]) -> None:
-        self.trial.loop.after(fault.lasts_ms, call)
+        self.trial.loop.call_later(fault.lasts_ms, call)
 
     def window(self, fault: Fault) -> None:
         self.trial.conditions.now.add(fault.kind)
@@ -52,18 +52,18 @@
     def drain(self, fault: Fault) -> None:
         node = self.node(fault)
         self.trial.log.tell(node.line("DRAINING"))
-        self.trial.loop.after(DRAIN_MS, lambda: self.leave(node))
+        self.trial.loop.call_later(DRAIN_MS, lambda: self.leave(node))
 
     def replace(self, fault: Fault) -> None:
         node = self.node(fault)
         successor = self.trial.node(f"s{len(self.trial.nodes)}", node.cell, True)
         self.trial.log.tell(node.line("DRAINING"), successor.line("SERVING"))
-        self.trial.loop.after(DRAIN_MS, lambda: self.leave(node))
+        self.trial.loop.call_later(DRAIN_MS, lambda: self.leave(node))
 
     def leave(self, node: Node) -> None:
         if not node.gone:
             self.trial.log.tell(node.line("DELETED"))
-            self.trial.loop.after(GONE_MS, node.die)
+            self.trial.loop.call_later(GONE_MS, node.die)
 
     def hang(self, fault: Fault) -> None:
         node = self.node(fault)
--- a/laddergw/lab/soak/node_side.py
+++ b/laddergw/lab/soak/node_side.py
@@ -91,7 +91,7 @@
             if draw < FULL + FAILS + MUTE
             else 200
         )
-        self.node.loop.after(
+        self.node.loop.call_later(
             self.node.draw.uniform(low, high), lambda: status and self.answer(session, status)
         )
 
--- a/laddergw/lab/soak/nodes.py
+++ b/laddergw/lab/soak/nodes.py
@@ -69,7 +69,7 @@
 
     def play(self, session: str, side: NodeSide) -> None:
         self.playing[session] = side
-        self.loop.after(self.draw.uniform(*LENGTH_MS), lambda: self.end(session))
+        self.loop.call_later(self.draw.uniform(*LENGTH_MS), lambda: self.end(session))
 
     def end(self, session: str, cause: int = ENDED) -> None:
         """What plays there is over; its director hears of it until it says so."""
@@ -77,7 +77,7 @@
         if side is None or self.gone:
             return
         if self.still:
-            self.loop.after(STILL_MS, lambda: self.end(session, cause))
+            self.loop.call_later(STILL_MS, lambda: self.end(session, cause))
             return
         del self.playing[session]
         side.over(session)
--- a/laddergw/lab/soak/peers.py
+++ b/laddergw/lab/soak/peers.py
@@ -17,10 +17,10 @@
     def opened(self, stream) -> None:
         self.stream = stream
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.reader.feed(data)
         while (message := self.reader.next()) is not None:
             self.heard(message)
@@ -76,7 +76,7 @@
             stream.write(piece.data)
             if piece.done is None:
                 self.waiting.insert(0, PAUSE)
-                self.loop.after(self.draw.uniform(*PIECE_MS), lambda: self.after_pause(stream))
+                self.loop.call_later(self.draw.uniform(*PIECE_MS), lambda: self.after_pause(stream))
                 return
             piece.done()
 
--- a/laddergw/lab/soak/trial.py
+++ b/laddergw/lab/soak/trial.py
@@ -93,12 +93,12 @@
             Front(self.loop, self.draw, self.record, self.conditions, place, self.next_session)
             for place in self.directors
         ]
-        self.loop.at_turn_end(self.turn_ends)
+        self.loop.on_turn_end(self.turn_ends)
 
     def turn_ends(self) -> None:
         """What comes now may have lain there since the last turn's end."""
-        self.worst_lag = max(self.worst_lag, self.loop.reading() - self.loop.now)
-        self.turned = self.loop.reading()
+        self.worst_lag = max(self.worst_lag, self.loop.read_clock() - self.loop.now)
+        self.turned = self.loop.read_clock()
 
     def record(self, what: str, **facts: Any) -> None:
         self.records.append(
@@ -120,7 +120,7 @@
         if self.loop.now >= self.ends:
             return
         crowded = "crowd" in self.conditions
-        self.loop.after(
+        self.loop.call_later(
             self.draw.expovariate(self.rate * (3 if crowded else 1) / 1000), self.arrive
         )
         able = [front for front in self.fronts if front.place.takes or front.place.stopping]
@@ -135,7 +135,7 @@
             self.draw.choice(self.fronts).misbehave()
 
     def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
+        self.loop.call_later(LOOK_MS, self.look)
         for place, front in zip(self.directors, self.fronts, strict=True):
             place.measure()
             front.close_idle()
@@ -162,7 +162,7 @@
             self.wait(lambda: all(place.takes for place in self.directors))
             began, self.ends = self.loop.now, self.loop.now + self.seconds * 1000
             for at, act in self.script:
-                self.loop.at(began + at, lambda act=act: act(self))
+                self.loop.call_at(began + at, lambda act=act: act(self))
             self.arrive()
             self.look()
             self.wait(self.settled)
--- a/laddergw/lab/soak/viewers.py
+++ b/laddergw/lab/soak/viewers.py
@@ -90,7 +90,9 @@
         )
         part = LEAVES_EARLY if "leave_early" in self.front.conditions else LEAVES
         if self.front.draw.random() < part:
-            self.front.loop.after(LEAVES_MS * self.front.draw.random(), lambda: self.leave(request))
+            self.front.loop.call_later(
+                LEAVES_MS * self.front.draw.random(), lambda: self.leave(request)
+            )
 
     def leave(self, request: Request) -> None:
         """The viewer waits no more: it says so, or ends a connection that carries nothing else."""
@@ -132,7 +134,7 @@
         request.state = "plays"
         self.front.standing[request.session] = request
         if self.front.draw.random() < ENDS:
-            self.front.loop.after(
+            self.front.loop.call_later(
                 ENDS_MS * self.front.draw.random(), lambda: self.front.end(request)
             )
 
--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -9,7 +9,7 @@
 from laddergw.lab.plant import Plant
 from laddergw.lab.tap import tap
 from laddergw.lab.viewers_stand_in import Viewers
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 
 SETTLE_MS = 1_500.0        # the fleet is up and told before the first viewer comes
 TAIL_MS = 40_000.0         # at most so long for the last plays after the last arrival
@@ -21,7 +21,7 @@
 
     def __init__(self, plant: Plant, script: list, director_class=Director):
         self.plant, self.director_class = plant, director_class
-        self.world = Memory(plant.seed)
+        self.world = MemoryNetwork(plant.seed)
         self.records: list[tuple] = []
         self.loop = self.world.host("stage")
         self.racks = [Rack(plant.rack_kb) for _ in range(plant.racks)]
@@ -101,11 +101,11 @@
 
     def stop_director(self, number: int) -> None:
         director, host = self.directors[number], self.world.hosts[f"d{number}"]
-        host.tell(self.world.now, director.stop)
+        host.deliver_at(self.world.now, director.stop)
 
         def ended() -> None:
             if host.running:
-                return self.loop.at(self.world.now + 50, ended)
+                return self.loop.call_at(self.world.now + 50, ended)
             host.kill()
             self.down(number, "stopped")
-        self.loop.at(self.world.now + 50, ended)
+        self.loop.call_at(self.world.now + 50, ended)
--- a/laddergw/lab/stage_processes.py
+++ b/laddergw/lab/stage_processes.py
@@ -10,7 +10,7 @@
 from laddergw.lab.conductor import Conductor
 from laddergw.lab.list_stand_in import ListStandIn
 from laddergw.lab.plant import Plant
-from laddergw.loop.sockets import SocketLoop, Watch
+from laddergw.loop.sockets import DescriptorWatch, SocketLoop
 
 SETTLE_MS = 1_500.0        # the fleet is up and told before the first viewer comes
 TAIL_MS = 40_000.0         # at most so long for the last plays after the last arrival
@@ -30,7 +30,7 @@
         self.child = loop.spawn([sys.executable, "-m", "laddergw.lab.hosts", *arguments], ended,
                                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log)
         os.set_blocking(self.child.stdout.fileno(), False)
-        self.watch = Watch(loop, self.child.stdout, self.read)
+        self.watch = DescriptorWatch(loop, self.child.stdout, self.read)
 
     def read(self) -> None:
         data = os.read(self.child.stdout.fileno(), 65_536)
@@ -127,7 +127,7 @@
             end = self.loop.now + self.plant.crowd.seconds * 1000 + self.tail_ms
             while not self.done and self.loop.now < end and not self.problems:
                 self.loop.turn()
-            self.record("stage ended", self.loop.now, done=self.done, lag_ms=self.loop.worst_lag)
+            self.record("stage ended", self.loop.now, done=self.done, lag_ms=self.loop.max_lag_ms)
             if self.problems:
                 raise CouldNotRun("; ".join(self.problems))
             self.ending = True
@@ -218,7 +218,7 @@
             if line[:1] == ["ready"]:
                 self.addresses[number] = line[1], int(line[2])
                 self.record("director up", self.loop.now, number=number, source=source)
-        watch = Watch(self.loop, child.stdout, said)
+        watch = DescriptorWatch(self.loop, child.stdout, said)
 
     def house_text(self, number: int) -> str:
         """The file of a director's next process."""
@@ -243,7 +243,7 @@
     def freeze_director(self, number: int, ms: float) -> None:
         child = self.children[number]
         child.send_signal(signal.SIGSTOP)
-        self.loop.after(ms, lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
+        self.loop.call_later(ms, lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
 
     def stop_director(self, number: int) -> None:
         self.children[number].terminate()
--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -74,7 +74,7 @@
         wire, start = Wire(host), self.world.now
         self.conductor.begin()
         for number in range(self.sessions):
-            host.at(start + session_at(self.plant, number, self.sessions), lambda number=number: self.begin(wire, number))
+            host.call_at(start + session_at(self.plant, number, self.sessions), lambda number=number: self.begin(wire, number))
         end = start + self.plant.crowd.seconds * 1000 + TAIL_MS
         while self.world.now < end and (self.open or self.world.now < start + self.plant.crowd.seconds * 1000 + 1_000):
             self.world.run(self.world.now + 1_000)
--- a/laddergw/lab/viewers_stand_in.py
+++ b/laddergw/lab/viewers_stand_in.py
@@ -93,7 +93,7 @@
         wait = audience.wait_ms + SLACK_MS
         if self.impatient and self.tries == 1:
             wait = min(wait, EARLY_MS[0] + (EARLY_MS[1] - EARLY_MS[0]) * self.draw("early"))
-        self.limit = loop.after(wait, self.give_up)
+        self.limit = loop.call_later(wait, self.give_up)
 
     def told(self, what: str, **facts) -> None:
         self.crowd.record(what, self.crowd.loop.now, play=self.key, tries=self.tries, **facts)
@@ -126,7 +126,7 @@
             self.began = self.crowd.loop.now
             if self.fickle and self.tries == 1:
                 self.left_ms = 0.0
-            self.leave = self.crowd.loop.after(self.left_ms, self.go)
+            self.leave = self.crowd.loop.call_later(self.left_ms, self.go)
 
     def go(self) -> None:
         call, self.call, self.left_ms = self.call, None, 0.0
@@ -165,7 +165,7 @@
             return self.crowd.over(self)
         low, high = plan.again_ms
         pause = max(retry_ms, low + (high - low) * self.draw(f"pause {self.tries}"))
-        self.crowd.loop.after(pause, self.ask)
+        self.crowd.loop.call_later(pause, self.ask)
 
 
 class Viewers:
@@ -194,7 +194,7 @@
                 return self.check()
             self.under_way += 1
             Viewer(self, self.numbers).ask()
-        self.loop.at(self.next_at, self.arrive)
+        self.loop.call_at(self.next_at, self.arrive)
 
     def enough(self) -> None:
         """Nobody comes from now on; who is there plays to the end."""
--- a/laddergw/lab/wanting.py
+++ b/laddergw/lab/wanting.py
@@ -27,8 +27,8 @@
         self.buried: set[str] = set()                # processes that ended, as planners were told
 
     def begin(self, at: float) -> None:
-        self.stage.loop.at(at, self.want)
-        self.stage.loop.at(at, self.look)
+        self.stage.loop.call_at(at, self.want)
+        self.stage.loop.call_at(at, self.look)
 
     def leader(self):
         return next((p for number, p in sorted(self.stage.planners.items()) if self.stage.world.hosts[f"p{number}"].alive
@@ -47,7 +47,7 @@
         if stage.done or self.over:
             return
         self.on = True
-        stage.loop.at(stage.world.now + WANT_MS, self.want)
+        stage.loop.call_at(stage.world.now + WANT_MS, self.want)
         number = self.wants + 1
         bad = number % BAD_EACH == 0
         data = (broken(stage.plant.seed, number) if bad else sound(stage.plant.seed, number % TEXTS, stage.house)).encode()
@@ -60,7 +60,7 @@
         if "want" not in found:
             return
         self.wants += 1
-        stage.loop.at(stage.world.now + FORBID_MS, self.forbid)
+        stage.loop.call_at(stage.world.now + FORBID_MS, self.forbid)
 
     def forbid(self) -> None:
         """What those who are behind are on, where the guards let it."""
@@ -84,7 +84,7 @@
         self.halted += rollout.get("state") == "halted" and rollout["want"]["number"] not in self.seen_halted
         if rollout.get("state") == "halted":
             self.seen_halted.add(rollout["want"]["number"])
-        self.stage.loop.at(now + LOOK_MS, self.look)
+        self.stage.loop.call_at(now + LOOK_MS, self.look)
 
     def take_back(self, name: str) -> None:
         """It is allowed again: from now on the word does not stand."""
--- a/laddergw/loop/base.py
+++ b/laddergw/loop/base.py
@@ -11,14 +11,16 @@
 
 from laddergw.loop.timers import HeapTimers, Timer
 
-MOST_TIMERS = 2_000  # calls of timers in one turn: past that the sockets get their turn first
-MOST_CALLS = (
+MAX_TIMERS_PER_TURN = (
+    2_000  # calls of timers in one turn: past that the sockets get their turn first
+)
+MAX_CALLS_PER_TURN = (
     10_000  # deferred calls in one turn: one that asks for itself again ends no turn otherwise
 )
 # why of a dial that found no process: it proves that nothing is held there
-REFUSED = "Connection refused"
+CONNECTION_REFUSED = "Connection refused"
 # why of a dial for which this process had none left: it tells nothing of the peer
-SHORT = "no descriptor"
+NO_DESCRIPTOR = "no descriptor"
 STALL_MS = (
     100.0  # a turn that comes so much later than it should counts as a stand-still of the process
 )
@@ -35,26 +37,26 @@
     """What a stream tells. `why` is None where the peer ended in good order, else a short text."""
 
     def opened(self, stream) -> None: ...
-    def got(self, stream, data: bytes) -> None: ...
-    def emptied(self, stream) -> None: ...
+    def data_received(self, stream, data: bytes) -> None: ...
+    def write_buffer_drained(self, stream) -> None: ...
     def closed(self, stream, why: str | None) -> None: ...
 
 
 class Outgoing:
-    """What the streams of every loop share: writes wait in `out`, one entry each."""
+    """What the streams of every loop share: writes wait in `write_queue`, one entry each."""
 
     __slots__ = ()
 
-    def take_back(self, data: bytes) -> bool:
+    def withdraw_write(self, data: bytes) -> bool:
         """Takes a write out of the queue, whole.
 
         False where a byte of it has left: then only `abort` holds back the rest.
         """
-        if data not in self.out:
+        if data not in self.write_queue:
             return False
-        self.out.remove(data)
+        self.write_queue.remove(data)
         self.queued -= len(data)
-        self.asked -= len(data)
+        self.bytes_written -= len(data)
         return True
 
 
@@ -66,39 +68,39 @@
 
     def __init__(self, now: float):
         self.now, self.timers, self.calls = now, HeapTimers(now), deque()
-        self.ends: list[Callable[[], None]] = []
-        self.stalled = self.worst_lag = 0.0
+        self.turn_end_calls: list[Callable[[], None]] = []
+        self.stall_ms = self.max_lag_ms = 0.0
         # of real sockets: closed ones whose peers have not ended yet, oldest first
         self.lingering: dict = {}
         self.running = True
-        self.may_call, self.mark, self.slow = (
-            MOST_CALLS,
+        self.calls_left, self.mark, self.slow = (
+            MAX_CALLS_PER_TURN,
             now,
             [],
         )  # of this turn: calls left, when the last ended, long ones
 
-    def reading(self) -> float:
+    def read_clock(self) -> float:
         """The clock itself, for measuring work within a turn; all decisions use `now`."""
         return self.now
 
-    def at(self, when: float, call: Callable[[], None]) -> Timer:
+    def call_at(self, when: float, call: Callable[[], None]) -> Timer:
         """Raises ValueError for a time that is none: it would be due for good and never called."""
         if when != when:
             raise ValueError("a timer at no time")
         return self.timers.add(when, call)
 
-    def after(self, ms: float, call: Callable[[], None]) -> Timer:
-        return self.at(self.now + ms, call)
+    def call_later(self, ms: float, call: Callable[[], None]) -> Timer:
+        return self.call_at(self.now + ms, call)
 
-    def soon(self, call: Callable[[], None]) -> None:
+    def call_soon(self, call: Callable[[], None]) -> None:
         """Calls it later in this turn, before the ends of the turn."""
         self.calls.append(call)
 
-    def at_turn_end(self, call: Callable[[], None]) -> None:
+    def on_turn_end(self, call: Callable[[], None]) -> None:
         """Calls it at the end of every turn, when all that came in this turn is told."""
-        self.ends.append(call)
+        self.turn_end_calls.append(call)
 
-    def guarded(self, call: Callable, *args) -> None:
+    def run_guarded(self, call: Callable, *args) -> None:
         """An error in one call must not end the program: it is logged with its trace and the loop
         goes on.
         """
@@ -106,36 +108,36 @@
             call(*args)
         except Exception:
             log.exception("call failed")
-        before, self.mark = self.mark, self.reading()
+        before, self.mark = self.mark, self.read_clock()
         took = self.mark - before
         if took >= SLOW_CALL_MS:
-            self.slow = sorted([*self.slow, (took, name_of(call))], reverse=True)[:SLOW_CALLS]
+            self.slow = sorted([*self.slow, (took, callback_name(call))], reverse=True)[:SLOW_CALLS]
 
     def begin_turn(self) -> None:
-        self.may_call, self.mark, self.slow = MOST_CALLS, self.now, []
+        self.calls_left, self.mark, self.slow = MAX_CALLS_PER_TURN, self.now, []
 
     def run_calls(self) -> None:
         """What is left past the bound comes in the next turn, which waits for nothing."""
-        while self.calls and self.may_call > 0:
-            self.may_call -= 1
-            self.guarded(self.calls.popleft())
+        while self.calls and self.calls_left > 0:
+            self.calls_left -= 1
+            self.run_guarded(self.calls.popleft())
 
     def run_timers(self) -> None:
-        for timer in self.timers.due(self.now, MOST_TIMERS):
-            call, timer.call = timer.call, None
+        for timer in self.timers.due(self.now, MAX_TIMERS_PER_TURN):
+            call, timer.callback = timer.callback, None
             if call is not None:  # a timer of this very turn may have cancelled it
-                self.guarded(call)
+                self.run_guarded(call)
                 self.run_calls()
 
     def end_turn(self) -> None:
-        for call in self.ends:
-            self.guarded(call)
+        for call in self.turn_end_calls:
+            self.run_guarded(call)
             self.run_calls()
         if self.mark - self.now >= SLOW_TURN_MS:
             log.warning(
                 "a turn of %.0f ms, %d deferred calls; the longest: %s",
                 self.mark - self.now,
-                MOST_CALLS - self.may_call,
+                MAX_CALLS_PER_TURN - self.calls_left,
                 ", ".join(f"{name} {ms:.0f} ms" for ms, name in self.slow) or "none long by itself",
             )
 
@@ -143,8 +145,8 @@
         """A turn came `lag` late, `gap` after the one before: what is read now may have waited all
         of the gap.
         """
-        self.stalled = gap if lag >= STALL_MS else 0.0
-        self.worst_lag = max(self.worst_lag, lag)
+        self.stall_ms = gap if lag >= STALL_MS else 0.0
+        self.max_lag_ms = max(self.max_lag_ms, lag)
 
     def stop(self) -> None:
         self.running = False
@@ -155,7 +157,7 @@
     return max(0.0, min(due - now, most))
 
 
-def name_of(call: Callable) -> str:
+def callback_name(call: Callable) -> str:
     """What a call is, for the log: its function and line, and of a method whose it is."""
     whose, code = getattr(call, "__self__", None), getattr(call, "__code__", None)
     owner = type(getattr(whose, "owner", None) or whose).__name__ if whose is not None else ""
--- a/laddergw/loop/lingering.py
+++ b/laddergw/loop/lingering.py
@@ -30,8 +30,8 @@
 
     def __init__(self, loop: "SocketLoop", sock: socket.socket, deliver_ms: float | None):
         self.loop, self.sock = loop, sock
-        self.limit = loop.after(LINGER_MS, self.close)
-        self.delivery = None if deliver_ms is None else loop.after(deliver_ms, self.late)
+        self.limit = loop.call_later(LINGER_MS, self.close)
+        self.delivery = None if deliver_ms is None else loop.call_later(deliver_ms, self.late)
         loop.selector.register(sock, selectors.EVENT_READ, self)
 
     def late(self) -> None:
--- a/laddergw/loop/listener.py
+++ b/laddergw/loop/listener.py
@@ -17,7 +17,7 @@
 
 ACCEPTS = 128  # connections accepted in one turn by one listener
 # a listener that finds no descriptor rests so long: its socket would stay readable all the while
-ACCEPT_REST_MS = 50.0
+ACCEPT_PAUSE_MS = 50.0
 SO_ATTACH_FILTER = 26  # of Linux, which Python's socket module does not name
 DROP_ALL = struct.pack(
     "=HBBI", 0x06, 0, 0, 0
@@ -59,7 +59,7 @@
             self.loop.adopt(sock, peer, self.accept)
         return True
 
-    def stop_connecting(self) -> None:
+    def drop_new_connections(self) -> None:
         """No connection comes up any more: the system drops what asks for one.
 
         Those that are up wait to be accepted.
@@ -77,7 +77,7 @@
         Whether some wait for a descriptor.
         """
         if self.sock is not None:
-            self.stop_connecting()
+            self.drop_new_connections()
         while self.ready():
             pass
         return self.starved
@@ -86,7 +86,7 @@
         if self.resting is not None:  # it is asked for the rest of its backlog meanwhile
             return
         self.loop.selector.unregister(self.sock)
-        self.resting = self.loop.after(ACCEPT_REST_MS, self.go_on)
+        self.resting = self.loop.call_later(ACCEPT_PAUSE_MS, self.go_on)
 
     def go_on(self) -> None:
         self.resting = None
--- a/laddergw/loop/memory.py
+++ b/laddergw/loop/memory.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from zlib import crc32
 
-from laddergw.loop.base import REFUSED, BaseLoop, Owner
+from laddergw.loop.base import CONNECTION_REFUSED, BaseLoop, Owner
 from laddergw.loop.memory_streams import Listener, Stream
 
 DELAY_MS = 0.2  # one way between hosts: a building's network
@@ -23,7 +23,7 @@
 BACKLOG = 1024  # connections that wait at a frozen host's listener
 
 
-class Memory:
+class MemoryNetwork:
     """The world: hosts, their addresses and the one queue of what happens when."""
 
     def __init__(self, seed: int = 0, start: float = 1_000_000.0):
@@ -38,7 +38,7 @@
         host = self.hosts[name] = Host(self, name)
         return host
 
-    def put(self, when: float, call: Callable[[], None]) -> None:
+    def schedule(self, when: float, call: Callable[[], None]) -> None:
         self.order += 1
         heapq.heappush(self.queue, (when, self.order, call))
 
@@ -58,7 +58,7 @@
 class Host(BaseLoop):
     """One machine's loop in memory."""
 
-    def __init__(self, world: Memory, name: str):
+    def __init__(self, world: MemoryNetwork, name: str):
         super().__init__(world.now)
         self.world, self.name, self.alive, self.silent = world, name, True, False
         self.inbox: deque = deque()
@@ -71,16 +71,16 @@
 
     # What programs call
 
-    def at(self, when, call):
-        timer = super().at(when, call)
+    def call_at(self, when, call):
+        timer = super().call_at(when, call)
         self.plan(when)
         return timer
 
-    def after(self, ms, call):
-        return self.at(max(self.now, self.world.now) + ms, call)
+    def call_later(self, ms, call):
+        return self.call_at(max(self.now, self.world.now) + ms, call)
 
-    def soon(self, call):
-        super().soon(call)
+    def call_soon(self, call):
+        super().call_soon(call)
         self.plan(self.world.now)
 
     def listen(self, address: tuple[str, int], accept: Callable) -> Listener:
@@ -100,8 +100,8 @@
         number = world.streams
         delay = DELAY_MS + JITTER_MS * world.draw("delay", number)
         stream = Stream(self, owner, address, number, delay)
-        stream.limit = self.after(limit_ms, lambda: stream.lose("no connection in time"))
-        world.put(world.now + delay, lambda: self.reach(tuple(address), stream))
+        stream.limit = self.call_later(limit_ms, lambda: stream.lose("no connection in time"))
+        world.schedule(world.now + delay, lambda: self.reach(tuple(address), stream))
         return stream
 
     def reach(self, address: tuple, stream: Stream) -> None:
@@ -110,7 +110,7 @@
         if listener is not None and (listener.host.silent or len(listener.waiting) >= BACKLOG):
             return
         if listener is None:
-            self.tell(back, lambda: stream.lose(REFUSED))
+            self.deliver_at(back, lambda: stream.lose(CONNECTION_REFUSED))
             return
         if not stream.alive or not self.alive:
             return
@@ -118,8 +118,8 @@
         other = Stream(host, None, (self.name, stream.number), -stream.number, stream.delay)
         stream.other, other.other, other.open = other, stream, True
         listener.waiting.append(other)
-        host.tell(self.world.now, lambda: listener.ready())
-        self.tell(back, stream.connected)
+        host.deliver_at(self.world.now, lambda: listener.ready())
+        self.deliver_at(back, stream.connected)
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
         self.signals[number] = call
@@ -128,7 +128,7 @@
 
     def signal(self, number: int) -> None:
         if number in self.signals:
-            self.tell(self.world.now, self.signals[number])
+            self.deliver_at(self.world.now, self.signals[number])
 
     def freeze(self, ms: float) -> None:
         if self.frozen_until <= self.world.now:
@@ -149,7 +149,7 @@
         """The machine goes without a word: connects and data get no answer."""
         self.alive, self.silent, self.running = False, True, False
 
-    def tell(self, when: float, call: Callable[[], None]) -> None:
+    def deliver_at(self, when: float, call: Callable[[], None]) -> None:
         """Something reaches this host; it is told in the host's next turn."""
 
         def arrive() -> None:
@@ -160,13 +160,13 @@
         if when <= self.world.now:
             arrive()
         else:
-            self.world.put(when, arrive)
+            self.world.schedule(when, arrive)
 
     def plan(self, when: float, force: bool = False) -> None:
         when = max(when, self.world.now, self.frozen_until)
         if self.alive and (when < self.planned or force):
             self.planned = when
-            self.world.put(when, lambda: self.turn(when))
+            self.world.schedule(when, lambda: self.turn(when))
 
     def turn(self, planned: float) -> None:
         if not self.alive or planned != self.planned:
@@ -182,7 +182,7 @@
         self.now = self.world.now
         self.begin_turn()
         while self.inbox:
-            self.guarded(self.inbox.popleft())
+            self.run_guarded(self.inbox.popleft())
             self.run_calls()
         self.run_calls()
         self.run_timers()
--- a/laddergw/loop/memory_streams.py
+++ b/laddergw/loop/memory_streams.py
@@ -46,14 +46,14 @@
 class Stream(Outgoing):
     """One end of a connection in memory; the same calls and counts as a real one."""
 
-    more = False  # what has come is read at once
+    may_have_more = False  # what has come is read at once
 
     def __init__(self, host: "Host", owner: Owner | None, peer, number: int, delay: float):
         self.loop, self.owner, self.peer, self.number, self.delay = host, owner, peer, number, delay
         self.other: Stream | None = None
         self.open, self.alive, self.reading, self.ending = False, True, True, False
-        self.asked = self.taken = self.queued = self.unread = 0
-        self.out, self.stash, self.early = deque(), deque(), []
+        self.bytes_written = self.bytes_sent = self.queued = self.unread = 0
+        self.write_queue, self.stash, self.early = deque(), deque(), []
         self.limit, self.gone = None, None
         host.streams[number] = self
         host.open_streams += 1
@@ -68,38 +68,40 @@
         self.flush()
 
     def write(self, data: bytes) -> None:
-        self.asked += len(data)
+        self.bytes_written += len(data)
         if not self.alive or self.ending or not data:
             return
         self.queued += len(data)
-        self.out.append(bytes(data))
+        self.write_queue.append(bytes(data))
         if self.open:
             self.flush(quiet=True)
 
     def flush(self, quiet: bool = False) -> None:
         """Hands over what the window takes; the reader opens it again by reading."""
-        while self.out and self.alive and self.other is not None:
+        while self.write_queue and self.alive and self.other is not None:
             room = WINDOW - self.other.unread
             if room <= 0:
                 return
-            data = self.out.popleft()
+            data = self.write_queue.popleft()
             if len(data) > room:
-                self.out.appendleft(data[room:])
+                self.write_queue.appendleft(data[room:])
                 data = data[:room]
-            self.taken += len(data)
+            self.bytes_sent += len(data)
             self.queued -= len(data)
             self.other.unread += len(data)
             self.send(lambda other, data=data: other.arrived(data))
-        if self.alive and not self.out and self.open:
+        if self.alive and not self.write_queue and self.open:
             if self.ending:
                 self.finish()
             elif not quiet:
-                self.owner.emptied(self)
+                self.owner.write_buffer_drained(self)
 
     def send(self, what: Callable[["Stream"], None]) -> None:
         other, host = self.other, self.other.loop
         if not self.loop.silent:
-            host.tell(self.loop.world.now + self.delay, lambda: other.take(lambda: what(other)))
+            host.deliver_at(
+                self.loop.world.now + self.delay, lambda: other.take(lambda: what(other))
+            )
 
     def take(self, call: Callable[[], None]) -> None:
         """In this end's turn; kept while the listener has not accepted yet."""
@@ -117,10 +119,12 @@
     def read(self, data: bytes) -> None:
         self.unread -= len(data)
         other = self.other
-        if other is not None and other.out and other.alive:
-            other.loop.tell(self.loop.world.now + self.delay, lambda: other.alive and other.flush())
+        if other is not None and other.write_queue and other.alive:
+            other.loop.deliver_at(
+                self.loop.world.now + self.delay, lambda: other.alive and other.flush()
+            )
         if not self.ending:
-            self.owner.got(self, data)
+            self.owner.data_received(self, data)
 
     def read_now(self) -> None:
         """Nothing lies unread here."""
@@ -129,13 +133,13 @@
         """What is told here has been handed over."""
         return 0
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         self.reading = False
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         self.reading = True
         if self.stash:
-            self.loop.soon(self.unstash)
+            self.loop.call_soon(self.unstash)
 
     def unstash(self) -> None:
         while self.stash and self.reading and self.alive:
@@ -160,7 +164,7 @@
     def close(self, deliver_ms: float | None = None) -> None:
         if self.alive and not self.ending:
             self.ending = True
-            if not self.out:
+            if not self.write_queue:
                 self.finish()
 
     def abort(self) -> None:
@@ -181,6 +185,6 @@
             self.limit.cancel()
         self.loop.streams.pop(self.number, None)
         self.loop.open_streams -= 1
-        self.out.clear()
+        self.write_queue.clear()
         if self.owner is not None:
             self.owner.closed(self, why)
--- a/laddergw/loop/held.py
+++ b/laddergw/loop/signal_mask.py
@@ -7,14 +7,14 @@
 
 from _signal import SIG_BLOCK, SIG_UNBLOCK, SIGHUP, SIGINT, SIGTERM, pthread_sigmask
 
-HELD = SIGHUP, SIGTERM, SIGINT
+BLOCKED_SIGNALS = SIGHUP, SIGTERM, SIGINT
 
 
-def hold() -> None:
+def block_signals() -> None:
     """From now on they wait in the kernel; several of one kind count as one."""
-    pthread_sigmask(SIG_BLOCK, HELD)
+    pthread_sigmask(SIG_BLOCK, BLOCKED_SIGNALS)
 
 
-def let_come(number: int) -> None:
+def unblock_signal(number: int) -> None:
     """Its handler stands: what has waited comes at once."""
     pthread_sigmask(SIG_UNBLOCK, (number,))
--- a/laddergw/loop/sockets.py
+++ b/laddergw/loop/sockets.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from laddergw.loop import held
-from laddergw.loop.base import REFUSED, SHORT, BaseLoop, Owner, wait_ms
+from laddergw.loop import signal_mask
+from laddergw.loop.base import CONNECTION_REFUSED, NO_DESCRIPTOR, BaseLoop, Owner, wait_ms
 from laddergw.loop.lingering import Lingering
 from laddergw.loop.listener import NO_ROOM, Listener
 from laddergw.loop.streams import Stream
@@ -33,7 +33,7 @@
     return time.monotonic_ns() / 1e6
 
 
-class Watch:
+class DescriptorWatch:
     """Any descriptor that becomes readable: the wake-up socket of signals, a child's descriptor, a
     pipe.
     """
@@ -64,7 +64,7 @@
         self.open_streams = self.failed_accepts = 0
         self.last_error, self.signals, self.wakeup, self.over = None, {}, None, False
 
-    def reading(self) -> float:
+    def read_clock(self) -> float:
         return self.clock()
 
     def listen(self, address: tuple[str, int], accept: Callable[[Stream], Owner]) -> Listener:
@@ -104,7 +104,7 @@
             )
         except OSError as error:  # this connection does not come up, nothing else is harmed
             self.last_error, stream = str(error), Stream(self, None, owner, address)
-            self.soon(lambda: owner.closed(stream, SHORT))
+            self.call_soon(lambda: owner.closed(stream, NO_DESCRIPTOR))
             return stream
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -115,10 +115,14 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            why = REFUSED if error.errno == errno.ECONNREFUSED else str(error.strerror or error)
-            self.soon(lambda: stream.lose(why))
+            why = (
+                CONNECTION_REFUSED
+                if error.errno == errno.ECONNREFUSED
+                else str(error.strerror or error)
+            )
+            self.call_soon(lambda: stream.lose(why))
             return stream
-        stream.limit = self.after(limit_ms, lambda: stream.lose("no connection in time"))
+        stream.limit = self.call_later(limit_ms, lambda: stream.lose("no connection in time"))
         stream.watch()
         return stream
 
@@ -152,10 +156,10 @@
             ours.setblocking(False)
             theirs.setblocking(False)
             signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
-            self.wakeup = Watch(self, ours, self.woken), theirs
+            self.wakeup = DescriptorWatch(self, ours, self.woken), theirs
         self.signals[number] = call
         signal.signal(number, lambda *_: None)
-        held.let_come(number)
+        signal_mask.unblock_signal(number)
 
     def woken(self) -> None:
         """Each kind once a turn, in the order in which they came first."""
@@ -177,7 +181,7 @@
             os.close(handle)
             ended(child.wait())
 
-        watch = Watch(self, handle, gone)
+        watch = DescriptorWatch(self, handle, gone)
         return child
 
     def turn(self) -> None:
@@ -194,7 +198,7 @@
         for wanted in selectors.EVENT_READ, selectors.EVENT_WRITE:
             for key, mask in events:
                 if key.data is not None and mask & wanted:
-                    self.guarded(key.data.ready, mask & wanted)
+                    self.run_guarded(key.data.ready, mask & wanted)
                     self.run_calls()
         self.run_calls()
         self.run_timers()
--- a/laddergw/loop/streams.py
+++ b/laddergw/loop/streams.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from laddergw.loop.base import REFUSED, Outgoing, Owner
+from laddergw.loop.base import CONNECTION_REFUSED, Outgoing, Owner
 from laddergw.loop.lingering import READ_BYTES, RESET, unacknowledged
 
 if TYPE_CHECKING:
@@ -21,27 +21,30 @@
 
 
 class Stream(Outgoing):
-    """A connected socket. `taken` counts the bytes that the kernel took, `asked` those that we were
-    given to write. `more`: the
-    last turn's read stopped at its bound, so its peer may have said more, or have left."""
+    """A connected socket.
+
+    `bytes_sent` counts the bytes that the kernel took, `bytes_written` those that we were given to
+    write. `may_have_more`: the last turn's read stopped at its bound, so its peer may have said
+    more, or have left.
+    """
 
     __slots__ = (
-        "asked",
+        "bytes_sent",
+        "bytes_written",
         "deliver_ms",
         "ending",
         "fd",
         "limit",
         "loop",
         "mask",
-        "more",
+        "may_have_more",
         "open",
-        "out",
         "owner",
         "peer",
         "queued",
         "reading",
         "sock",
-        "taken",
+        "write_queue",
     )
 
     def __init__(self, loop: "SocketLoop", sock: socket.socket, owner: Owner, peer):
@@ -52,9 +55,9 @@
             peer,
             sock.fileno() if sock else -1,
         )
-        self.out: deque = deque()
-        self.queued = self.asked = self.taken = self.mask = 0
-        self.reading, self.ending, self.open, self.limit, self.more = (
+        self.write_queue: deque = deque()
+        self.queued = self.bytes_written = self.bytes_sent = self.mask = 0
+        self.reading, self.ending, self.open, self.limit, self.may_have_more = (
             True,
             False,
             False,
@@ -68,13 +71,13 @@
 
         Nothing is written once the stream has closed.
         """
-        self.asked += len(data)
+        self.bytes_written += len(data)
         if self.sock is None or self.ending or not data:
             return
-        if self.open and not self.out:
+        if self.open and not self.write_queue:
             data = data[self.push(data) :]
         if data and self.sock is not None:
-            self.out.append(data)
+            self.write_queue.append(data)
             self.queued += len(data)
             self.watch()
 
@@ -85,35 +88,35 @@
             return 0
         except OSError as error:
             why = str(error.strerror or error)
-            self.loop.soon(lambda: self.lose(why))
+            self.loop.call_soon(lambda: self.lose(why))
             return 0
-        self.taken += count
+        self.bytes_sent += count
         return count
 
     def flush(self) -> None:
-        while self.out and self.sock is not None:
-            data = self.out[0]
+        while self.write_queue and self.sock is not None:
+            data = self.write_queue[0]
             count = self.push(data)
             self.queued -= count
             if count < len(data):
                 if count:
-                    self.out[0] = data[count:]
+                    self.write_queue[0] = data[count:]
                 if count and self.ending and self.deliver_ms is None:
-                    self.hurry(STUCK_MS)
+                    self.set_close_timeout(STUCK_MS)
                 return
-            self.out.popleft()
+            self.write_queue.popleft()
         if self.sock is None:
             return
         if self.ending:
-            self.part()
+            self.finish_close()
         else:
-            self.owner.emptied(self)
+            self.owner.write_buffer_drained(self)
 
     def watch(self) -> None:
         if self.sock is None:
             return
         mask = (selectors.EVENT_READ if self.reading and self.open else 0) | (
-            selectors.EVENT_WRITE if self.out or not self.open else 0
+            selectors.EVENT_WRITE if self.write_queue or not self.open else 0
         )
         if mask != self.mask:
             selector = self.loop.selector
@@ -140,8 +143,8 @@
         """Reads all that has come, within the bound: a peer's end stands behind its last bytes, and
         is seen in the turn that reads those.
         """
-        left, self.more = READ_BYTES, False
-        while self.sock is not None and self.reading and not self.more:
+        left, self.may_have_more = READ_BYTES, False
+        while self.sock is not None and self.reading and not self.may_have_more:
             try:
                 data = self.sock.recv(
                     left or 1
@@ -152,31 +155,33 @@
                 return self.lose(str(error.strerror or error))
             if not data:
                 return self.lose(None)
-            self.more, left = not left, max(0, left - len(data))
-            self.owner.got(self, data)
+            self.may_have_more, left = not left, max(0, left - len(data))
+            self.owner.data_received(self, data)
 
     def connected(self) -> None:
         if self.limit is not None:
             self.limit.cancel()
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            return self.lose(REFUSED if error == errno.ECONNREFUSED else os.strerror(error))
+            return self.lose(
+                CONNECTION_REFUSED if error == errno.ECONNREFUSED else os.strerror(error)
+            )
         self.open = True
         if self.ending:
-            self.hurry(STUCK_MS if self.deliver_ms is None else self.deliver_ms)
+            self.set_close_timeout(STUCK_MS if self.deliver_ms is None else self.deliver_ms)
         self.owner.opened(self)
-        if self.sock is not None and self.out:
+        if self.sock is not None and self.write_queue:
             self.flush()
         self.watch()
 
     def unacknowledged(self) -> int:
         return unacknowledged(self.sock)
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         self.reading = False
         self.watch()
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         self.reading = True
         self.watch()
 
@@ -187,22 +192,22 @@
         if self.sock is None or self.ending:
             return
         self.ending, self.deliver_ms = True, deliver_ms
-        if not self.out:
-            self.part()
+        if not self.write_queue:
+            self.finish_close()
         else:
-            self.pause()
-            self.hurry(STUCK_MS if deliver_ms is None else deliver_ms)
+            self.pause_reading()
+            self.set_close_timeout(STUCK_MS if deliver_ms is None else deliver_ms)
 
-    def hurry(self, ms: float) -> None:
+    def set_close_timeout(self, ms: float) -> None:
         """Closed, with something queued: so long, then it is dropped. (A connection that does not
         come up has its own limit.)
         """
         if self.open:
             if self.limit is not None:
                 self.limit.cancel()
-            self.limit = self.loop.after(ms, self.abort)
+            self.limit = self.loop.call_later(ms, self.abort)
 
-    def part(self) -> None:
+    def finish_close(self) -> None:
         """Its owner is told that it has ended; the socket itself lingers until the peer has ended
         too.
         """
@@ -224,7 +229,7 @@
         if self.mask:
             self.loop.selector.unregister(self.sock)
         sock, self.sock, self.mask = self.sock, None, 0
-        self.out.clear()
+        self.write_queue.clear()
         self.loop.open_streams -= 1
         return sock
 
--- a/laddergw/loop/timers.py
+++ b/laddergw/loop/timers.py
@@ -22,14 +22,14 @@
 class Timer:
     """A call to be made at a time; cancel() may be called at any moment, also after it was made."""
 
-    __slots__ = ("call", "order", "owner", "when")
+    __slots__ = ("callback", "order", "owner", "when")
 
-    def __init__(self, when: float, order: int, call: Callable[[], None], owner):
-        self.when, self.order, self.call, self.owner = when, order, call, owner
+    def __init__(self, when: float, order: int, callback: Callable[[], None], owner):
+        self.when, self.order, self.callback, self.owner = when, order, callback, owner
 
     def cancel(self) -> None:
-        if self.call is not None:
-            self.call = None
+        if self.callback is not None:
+            self.callback = None
             self.owner.dropped(self)
 
     def __lt__(self, other: "Timer") -> bool:
@@ -46,22 +46,22 @@
     def __len__(self) -> int:
         return len(self.heap) - self.cancelled
 
-    def add(self, when: float, call: Callable[[], None]) -> Timer:
+    def add(self, when: float, callback: Callable[[], None]) -> Timer:
         self.added += 1
-        timer = Timer(when, self.added, call, self)
+        timer = Timer(when, self.added, callback, self)
         heapq.heappush(self.heap, (when, self.added, timer))
         return timer
 
     def dropped(self, timer: Timer) -> None:
         self.cancelled += 1
         if self.cancelled > REAP_LEAST and self.cancelled > REAP_PART * len(self.heap):
-            self.heap = [entry for entry in self.heap if entry[2].call is not None]
+            self.heap = [entry for entry in self.heap if entry[2].callback is not None]
             heapq.heapify(self.heap)
             self.cancelled = 0
 
     def next(self) -> float:
         """Time of the earliest timer; infinite where there is none."""
-        while self.heap and self.heap[0][2].call is None:
+        while self.heap and self.heap[0][2].callback is None:
             heapq.heappop(self.heap)
             self.cancelled -= 1
         return self.heap[0][0] if self.heap else math.inf
@@ -89,10 +89,10 @@
     def __len__(self) -> int:
         return self.alive
 
-    def add(self, when: float, call: Callable[[], None]) -> Timer:
+    def add(self, when: float, callback: Callable[[], None]) -> Timer:
         self.added += 1
         self.alive += 1
-        timer = Timer(when, self.added, call, self)
+        timer = Timer(when, self.added, callback, self)
         self.place(timer)
         return timer
 
@@ -120,7 +120,7 @@
         """Time of the earliest timer, or a lower bound within its slot; infinite where there is
         none.
         """
-        while self.ready and self.ready[0].call is None:
+        while self.ready and self.ready[0].callback is None:
             heapq.heappop(self.ready)
         if self.ready:
             return self.ready[0].when
@@ -154,7 +154,7 @@
         timers, self.slots[level][slot] = self.slots[level][slot], {}
         self.filled[level] -= len(timers)
         for timer in timers.values():
-            if timer.call is not None:
+            if timer.callback is not None:
                 self.place(timer)
 
     def due(self, now: float, most: int) -> list[Timer]:
@@ -163,7 +163,7 @@
         found = []
         while self.ready and len(found) < most and self.ready[0].when <= now:
             timer = heapq.heappop(self.ready)
-            if timer.call is not None:
+            if timer.callback is not None:
                 self.alive -= 1
                 found.append(timer)
         return found
--- a/laddergw/loop/tls.py
+++ b/laddergw/loop/tls.py
@@ -33,7 +33,7 @@
     return context
 
 
-class Secure:
+class TlsStream:
     """See the module. `owner` is told as by a plain stream: opened once the handshake is done."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self.stream = stream
         self.shake()
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.stream = stream
         self.come.write(data)
         if not self.up:
@@ -61,9 +61,9 @@
         if self.up:
             self.read()
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         if self.up and self.owner is not None:
-            self.owner.emptied(self)
+            self.owner.write_buffer_drained(self)
 
     def closed(self, stream, why: str | None) -> None:
         if not self.over:
@@ -121,7 +121,7 @@
                 return self.fail(reason(error))
             if not data:
                 return None
-            self.owner.got(self, data)
+            self.owner.data_received(self, data)
         return None
 
     def flush(self) -> None:
@@ -151,13 +151,13 @@
     return ""
 
 
-def accepting(accept: Callable, context: ssl.SSLContext | None) -> Callable:
+def wrap_accept(accept: Callable, context: ssl.SSLContext | None) -> Callable:
     """A listener's callback: `accept(stream)` gives the owner, over TLS with a context."""
     if context is None:
         return accept
 
     def secured(stream):
-        layer = Secure(None, context, True)
+        layer = TlsStream(None, context, True)
         layer.stream = stream
         layer.owner = accept(layer)
         return layer
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/edge_side.py
@@ -9,7 +9,7 @@
 from laddergw.director import frames
 from laddergw.director.tries import Try
 from laddergw.http.server import Exchange
-from laddergw.loop.tls import Secure
+from laddergw.loop.tls import TlsStream
 from laddergw.planner import plan as plans, wire
 from laddergw.planner.audit_side import AuditSide
 from laddergw.planner.digests import HOT_TOLD, Digest
@@ -47,7 +47,7 @@
             director.budgets.fleet, self.watched, director.watch = self.holding, director.watch, self.watch
             if director.tap is not None:
                 self.holding.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
-        self.loop.after(DIGEST_MS, self.tell)
+        self.loop.call_later(DIGEST_MS, self.tell)
 
     @property
     def keys(self) -> Keys:
@@ -90,7 +90,7 @@
     def tell(self) -> None:
         if self.loop.running:
             self.say()
-            self.loop.after(DIGEST_MS, self.tell)
+            self.loop.call_later(DIGEST_MS, self.tell)
 
     def say(self) -> None:
         """One digest to all planners."""
@@ -151,7 +151,7 @@
         hello = wire.Hello(wire.VERSION, side.director.name, wire.EDGE, side.obeyed.seen[0])
         self.base, self.audit = None, Told()
         self.peer = Peer(side.loop, hello, self.told, lambda peer: None, self.down)
-        owner = self.peer if side.tls is None else Secure(self.peer, side.tls(), False, self.address[0])
+        owner = self.peer if side.tls is None else TlsStream(self.peer, side.tls(), False, self.address[0])
         side.loop.dial(self.address, owner, DIAL_MS)
 
     def tell(self, digest: Digest, budgets: tuple = ()) -> None:
@@ -186,4 +186,4 @@
             self.side.audit.alone()
         if self.side.loop.running:
             self.side.director.watch("planner line down", why=why)
-            self.side.loop.after(REDIAL_MS, self.dial)
+            self.side.loop.call_later(REDIAL_MS, self.dial)
--- a/laddergw/planner/leader.py
+++ b/laddergw/planner/leader.py
@@ -1,5 +1,5 @@
 """A planner's line to another one, whose plans it hears as an edge does."""
-from laddergw.loop.tls import Secure
+from laddergw.loop.tls import TlsStream
 from laddergw.planner import wire
 from laddergw.planner.peer import Peer
 
@@ -17,7 +17,7 @@
         planner = self.planner
         hello = wire.Hello(wire.VERSION, planner.name, wire.STANDBY, planner.standing.epoch)
         self.peer = Peer(planner.loop, hello, self.told, lambda peer: None, self.down)
-        owner = self.peer if planner.client_tls is None else Secure(self.peer, planner.client_tls(), False, self.address[0])
+        owner = self.peer if planner.client_tls is None else TlsStream(self.peer, planner.client_tls(), False, self.address[0])
         planner.loop.dial(self.address, owner, REDIAL_MS)
 
     def told(self, peer: Peer, frame: wire.Frame) -> None:
@@ -27,4 +27,4 @@
 
     def down(self, peer: Peer, why: str) -> None:
         if self.planner.loop.running:
-            self.planner.loop.after(REDIAL_MS, self.dial)
+            self.planner.loop.call_later(REDIAL_MS, self.dial)
--- a/laddergw/planner/peer.py
+++ b/laddergw/planner/peer.py
@@ -24,7 +24,7 @@
         self.stream, self.heard_at = stream, self.loop.now
         self.send(self.hello)
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.heard_at = self.loop.now
         try:
             for frame in self.frames.feed(data):
@@ -34,7 +34,7 @@
         except wire.Malformed as error:
             self.end(str(error))
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
     def closed(self, stream, why: str | None) -> None:
@@ -81,7 +81,7 @@
             return self.end("silent")
         if self.loop.now - self.said_at >= wire.BEAT_MS:
             self.send(wire.Beat(self.loop.now))
-        self.loop.after(wire.BEAT_MS / 2, self.watch)
+        self.loop.call_later(wire.BEAT_MS / 2, self.watch)
 
     def end(self, why: str) -> None:
         if not self.over:
--- a/laddergw/planner/program.py
+++ b/laddergw/planner/program.py
@@ -14,7 +14,7 @@
 from laddergw.terms.house import signing_keys, take_planners, take_tls
 from laddergw.director.watching import logger
 from laddergw.fleet.issuing import Budget
-from laddergw.loop import held
+from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
 from laddergw.loop.tls import client_context, server_context
 from laddergw.planner.plan import Keys
@@ -100,7 +100,7 @@
     sys.stdout.write(f"ready {planner.address[0]} {planner.address[1]}\n")
     sys.stdout.flush()
     loop.run()
-    held.hold()              # what comes to a process that ends must not end it otherwise
+    signal_mask.block_signals()              # what comes to a process that ends must not end it otherwise
     log.info("planner ends")
     loop.close()
     return EXIT_GOOD
--- a/laddergw/planner/server.py
+++ b/laddergw/planner/server.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from laddergw.loop.tls import accepting, common_name
+from laddergw.loop.tls import common_name, wrap_accept
 from laddergw.planner import plan as plans, wire
 from laddergw.planner.auditing import Auditing
 from laddergw.planner.digests import Digest, View
@@ -60,7 +60,7 @@
         self.bases: dict[str, Digest] = {}
         self.lie: Callable[[Plan], Plan] | None = None       # for rehearsals: a planner gone wrong
         self.work = Scheduler(clock, failed=lambda job, error: watch("work failed", job=job, error=str(error)), long=lambda job, ms: watch("long step", job=job, ms=ms))
-        self.listener = loop.listen(address, accepting(self.accept, tls))
+        self.listener = loop.listen(address, wrap_accept(self.accept, tls))
         self.address = self.listener.address
         self.links = [Leader(self, other) for other in others]
         for ms, call in (PLAN_MS, self.plan_due), (KEEP_MS, self.keep_due), (AGE_MS, self.age_due), (TURN_MS, self.turn), (LOOK_MS, lambda: self.auditing.rollouts.look(self.peers)):
@@ -70,8 +70,8 @@
         def again() -> None:
             if self.loop.running:
                 call()
-                self.loop.after(ms, again)
-        self.loop.after(ms, again)
+                self.loop.call_later(ms, again)
+        self.loop.call_later(ms, again)
 
     def turn(self) -> None:
         if self.work.waiting:
--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -3,9 +3,9 @@
 if (
     __name__ == "__main__"
 ):  # before all else: until the loop takes them, signals end a process by default
-    from laddergw.loop import held
+    from laddergw.loop import signal_mask
 
-    held.hold()
+    signal_mask.block_signals()
 
 import gc
 import logging
@@ -15,7 +15,7 @@
 import sys
 import time
 
-from laddergw.loop import held
+from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
 from laddergw.platform import assignment as assignments
 from laddergw.platform.director import Director
@@ -79,7 +79,7 @@
         time.process_time() * 1000,
     )
     loop.run()
-    held.hold()  # what comes to a process that ends must not end it otherwise
+    signal_mask.block_signals()  # what comes to a process that ends must not end it otherwise
     log.info("director %s ends", found.name)
     loop.close()
     return EXIT_FAILED if director.broken else EXIT_GOOD
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -95,7 +95,7 @@
         play.limit = self.director.loop.now + max(
             0.0, request.ask.wait_ms - viewer.stalled - EARLY_MS
         )
-        play.guard = self.director.loop.at(play.limit + GUARD_MS, lambda: self.overdue(play))
+        play.guard = self.director.loop.call_at(play.limit + GUARD_MS, lambda: self.overdue(play))
         return self.fresh.append(play)
 
     def take_in(self) -> None:
@@ -106,7 +106,7 @@
         for play in fresh:
             if self.director.open.get(play.session) is not play:
                 continue
-            if play.viewer.stream.more:
+            if play.viewer.stream.may_have_more:
                 self.fresh.append(play)
             elif play.untold is not None:
                 self.director.allocating.ending.tell(play)
@@ -163,7 +163,7 @@
         elif (
             session not in self.director.open
         ):  # its hand-over may be on its way on another connection
-            self.director.loop.after(CROSS_MS, lambda: self.overtaken(viewer, session))
+            self.director.loop.call_later(CROSS_MS, lambda: self.overtaken(viewer, session))
         return viewer.write(binary.HEARD, session)
 
     def overtaken(self, viewer: Viewer, session: str) -> None:
--- a/laddergw/platform/allocating.py
+++ b/laddergw/platform/allocating.py
@@ -79,7 +79,7 @@
             play.connection,
             verdict.timeout_ms,
         )
-        play.timer = self.director.loop.after(verdict.timeout_ms, lambda: self.late(play))
+        play.timer = self.director.loop.call_later(verdict.timeout_ms, lambda: self.late(play))
 
     def say(self, node: Node, data: bytes, ends: str = "") -> None:
         """To a node about a play that stands, or that this `ends`, on any connection."""
@@ -199,5 +199,5 @@
             connection.end(allocation.CUT) if away else connection.close(ARRIVE_MS)
             connection.node.renew()
         elif state == allocation.OUT:  # others share it
-            self.director.loop.after(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
+            self.director.loop.call_later(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
         self.ending.ended(play, state, fact, report)
--- a/laddergw/platform/answers.py
+++ b/laddergw/platform/answers.py
@@ -43,9 +43,9 @@
         play.answer = message
         cut = description.may_be_cut(message.body, play.request.description)
         if cut and not connection.reader.another_begun():
-            self.director.loop.after(REST_MS, take_later)
+            self.director.loop.call_later(REST_MS, take_later)
         else:
-            self.director.loop.soon(take_later)
+            self.director.loop.call_soon(take_later)
         return None
 
     def take(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
--- a/laddergw/platform/connection.py
+++ b/laddergw/platform/connection.py
@@ -3,7 +3,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from laddergw.loop.base import SHORT
+from laddergw.loop.base import NO_DESCRIPTOR
 from laddergw.platform import allocation
 from laddergw.signalling import rtsp
 
@@ -36,7 +36,7 @@
     def __str__(self) -> str:
         stream = self.stream
         state = "up" if self.up else "coming up"
-        sent = f"{stream.taken} of {stream.asked} bytes gone"
+        sent = f"{stream.bytes_sent} of {stream.bytes_written} bytes gone"
         return f"connection {id(self):x} ({state}, {sent}, {len(self.plays)} set-ups)"
 
     def opened(self, stream) -> None:
@@ -49,7 +49,7 @@
         for word in words:
             self.say(*word)
         if words:
-            self.emptied(stream)
+            self.write_buffer_drained(stream)
 
     def say(self, data: bytes, ends: str, until: float) -> None:
         """`ends`: the session that it releases, or nothing."""
@@ -67,7 +67,7 @@
         if self.node.words and not self.node.connections:
             self.node.fleet.waiting[self.node] = None
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         if not (stream.queued or self.plays):
             self.node.fleet.give_way(self)
 
@@ -75,7 +75,7 @@
         self.node.silent, self.node.heard = 0, self.loop.now
         self.used = self.loop.now
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.speaks()
         self.reader.feed(data)
         try:
@@ -88,12 +88,12 @@
             self.node.renew()
 
     def state(self, session: str) -> str:
-        return allocation.OUT if self.stream.taken >= self.ends[session] else allocation.UNSENT
+        return allocation.OUT if self.stream.bytes_sent >= self.ends[session] else allocation.UNSENT
 
     def set_up(self, play, data: bytes) -> None:
         self.plays[play.session], self.set_ups[play.session], self.used = play, data, self.loop.now
         self.stream.write(data)
-        self.ends[play.session] = self.stream.asked
+        self.ends[play.session] = self.stream.bytes_written
 
     def settle(self, session: str) -> str:
         """Its set-up is open no more; says whether all of it had left."""
@@ -108,7 +108,7 @@
         """
         data, end = self.set_ups[session], self.ends[session]
         state = self.settle(session)
-        if state == allocation.UNSENT and self.stream.take_back(data):
+        if state == allocation.UNSENT and self.stream.withdraw_write(data):
             self.ends = {other: at - len(data) * (at > end) for other, at in self.ends.items()}
         elif state == allocation.UNSENT:  # a part of it has left: what is open beside it ends too
             self.end(allocation.CUT)
@@ -117,7 +117,7 @@
 
     def arrived(self, end: int) -> bool:
         """Whether its node's system has told to have all up to there."""
-        return self.stream.taken - self.stream.unacknowledged() >= end
+        return self.stream.bytes_sent - self.stream.unacknowledged() >= end
 
     def cut_unless_arrived(self, end: int) -> None:
         """A set-up that was given up and has not arrived must not begin later; what shares its
@@ -161,6 +161,6 @@
             log.debug("node %s: %s: %s", self.node.id, self, why or "closed by its node")
             self.node.fleet.answers.connection_ended(self)
             self.end(
-                allocation.TAKEN_BACK if why == SHORT else allocation.CUT
+                allocation.TAKEN_BACK if why == NO_DESCRIPTOR else allocation.CUT
             )  # without a descriptor its node has heard nothing, and has no part in it
             self.node.connection_ended(self, why)
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -73,25 +73,25 @@
             loop, self.admission, assignment.listen, int(VIEWERS_PART * assignment.sockets)
         )
         self.follower = Follower(loop, assignment.changelog, assignment.last, self.listing.listed)
-        loop.at_turn_end(self.turn_ends)
-        loop.after(TELL_MS, self.tell_counts)
+        loop.on_turn_end(self.turn_ends)
+        loop.call_later(TELL_MS, self.tell_counts)
         self.feed(self.controller.wake, loop.now)
 
     def count(self, what: str) -> None:
         self.counts[what] += 1
 
     def tell_counts(self) -> None:
-        self.loop.after(TELL_MS, self.tell_counts)
+        self.loop.call_later(TELL_MS, self.tell_counts)
         log.info(
             "open %d, standing %d, viewers %d, connections to nodes %d, lag %.0f ms; %s",
             len(self.open),
             len(self.standing),
             len(self.listener.viewers),
             self.nodes.connections(),
-            self.loop.worst_lag,
+            self.loop.max_lag_ms,
             ", ".join(f"{name} {n}" for name, n in sorted(self.counts.items())),
         )
-        self.loop.worst_lag = 0.0
+        self.loop.max_lag_ms = 0.0
 
     # The configuration, the list, and the process's end
 
@@ -137,7 +137,7 @@
         """
         if self.stopping is not None:
             return
-        waited = self.loop.stalled
+        waited = self.loop.stall_ms
         self.stopping = ordered = self.loop.now - waited
         log.info(
             "stopping, ordered up to %.0f ms ago: open %d, standing %d",
@@ -147,8 +147,8 @@
         )
         limits = [play.limit - ordered for play in self.open.values()]  # on older terms too
         longest = max([self.assignment.longest_ms, *limits])
-        self.loop.after(STOP_LEAST_MS - waited, lambda: None)
-        self.loop.after(min(longest, STOP_LIMIT_MS) + STOP_AFTER_MS - waited, self.end_all)
+        self.loop.call_later(STOP_LEAST_MS - waited, lambda: None)
+        self.loop.call_later(min(longest, STOP_LIMIT_MS) + STOP_AFTER_MS - waited, self.end_all)
 
     def end_all(self) -> None:
         if self.leaving:
@@ -172,7 +172,7 @@
         """
         self.leaving = True
         if (self.listener.releases or self.nodes.unsent()) and self.loop.now < latest:
-            self.loop.after(HEAR_LOOK_MS, lambda: self.leave(latest))
+            self.loop.call_later(HEAR_LOOK_MS, lambda: self.leave(latest))
         else:
             self.follower.stop()
             more = True
@@ -186,7 +186,7 @@
     def part(self, latest: float) -> None:
         """Its connections are closed; the process goes when its peers have read to their ends."""
         if (self.loop.open_streams or self.loop.lingering) and self.loop.now < latest:
-            self.loop.after(HEAR_LOOK_MS, lambda: self.part(latest))
+            self.loop.call_later(HEAR_LOOK_MS, lambda: self.part(latest))
         else:
             self.loop.stop()
 
--- a/laddergw/platform/ending.py
+++ b/laddergw/platform/ending.py
@@ -66,7 +66,7 @@
         self.director.admission.fresh.append(
             play
         )  # it may be tried again, once its connection has been read to its end
-        self.director.loop.after(
+        self.director.loop.call_later(
             0, lambda: None
         )  # at this turn's end, or of the next, which waits for nothing
         return None
--- a/laddergw/platform/following.py
+++ b/laddergw/platform/following.py
@@ -44,7 +44,7 @@
     def listen_out(self, wait_ms: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.after(wait_ms, lambda: self.again("silent"))
+        self.timer = self.loop.call_later(wait_ms, lambda: self.again("silent"))
 
     def switch(self, address: tuple[str, int] | None) -> None:
         """Goes over to another address; the numbers go on."""
@@ -64,16 +64,16 @@
             stream.abort()
         log.info("change log: %s; again from %d in %.0f ms", why, self.last, self.pause)
         if self.address is not None:
-            self.timer = self.loop.after(self.pause, self.dial)
+            self.timer = self.loop.call_later(self.pause, self.dial)
             self.pause = min(2 * self.pause, AGAIN_MS[1])
 
     def opened(self, stream) -> None:
         stream.write(changes.since(self.last))
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         if stream is not self.stream:
             return
         self.part += len(data)
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -9,7 +9,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from laddergw.loop.base import REFUSED, SHORT
+from laddergw.loop.base import CONNECTION_REFUSED, NO_DESCRIPTOR
 from laddergw.platform import allocation
 from laddergw.platform.connection import Connection
 from laddergw.signalling import rtsp
@@ -124,12 +124,12 @@
 
     def connection_ended(self, connection: Connection, why: str | None) -> None:
         """What the end of a connection proves of the plays that stand."""
-        if why == SHORT:  # the next look dials again, when there may be room
+        if why == NO_DESCRIPTOR:  # the next look dials again, when there may be room
             return
         self.fleet.let_speak(1)
         if not connection.up:
-            self.silent += why != REFUSED
-            if why == REFUSED or (self.silent >= SILENCES and not self.connections):
+            self.silent += why != CONNECTION_REFUSED
+            if why == CONNECTION_REFUSED or (self.silent >= SILENCES and not self.connections):
                 return self.lose(why)
         if self.held and not self.connections:
             self.dial() if not self.gone else self.lose("gone from the list")
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -35,7 +35,7 @@
             allocating.answers.answered,
         )
         self.answers = allocating.answers
-        loop.after(LOOK_MS, self.look)
+        loop.call_later(LOOK_MS, self.look)
 
     def connections(self) -> int:
         return sum(len(node.connections) for node in self.by_number.values())
@@ -162,7 +162,7 @@
                 del self.by_id[node.id]
 
     def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
+        self.loop.call_later(LOOK_MS, self.look)
         self.let_speak(len(self.waiting))
         for node in sorted(
             (n for n in self.by_number.values() if n.held), key=lambda n: n.heard
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -38,7 +38,7 @@
         self.half = None  # since when a message has begun and not ended
         self.closing = False
         self.stalled = (
-            listener.loop.stalled
+            listener.loop.stall_ms
         )  # ms for which it may have waited to be accepted, and what it said first with it
         self.name = listener.next_name()
 
@@ -50,13 +50,13 @@
         log.debug("%s: opened by %s", self, stream.peer)
         self.listener.come(self)
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.reader.feed(data)
         self.half = self.listener.loop.now if self.half is None else self.half
-        self.stalled = max(self.stalled, self.listener.loop.stalled)
+        self.stalled = max(self.stalled, self.listener.loop.stall_ms)
         try:
             while self.stream is not None and (message := self.reader.next()) is not None:
                 self.half = self.used = self.listener.loop.now
@@ -133,7 +133,7 @@
         self.releases = Releases(loop, self.viewers, admission.count)
         self.names = 0
         self.accepting = loop.listen(address, lambda stream: Viewer(self))
-        loop.after(LOOK_MS, self.look)
+        loop.call_later(LOOK_MS, self.look)
 
     def next_name(self) -> str:
         """Of a viewers' connection, for the log."""
@@ -180,7 +180,7 @@
             for _ in range(READS_LAST):
                 if viewer.stream is not None:
                     viewer.stream.read_now()
-                if viewer.stream is None or not viewer.stream.more:
+                if viewer.stream is None or not viewer.stream.may_have_more:
                     break
         more = starved and any(v.stream is not None and not v.stream.queued for v in self.viewers)
         if not more:
@@ -197,7 +197,7 @@
         self.releases.connection_ended(viewer)
 
     def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
+        self.loop.call_later(LOOK_MS, self.look)
         now = self.loop.now
         for viewer in list(self.viewers):
             if viewer.outstays(now):
--- a/tests/platform_town.py
+++ b/tests/platform_town.py
@@ -2,7 +2,7 @@
 import json
 
 from laddergw.lab.soak.messages import SETTINGS, answer, configuration, event, member, release, set_up
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.platform import assignment as assignments
 from laddergw.platform.director import Director
 from laddergw.signalling import binary, rtsp
@@ -20,10 +20,10 @@
     def opened(self, stream):
         self.stream = stream
 
-    def emptied(self, stream):
+    def write_buffer_drained(self, stream):
         pass
 
-    def got(self, stream, data):
+    def data_received(self, stream, data):
         self.reader.feed(data)
         while (m := self.reader.next()) is not None:
             if not isinstance(m, binary.Message):
@@ -46,7 +46,7 @@
     """One director among stand-ins, all in memory. Nodes answer set-ups as `answers` tells, 200 by default."""
 
     def __init__(self, nodes=("a", "b"), **changes):
-        self.world, self.lines, self.answers, self.sides = Memory(3), [], {}, {}
+        self.world, self.lines, self.answers, self.sides = MemoryNetwork(3), [], {}, {}
         self.hosts = {name: self.world.host(name) for name in ("director", "viewers", "log", *nodes)}
         self.start, self.log_side = self.world.now, None
         for name in nodes:
@@ -99,10 +99,10 @@
     def opened(self, stream):
         self.stream = stream
 
-    def emptied(self, stream):
+    def write_buffer_drained(self, stream):
         pass
 
-    def got(self, stream, data):
+    def data_received(self, stream, data):
         self.town.say(f"log gets {data.decode().strip()}")
 
     def tell(self, *events):
@@ -133,7 +133,7 @@
         if self.host in self.said and self.open:
             self.stream.write(self.data)
         elif self.open:
-            self.town.hosts[self.host].after(50, self.tell)
+            self.town.hosts[self.host].call_later(50, self.tell)
 
 
 class Silent(list):
--- a/tests/sockets_town.py
+++ b/tests/sockets_town.py
@@ -126,7 +126,7 @@
 
     def turn(self):
         """One that waits for nothing: all that peers have done is there."""
-        self.loop.soon(lambda: None)
+        self.loop.call_soon(lambda: None)
         self.loop.turn()
 
     def turns(self, number=12):
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -30,16 +30,16 @@
     def look(self) -> None:
         spent = Counter(source for source in self.sources for _ in range(self.spends(source)))
         if len(spent) < 2 or spent.total() < SPENT:
-            self.loop.after(100, self.look)
+            self.loop.call_later(100, self.look)
             return
         self.planners[0].send_signal(signal.SIGSTOP)
         for number in range(PLANNERS):
             self.lines.by_ends["d0", f"p{number}"].fault("cut")
-            self.loop.after(STOP_MS + AWAY_MS, lambda number=number: self.lines.by_ends["d0", f"p{number}"].fault("heal"))
-        self.loop.after(STOP_MS, lambda: self.planners[0].send_signal(signal.SIGCONT))
-        self.loop.after(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
-        self.loop.after(KILL_MS + AWAY_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
-        self.loop.after(STOP_MS + LATER_MS, lambda: self.viewers.tell(do="enough"))
+            self.loop.call_later(STOP_MS + AWAY_MS, lambda number=number: self.lines.by_ends["d0", f"p{number}"].fault("heal"))
+        self.loop.call_later(STOP_MS, lambda: self.planners[0].send_signal(signal.SIGCONT))
+        self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
+        self.loop.call_later(KILL_MS + AWAY_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
+        self.loop.call_later(STOP_MS + LATER_MS, lambda: self.viewers.tell(do="enough"))
 
     def spends(self, source: str) -> int:
         path = pathlib.Path(self.file(f"{source}.jsonl"))
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -44,10 +44,10 @@
         self.start_twin()
         self.wait(lambda: TWIN in self.addresses, COMMAND_MS, "the second process starts")
         super().let_them_come()
-        self.loop.after(FULL_MS, lambda: self.disk(os.path.getsize(self.file("planner.store"))))
-        self.loop.after(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
-        self.loop.after(BACK_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
-        self.loop.after(FREE_MS, lambda: self.disk(resource.RLIM_INFINITY))
+        self.loop.call_later(FULL_MS, lambda: self.disk(os.path.getsize(self.file("planner.store"))))
+        self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
+        self.loop.call_later(BACK_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
+        self.loop.call_later(FREE_MS, lambda: self.disk(resource.RLIM_INFINITY))
 
     def start_twin(self) -> None:
         real, self.starts[TWIN] = self.house_text, 0
@@ -106,7 +106,7 @@
                     pathlib.Path(path).write_text(before)
                 self.start_director(number)
             if not self.looked:
-                self.loop.after(20, look)
+                self.loop.call_later(20, look)
         self.looked = False
         look()
         self.ask_for(7)
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -18,7 +18,7 @@
 from laddergw.lab import fleet_stage
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import auditing, wire
 from laddergw.planner.digests import Digest
 from laddergw.planner.edge_side import EdgeSide
@@ -36,7 +36,7 @@
 class AtThePlanner(unittest.TestCase):
     def test_a_part_on_a_digest_without_its_base(self):
         """Rehearsed: an older connection's end took the base away under the next one; the digest was asked for again, its part of the audit was lost."""
-        world, back, stamps = Memory(3), [], Stamps()
+        world, back, stamps = MemoryNetwork(3), [], Stamps()
         planner = Planner(world.host("p0"), "p0.1", ("p0", 8300), None, (("lab", b"key of the planners"),), clock=lambda: world.now)
         stamps.on(STANDS[0], world.now)
         stamps.did("v", "safe", "", LET_IN, world.now)
@@ -56,7 +56,7 @@
         keepers, stamps = [], Stamps()
 
         def keeper():
-            made = auditing.Auditing(Memory(1).host("p"), self.guarded)
+            made = auditing.Auditing(MemoryNetwork(1).host("p"), self.guarded)
             made.opened(Store(path))
             self.addCleanup(made.ledger.store.db.close)
             keepers.append(made)
@@ -106,7 +106,7 @@
         self.assertEqual(set(stands[::2]), {stands[0]})
 
     def keeper(self, path, **bounds):
-        made = auditing.Auditing(Memory(1).host("p"), self.guarded)
+        made = auditing.Auditing(MemoryNetwork(1).host("p"), self.guarded)
         made.opened(Store(path, **bounds))
         self.addCleanup(made.ledger.store.db.close)
         return made
@@ -169,7 +169,7 @@
             return False
 
     def test_a_part_that_makes_no_sense_ends_its_connection_alone(self):
-        world, ends = Memory(3), []
+        world, ends = MemoryNetwork(3), []
         planner = Planner(world.host("p0"), "p0.1", ("p0", 8300), None, (("lab", b"key of the planners"),), clock=lambda: world.now)
         peers = [Peer(world.host(f"d{n}"), wire.Hello(wire.VERSION, f"d{n}-1", wire.EDGE, 0), lambda peer, frame: None, lambda peer: None, lambda peer, why: ends.append(peer)) for n in (0, 1)]
         for n, peer in enumerate(peers):
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -73,7 +73,7 @@
         """The second director goes over to a file of its own; how its hash begins."""
         director, host = self.town.directors[1], self.town.world.hosts["d1"]
         loaded = load(b"(limits (defaults (attempts 2)))", "own", director.house)
-        host.tell(self.town.world.now, lambda: director.change_limits(loaded.limits))
+        host.deliver_at(self.town.world.now, lambda: director.change_limits(loaded.limits))
         self.town.run(1_500)
         return self.sides[1].audit.held[versions.LIMITS].hash[:8]
 
@@ -141,7 +141,7 @@
         self.strike(1, "heal")
         self.town.run(3_000)
         self.assertEqual(self.question("floors")["floors"][0]["may_still"], [old])
-        self.town.world.hosts["d1"].tell(self.town.world.now, self.town.directors[1].stop)
+        self.town.world.hosts["d1"].deliver_at(self.town.world.now, self.town.directors[1].stop)
         self.town.run(LEASE_MS)                                          # it told that it stops
         self.assertTrue(self.question("floors")["floors"][0]["nobody_acts_on_it"])
 
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -152,7 +152,7 @@
         def fragile(number):
             def bring(data, sure, done):
                 crashed.append(number)
-                self.town.loop_at = self.town.world.put(self.town.world.now + 1, lambda: (self.restart(number), fragile(number)))
+                self.town.loop_at = self.town.world.schedule(self.town.world.now + 1, lambda: (self.restart(number), fragile(number)))
             self.sides[number].audit.bring = bring
         first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.town.directors[0].house).limits)).hash, "", 1),
                                    self.planner.auditing.book.seats("limits", 1, self.town.world.now))[0].director[1:])
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,7 @@
 from laddergw.http.client import Pool
 from laddergw.http.limits import PeerLimits, PoolLimits
 from laddergw.http.server import Server
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from tests.test_loop import Peer
 
 REQUEST = b'POST /x HTTP/1.1\r\nHost: b\r\nContent-Length: 5\r\n\r\nhello'
@@ -13,7 +13,7 @@
 
 class Place(unittest.TestCase):
     def setUp(self):
-        self.world = Memory(seed=5)
+        self.world = MemoryNetwork(seed=5)
         self.a, self.b = self.world.host("a"), self.world.host("b")
         self.seen = []
         self.server = Server(self.b, ("b", 80), self.serve, LIMITS)
@@ -116,7 +116,7 @@
         stream = self.a.dial(("b", 80), peer, 100)
         stream.write(REQUEST)
         self.run_ms(5)
-        stream.pause()
+        stream.pause_reading()
         for _ in range(100):
             held[0].push(b"x" * 10_000)
             self.run_ms(1)
@@ -179,7 +179,7 @@
 
     def test_an_answer_cut_short_is_no_answer(self):
         class Cutting(Peer):
-            def got(self, stream, data):
+            def data_received(self, stream, data):
                 stream.write(b"HTTP/1.1 201 Created\r\nContent-Length: 50\r\n\r\nhalf")
                 stream.close()
         self.b.listen(("b", 90), lambda stream: Cutting())
@@ -190,7 +190,7 @@
     def test_nonsense_and_endless_answers_end_the_call(self):
         for answer in b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nX: " + b"y" * 50_000 + b"\r\n\r\n":
             class Bad(Peer):
-                def got(self, stream, data, answer=answer):
+                def data_received(self, stream, data, answer=answer):
                     stream.write(answer)
             port = 91 + len(answer) % 7
             self.b.listen(("b", port), lambda stream: Bad())
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -3,7 +3,7 @@
 
 from laddergw.lab import line_script, shrink
 from laddergw.lab.lines import HELD_MOST, Line, Lines
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.sexpr import Refused
 from tests.test_loop import Peer
@@ -13,7 +13,7 @@
     """A client, a line and an echo, on one loop or on three hosts in memory."""
 
     def __init__(self, case, in_memory):
-        self.held, self.told, self.memory = [], [], Memory(4) if in_memory else None
+        self.held, self.told, self.memory = [], [], MemoryNetwork(4) if in_memory else None
         if in_memory:
             self.client, self.relay, self.server = (self.memory.host(name) for name in ("client", "relay", "server"))
             where = [(name, 0) for name in ("relay", "server")]
@@ -161,7 +161,7 @@
         self.both(act)
 
     def test_groups(self):
-        world, told = Memory(5), []
+        world, told = MemoryNetwork(5), []
         lines = Lines(world.host("relay"), lambda what, now, **facts: told.append(facts["line"]))
         for number, (source, target) in enumerate((("d0", "p0"), ("d0", "p1"), ("d1", "p0"), ("p1", "p0"))):
             lines.line(source, target, ("relay", 100 + number), lambda: ("x", 1))
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -8,8 +8,8 @@
 
 from hypothesis import given, settings, strategies as st
 
-from laddergw.loop.base import SHORT
-from laddergw.loop.memory import Memory
+from laddergw.loop.base import NO_DESCRIPTOR
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.loop.memory_streams import WINDOW
 from laddergw.loop.sockets import SocketLoop
 from laddergw.loop.timers import HeapTimers, WheelTimers
@@ -24,14 +24,14 @@
     def opened(self, stream):
         self.opens, self.stream = self.opens + 1, stream
 
-    def got(self, stream, data):
+    def data_received(self, stream, data):
         self.data += data
         if self.echo:
             stream.write(data)
         if self.close_at is not None and len(self.data) >= self.close_at:
             stream.close()
 
-    def emptied(self, stream):
+    def write_buffer_drained(self, stream):
         pass
 
     def closed(self, stream, why):
@@ -56,7 +56,7 @@
                 self.assertTrue(timers.next() > now - step or len(timers) == 0 or timers.next() <= now)
                 for timer in timers.due(now, 10_000):
                     self.assertLessEqual(timer.when, now)
-                    called.append(timer.call)
+                    called.append(timer.callback)
             self.assertEqual(len(timers), 0)
             seen.append(called)
         self.assertEqual(seen[0], seen[1])
@@ -66,14 +66,14 @@
         for timers in HeapTimers(), WheelTimers():
             for index in range(10):
                 timers.add(5.0, index)
-            self.assertEqual([t.call for t in timers.due(9.0, 4)], [0, 1, 2, 3])
+            self.assertEqual([t.callback for t in timers.due(9.0, 4)], [0, 1, 2, 3])
             self.assertLessEqual(timers.next(), 9.0)
-            self.assertEqual([t.call for t in timers.due(9.0, 99)], [4, 5, 6, 7, 8, 9])
+            self.assertEqual([t.callback for t in timers.due(9.0, 99)], [4, 5, 6, 7, 8, 9])
 
 
 class InMemory(unittest.TestCase):
     def setUp(self):
-        self.world = Memory(seed=3)
+        self.world = MemoryNetwork(seed=3)
         self.a, self.b = self.world.host("a"), self.world.host("b")
         self.accepted = []
         self.listener = self.b.listen(("b", 0), self.accept)
@@ -95,12 +95,12 @@
         peer = Peer()
         stream = self.a.dial(self.listener.address, peer, 100)
         self.world.run(self.world.now + 10)
-        self.accepted[0].stream.pause()
+        self.accepted[0].stream.pause_reading()
         stream.write(b"x" * (3 * WINDOW))
         self.world.run(self.world.now + 1_000)
-        self.assertLessEqual(stream.taken, WINDOW)
-        self.assertEqual(stream.queued, 3 * WINDOW - stream.taken)
-        self.accepted[0].stream.resume()
+        self.assertLessEqual(stream.bytes_sent, WINDOW)
+        self.assertEqual(stream.queued, 3 * WINDOW - stream.bytes_sent)
+        self.accepted[0].stream.resume_reading()
         self.world.run(self.world.now + 1_000)
         self.assertEqual(len(peer.data), 3 * WINDOW)
 
@@ -124,9 +124,9 @@
         peer, order = Peer(), []
         self.a.dial(self.listener.address, peer, 100)
         self.world.run(self.world.now + 10)
-        self.accepted[0].got = lambda stream, data: order.append(data)
-        self.b.after(50, lambda: order.append("timer"))
-        self.b.at_turn_end(lambda: order.append("turn ends"))
+        self.accepted[0].data_received = lambda stream, data: order.append(data)
+        self.b.call_later(50, lambda: order.append("timer"))
+        self.b.on_turn_end(lambda: order.append("turn ends"))
         start = self.world.now
         self.b.freeze(2_000)
         for at in (100, 700, 1_900):
@@ -134,12 +134,12 @@
             peer.stream.write(b"%d" % at)
         self.world.run(start + 2_000.5)
         self.assertEqual(order, [b"100", b"700", b"1900", "timer", "turn ends"])
-        self.assertAlmostEqual(self.b.stalled, 2_000, delta=1)
+        self.assertAlmostEqual(self.b.stall_ms, 2_000, delta=1)
 
     def test_an_error_in_a_call_does_not_end_the_loop(self):
         seen = []
-        self.a.after(1, lambda: 1 / 0)
-        self.a.after(2, lambda: seen.append(1))
+        self.a.call_later(1, lambda: 1 / 0)
+        self.a.call_later(2, lambda: seen.append(1))
         with self.assertLogs("laddergw.loop", "ERROR"):
             self.world.run(self.world.now + 10)
         self.assertEqual(seen, [1])
@@ -175,7 +175,7 @@
 
     def test_what_is_closed_while_it_comes_up_is_written_out_unless_taken_back(self):
         """The loop in memory once dropped it, and so hid that real streams wrote out what had been given up."""
-        world, held = Memory(seed=3), []
+        world, held = MemoryNetwork(seed=3), []
         here, there = world.host("here"), world.host("there")
         for loop, run in (self.loop, lambda done: self.until(done)), (here, lambda done: world.run(world.now + 50)):
             with self.subTest(type(loop).__name__):
@@ -184,7 +184,7 @@
                 stream = loop.dial(listener.address, peer := Peer(), 1_000)
                 for data in b"first", b"second", b"third":
                     stream.write(data)
-                self.assertEqual((stream.take_back(b"second"), stream.take_back(b"none"), stream.queued, stream.asked), (True, False, 10, 10))
+                self.assertEqual((stream.withdraw_write(b"second"), stream.withdraw_write(b"none"), stream.queued, stream.bytes_written), (True, False, 10, 10))
                 stream.close()
                 run(lambda: held and held[0].ends and peer.ends)
                 self.assertEqual((bytes(held[0].data), held[0].ends, peer.ends), (b"firstthird", [None], [None]))
@@ -200,9 +200,9 @@
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         stream.write(b"some")
-        self.assertEqual((peer.ends, stream.taken, stream.asked), ([], 0, 4))
+        self.assertEqual((peer.ends, stream.bytes_sent, stream.bytes_written), ([], 0, 4))
         self.until(lambda: peer.ends)
-        self.assertEqual((peer.ends, self.loop.open_streams), ([SHORT], 0))
+        self.assertEqual((peer.ends, self.loop.open_streams), ([NO_DESCRIPTOR], 0))
         stream.close()
         stream.abort()
 
@@ -233,6 +233,6 @@
         self.addCleanup(loop.close)
         for now, stalled in (10.0, 0.0), (11.0, 0.0), (5_000.0, 4_989.0), (5_001.0, 0.0):
             clock[0] = now
-            loop.soon(lambda: None)
+            loop.call_soon(lambda: None)
             loop.turn()
-            self.assertEqual((loop.now, loop.stalled), (now, stalled))
+            self.assertEqual((loop.now, loop.stall_ms), (now, stalled))
--- a/tests/test_loop_waits.py
+++ b/tests/test_loop_waits.py
@@ -5,9 +5,9 @@
 import unittest
 from types import SimpleNamespace
 
-from laddergw.loop.base import MOST_CALLS, SLOW_TURN_MS
-from laddergw.loop.listener import ACCEPT_REST_MS, Listener
-from laddergw.loop.sockets import SocketLoop, Watch
+from laddergw.loop.base import MAX_CALLS_PER_TURN, SLOW_TURN_MS
+from laddergw.loop.listener import ACCEPT_PAUSE_MS, Listener
+from laddergw.loop.sockets import DescriptorWatch, SocketLoop
 
 WORK_MS, LONG_WORK_MS = 0.002, 0.5    # of a call, by the virtual clock
 TURNS = 1_500              # of one drawn world with long work: past all that it draws asks for
@@ -73,7 +73,7 @@
 
 def annoy(world, left):
     """One thing that asks for the loop again, drawn: a descriptor, a call or a timer, at once or a little later, or one that fails."""
-    loop, kind = world.loop, world.draw.randrange(5 if world.loop.ends else 6)   # (what a turn's end calls stays for good)
+    loop, kind = world.loop, world.draw.randrange(5 if world.loop.turn_end_calls else 6)   # (what a turn's end calls stays for good)
 
     def again():
         if left[0] > 0:
@@ -82,19 +82,19 @@
         if kind == 5:
             raise RuntimeError("drawn")
     if kind == 0:
-        loop.soon(again)
+        loop.call_soon(again)
     elif kind == 1:
-        loop.after(0, again)
+        loop.call_later(0, again)
     elif kind == 2:
-        loop.at(loop.now - world.draw.random() * 100, again)
+        loop.call_at(loop.now - world.draw.random() * 100, again)
     elif kind == 3:
-        loop.after(world.draw.random() * LATER, again)
+        loop.call_later(world.draw.random() * LATER, again)
     elif kind == 4:
-        watch = Watch(loop, object(), lambda: None)        # a descriptor that nobody empties
+        watch = DescriptorWatch(loop, object(), lambda: None)        # a descriptor that nobody empties
         world.ready[watch.fd][1] += world.draw.choice((READY, READY, LATER))
-        loop.after(world.draw.random() * LATER, lambda: (watch.close(), again()))
+        loop.call_later(world.draw.random() * LATER, lambda: (watch.close(), again()))
     else:
-        loop.at_turn_end(again)
+        loop.on_turn_end(again)
 
 
 class Waits(unittest.TestCase):
@@ -104,11 +104,11 @@
             for _ in range(1 + seed % 5):
                 annoy(world, [ASKS])
             with self.subTest(seed=seed), self.assertLogs("laddergw.loop") as logs:
-                world.loop.guarded(lambda: 1 / 0)          # (assertLogs wants one line at least)
+                world.loop.run_guarded(lambda: 1 / 0)          # (assertLogs wants one line at least)
                 for _ in range(TURNS):
                     world.loop.turn()
                 self.assertGreater(len(logs.output), 0)
-                world.loop.ends.clear()
+                world.loop.turn_end_calls.clear()
                 for _ in range(100):
                     waits = world.waits
                     world.loop.turn()
@@ -120,18 +120,18 @@
 
         def again():
             calls.append(1)
-            world.loop.soon(again)
-        world.loop.soon(again)
-        world.loop.after(0, lambda: ends.append("timer"))
-        world.loop.at_turn_end(lambda: ends.append("end"))
+            world.loop.call_soon(again)
+        world.loop.call_soon(again)
+        world.loop.call_later(0, lambda: ends.append("timer"))
+        world.loop.on_turn_end(lambda: ends.append("end"))
         for _ in range(2):
             world.loop.turn()
-        self.assertEqual((len(calls), ends), (2 * MOST_CALLS, ["timer", "end", "end"]))
+        self.assertEqual((len(calls), ends), (2 * MAX_CALLS_PER_TURN, ["timer", "end", "end"]))
 
     def test_a_listener_without_descriptors_rests(self):
         world, sock = World(3), Full()
         listener = Listener(world.loop, sock, None)
-        while world.now < 20.5 * ACCEPT_REST_MS:
+        while world.now < 20.5 * ACCEPT_PAUSE_MS:
             world.loop.turn()
         self.assertIn(sock.asked, (20, 21))
         self.assertEqual(world.loop.failed_accepts, sock.asked)
@@ -141,7 +141,7 @@
 
     def test_a_timer_at_no_time_is_refused(self):
         loop = World(4).loop
-        for add in loop.at, loop.after:
+        for add in loop.call_at, loop.call_later:
             self.assertRaises(ValueError, add, float("nan"), print)
 
     def test_a_long_turn_is_told_with_what_it_ran(self):
@@ -149,9 +149,9 @@
 
         def dawdle():
             world.now += SLOW_TURN_MS
-        world.loop.soon(dawdle)
+        world.loop.call_soon(dawdle)
         for _ in range(3):
-            world.loop.after(0, lambda: world.sleep(0.030))
+            world.loop.call_later(0, lambda: world.sleep(0.030))
         with self.assertLogs("laddergw.loop", "WARNING") as logs:
             world.loop.turn()
             world.loop.turn()
--- a/tests/test_orders_answers.py
+++ b/tests/test_orders_answers.py
@@ -48,9 +48,9 @@
             self.town.lies_there(self.back)
             return self.back.read_now
         if what == "its time-out":
-            return lambda: self.ply.timer is not None and self.ply.timer.call()
+            return lambda: self.ply.timer is not None and self.ply.timer.callback()
         if what == "the last guard":
-            return lambda: self.ply.guard is not None and self.ply.guard.call()
+            return lambda: self.ply.guard is not None and self.ply.guard.callback()
         if what == "the node drains":
             gone = event(2, member("a", 1, "DRAINING") | {"host_port": f"127.0.0.1:{self.town.nodes['a'].port}"})
             return lambda: self.director.listing.listed(changes.event_of(gone))
@@ -76,8 +76,8 @@
 
         def one_turn():
             for call in calls:
-                town.loop.guarded(call)
-        town.loop.soon(one_turn)
+                town.loop.run_guarded(call)
+        town.loop.call_soon(one_turn)
         with self.assertNoLogs("laddergw.loop", "ERROR"):
             town.turn()
             for _ in range(20):                          # what comes after: a further try at b is answered well
@@ -135,8 +135,8 @@
     def test_an_answer_for_an_earlier_try_on_another_connection(self):
         """The first try timed out; its answer comes while the second is out: one answer, the second's, and the first is torn down."""
         scene = Scene(self, "guide")
-        late = scene.ply.timer.call
-        scene.town.loop.soon(late)
+        late = scene.ply.timer.callback
+        scene.town.loop.call_soon(late)
         scene.town.turn()
         scene.line.write(answer(SESSION, 200, b"the first\r\n"))
         line, message = scene.town.come("b")
--- a/tests/test_orders_ends.py
+++ b/tests/test_orders_ends.py
@@ -29,8 +29,8 @@
                 mine.close()
                 for _ in range(3):
                     if reads:
-                        had = mine.stream.taken
-                        self.town.until(lambda: self.drained(line) and mine.stream.taken > had)
+                        had = mine.stream.bytes_sent
+                        self.town.until(lambda: self.drained(line) and mine.stream.bytes_sent > had)
                     self.pass_(3_000)
                 self.assertEqual(mine.stream.sock is not None, reads)
 
--- a/tests/test_orders_last_close.py
+++ b/tests/test_orders_last_close.py
@@ -24,7 +24,7 @@
         early, late = socket.create_connection(self.town.address), socket.socket()
         self.addCleanup(early.close)
         self.addCleanup(late.close)
-        listener.stop_connecting()
+        listener.drop_new_connections()
         late.setblocking(False)
         late.connect_ex(self.town.address)
         listener.accept_waiting()
--- a/tests/test_orders_leaving.py
+++ b/tests/test_orders_leaving.py
@@ -114,7 +114,7 @@
                 stream, = [line.stream for line in town.director.nodes.by_id["a"].connections]
                 while not stream.queued:                 # to the brim; then as much is read as lets our system take the set-up, no more
                     stream.write(rtsp.request("OPTIONS", "ping", "0" * 16) * 20)
-                stream.take_back(stream.out[0])
+                stream.withdraw_write(stream.write_queue[0])
                 viewer = town.viewer()
                 town.side(viewer)
                 viewer.write(set_up(2))
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -152,7 +152,7 @@
         line.write(answer(message.session))
         self.town.until(viewer.hear)
         self.now[0] += STOOD_STILL_MS
-        self.town.loop.soon(self.town.director.stop)
+        self.town.loop.call_soon(self.town.director.stop)
         self.town.turn()
         ordered = self.now[0] - STOOD_STILL_MS
         while not (heard := self.causes(viewer)) and self.now[0] - ordered < KILL_MS:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -267,16 +267,16 @@
                 def opened(self, stream):
                     stream.write(b"\x00\x00\x00\x03abc")
 
-                def got(self, stream, data):
+                def data_received(self, stream, data):
                     pass
 
-                def emptied(self, stream):
+                def write_buffer_drained(self, stream):
                     pass
 
                 def closed(self, stream, why):
                     seen.append("closed")
             lines.dial(("p0", apart.PORT), Stranger(), 500.0)
-        stage.loop.after(6_000, forge)
+        stage.loop.call_later(6_000, forge)
         self.judged(stage, the_plant)
         self.assertEqual(seen, [(True, 2), "closed"])
 
--- a/tests/test_planner_hard.py
+++ b/tests/test_planner_hard.py
@@ -5,7 +5,7 @@
 import tempfile
 import unittest
 
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import plan as plans, program, wire
 from laddergw.planner.plan import LEASE_MS, Obeyed
 from laddergw.planner.peer import Peer
@@ -24,11 +24,11 @@
         self.obeyed, self.plans, self.numbers, self.peers = Obeyed(), [], {}, {}
         for address in planners:
             self.dial(address)
-        self.host.after(250, self.tell)
+        self.host.call_later(250, self.tell)
 
     def dial(self, address):
         peer = self.peers[address] = Peer(self.host, wire.Hello(1, self.name, wire.EDGE, self.obeyed.seen[0]), self.told, lambda peer: None,
-                                          lambda peer, why: self.host.after(500, lambda: self.dial(address)))
+                                          lambda peer, why: self.host.call_later(500, lambda: self.dial(address)))
         self.host.dial(address, peer, 500)
 
     def told(self, peer, frame):
@@ -44,7 +44,7 @@
             if peer.other is not None and not peer.over:
                 peer.send(wire.DigestFrame(self.numbers[0], 0, self.host.now, {1: (100.0, 2)}, (), {"x": self.numbers[0]}, ((7, 1.0, 0.0),), {}, (),
                                             self.obeyed.plan.epoch if self.obeyed.plan else 0, self.host.now - self.obeyed.came_ms, self.obeyed.seen[0]))
-        self.host.after(250, self.tell)
+        self.host.call_later(250, self.tell)
 
 
 class Hard(unittest.TestCase):
@@ -53,7 +53,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder)
-        self.world, self.events = Memory(5), []
+        self.world, self.events = MemoryNetwork(5), []
 
     def planner(self, name, store=None, leads=True, others=()):
         host = self.world.host(name)
--- a/tests/test_platform_fleet.py
+++ b/tests/test_platform_fleet.py
@@ -16,8 +16,8 @@
     def act(town):
         town.log.tell(*(town.nodes[name].line("DRAINING") for name in names))
         town.log.tell(*(town.node(new, town.nodes[old].cell, True).line("SERVING") for old, new in zip(names, successors)))
-        town.loop.after(drain_ms, lambda: town.log.tell(*(town.nodes[name].line("DELETED") for name in names)))
-        town.loop.after(drain_ms + 300.0, lambda: [town.nodes[name].die() for name in names])
+        town.loop.call_later(drain_ms, lambda: town.log.tell(*(town.nodes[name].line("DELETED") for name in names)))
+        town.loop.call_later(drain_ms + 300.0, lambda: [town.nodes[name].die() for name in names])
     return act
 
 
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -1,7 +1,7 @@
 """The real director and its media nodes, in memory: ends of nodes, bad answers, what never leaves; a kept trace."""
 import unittest
 
-from laddergw.loop.base import SHORT
+from laddergw.loop.base import NO_DESCRIPTOR
 from laddergw.loop.memory_streams import WINDOW
 from laddergw.platform import allocation as life
 from laddergw.signalling import binary
@@ -122,7 +122,7 @@
                     line, = town.director.nodes.by_id["a"].connections
                     self.assertEqual((line.up, len(line.plays)), (False, 1 + shared))
                     town.director.controller.fleet.nodes[2].rest, town.director.nodes.most = 0.0, 22
-                    town.hosts["director"].soon(lambda: act(town))
+                    town.hosts["director"].call_soon(lambda: act(town))
                     town.run(50)
                     got = [part for part in town.lines if "node a gets SETUP" in part]
                     self.assertFalse([part for part in got if " SETUP 1 " in part], town.lines)
@@ -139,7 +139,7 @@
         town.lines = Silent()
         for i, name in enumerate(names):
             town.director.admission.heard(town.director_side(), message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
-            town.hosts[name].at(town.world.now + 3000, lambda name=name: said.setdefault(name, town.world.now))
+            town.hosts[name].call_at(town.world.now + 3000, lambda name=name: said.setdefault(name, town.world.now))
             # A node says what it has to tell on an open connection, and once more on the next that opens
             came = town.hosts[name].listeners[0]
             came.accept = lambda stream, name=name, i=i: Telling(town, name, said, release(i + 1, 16))
@@ -161,7 +161,7 @@
         for _ in range(5):
             node.dial()
             line = node.connections[-1]
-            line.closed(line.stream, SHORT)
+            line.closed(line.stream, NO_DESCRIPTOR)
         self.assertEqual((node.silent, len(town.director.standing)), (0, 1))
 
     def test_what_has_left_in_part_is_cut_off(self):
@@ -170,11 +170,11 @@
         viewer.stream.write(set_up(1))
         town.run(50)
         line, = town.director.nodes.by_id["a"].connections
-        town.sides["node a"].stream.pause()
+        town.sides["node a"].stream.pause_reading()
         line.stream.write(b"x" * (WINDOW - 100))
         viewer.stream.write(set_up(2, product="paid"))
         town.run(20)
-        self.assertEqual((line.state(f"{2:016x}"), line.stream.queued > 0, line.stream.taken), (life.UNSENT, True, line.stream.asked - line.stream.queued))
+        self.assertEqual((line.state(f"{2:016x}"), line.stream.queued > 0, line.stream.bytes_sent), (life.UNSENT, True, line.stream.bytes_written - line.stream.queued))
         viewer.stream.write(binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10")))
         town.run(20)
         self.assertEqual((line.stream.alive, len(town.director.nodes.by_id["a"].connections)), (False, 1))
@@ -188,7 +188,7 @@
             town.viewer().stream.write(set_up(1, product="paid"))
             town.run(20)
             line, = town.director.nodes.by_id["a"].connections
-            line.got(line.stream, said)
+            line.data_received(line.stream, said)
             self.assertFalse(line.stream.alive)
             self.assertEqual(town.director.counts["spoilt"], 1)
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -10,7 +10,7 @@
 from laddergw.lab import move, script
 from laddergw.lab.audit import audit
 from laddergw.lab.plant import plant
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from tests.town import FILE, Town
 
 SECONDS = 14.0
@@ -101,7 +101,7 @@
     def setUp(self):
         super().setUp()
         self.wall = 1_000_000.0
-        world = Memory(1)
+        world = MemoryNetwork(1)
         self.post = Post(world.host("d1"), 1, ((0, ("d0", 80)), (1, ("d1", 80))), lambda: KEYS, lambda: self.wall)
         self.sent = []
         self.post.send_one = lambda pool, body: self.sent.append((pool.address, body))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -5,9 +5,9 @@
 import unittest
 
 from laddergw.lab.papers import Authority
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 from laddergw.loop.sockets import SocketLoop
-from laddergw.loop.tls import Secure, accepting, client_context, common_name, server_context
+from laddergw.loop.tls import TlsStream, client_context, common_name, server_context, wrap_accept
 from laddergw.planner import plan as plans, wire
 from laddergw.planner.peer import Peer
 from laddergw.planner.server import Planner
@@ -27,12 +27,12 @@
         if self.first:
             stream.write(self.first)
 
-    def got(self, stream, data):
+    def data_received(self, stream, data):
         self.data += data
         if self.echo:
             stream.write(data)
 
-    def emptied(self, stream):
+    def write_buffer_drained(self, stream):
         pass
 
     def closed(self, stream, why):
@@ -53,8 +53,8 @@
         def accept(stream):
             theirs.append(End(echo=True))
             return theirs[-1]
-        listener = loop.listen(address, accepting(accept, self.server))
-        (loop if not isinstance(loop, tuple) else loop).dial(listener.address, Secure(ours, context, False, name), 2_000.0)
+        listener = loop.listen(address, wrap_accept(accept, self.server))
+        (loop if not isinstance(loop, tuple) else loop).dial(listener.address, TlsStream(ours, context, False, name), 2_000.0)
         step(lambda: ours.ended or first and len(ours.data) >= len(first))
         return ours, theirs[0] if theirs else None
 
@@ -74,7 +74,7 @@
         self.assertEqual((ours.data == first, ours.name, theirs.name, ours.ended), (True, "planner", "edge-1", False))
 
     def test_the_same_in_memory(self):
-        world = Memory(3)
+        world = MemoryNetwork(3)
         host = world.host("h")
         ours, theirs = self.talk(host, lambda done: world.run(world.now + 200), client_context(*self.authority.issue("edge-1")), first=b"hello" * 10_000, address=("h", 0))
         self.assertEqual((ours.data, theirs.name), (b"hello" * 10_000, "edge-1"))
@@ -102,7 +102,7 @@
         self.addCleanup(loop.close)
         theirs, ours = End(), End(first=b"GET / HTTP/1.1\r\n\r\n")
         ours.opened = lambda stream: stream.write(ours.first)
-        listener = loop.listen(("127.0.0.1", 0), accepting(lambda stream: theirs, self.server))
+        listener = loop.listen(("127.0.0.1", 0), wrap_accept(lambda stream: theirs, self.server))
         loop.dial(listener.address, ours, 500.0)
         while not (ours.ended and theirs.ended):
             loop.turn()
@@ -118,7 +118,7 @@
         def edge(name, context):
             peer = Peer(loop, wire.Hello(1, name, wire.EDGE, 0), lambda peer, frame: got.append((name, frame)), lambda peer: peer.send(
                 wire.DigestFrame(1, 0, 0.0, {5: (70.0, 1)}, (), {}, (), {}, (), 0, 0.0, 0)), lambda peer, why: ended.append(name))
-            loop.dial(planner.address, Secure(peer, context, False, "127.0.0.1"), 1_000.0)
+            loop.dial(planner.address, TlsStream(peer, context, False, "127.0.0.1"), 1_000.0)
         edge("edge-1.a", client_context(*self.authority.issue("edge-1")))
         edge("edge-9.a", client_context(*self.authority.issue("edge-2")))
         while not any(isinstance(frame, wire.PlanFrame) and plans.unseal(frame.sealed, KEYS).nodes for _, frame in got) or not ended:
--- a/tests/town.py
+++ b/tests/town.py
@@ -8,7 +8,7 @@
 from laddergw.lab.node_stand_in import NodeFacts, NodeStandIn, Rack
 from laddergw.lab.tap import tap
 from laddergw.lab.viewers_stand_in import LIMITS
-from laddergw.loop.memory import Memory
+from laddergw.loop.memory import MemoryNetwork
 
 FILE = """(director (number {number}) (listen "d{number}" 80) (list "list" 80) (key k "key-of-the-small-town") {bounds}
  (deployment (directors {fleet}) (cells 2) (racks 2) (ladder 100 200 400) (rung-worth 0.3 0.6 1) (link-unit-kb 9000) (rack-kb 40000)
@@ -44,7 +44,7 @@
 
 class Town:
     def __init__(self, nodes=2, directors=1, lag=(1.0, 1.0), cold=False, bounds="", director_class=Director):
-        self.world, self.records = Memory(9), []
+        self.world, self.records = MemoryNetwork(9), []
         self.list = ListStandIn(self.world.host("list"), ("list", 80), lag, 1, self.record)
         self.nodes = {}
         self.rack = Rack(40_000)
