--- a/laddergw/loop/tls.py
+++ b/laddergw/loop/tls.py
@@ -1,9 +1,9 @@
-"""TLS over a loop's stream, by ssl's memory buffers: no call waits. Works on sockets and in memory
-alike.
+"""TLS on top of a loop's stream, with ssl's memory buffers: no call blocks. Works on sockets and in
+memory alike.
 
-The layer stands between a stream and its owner: it is the stream's owner, and a stream to the owner
-behind it. Certificates of both sides are asked for and checked by `contexts`;
-an unknown or expired peer is refused in the handshake, before a byte of ours is sent.
+The layer is the owner of the stream below it, and a stream to the owner above it. The contexts make
+both sides demand and verify a certificate: an unknown or expired peer is refused in the handshake,
+before any of our data is sent.
 """
 
 import ssl
@@ -11,21 +11,24 @@
 
 from laddergw.loop.base import Owner
 
-CHUNK = 65_536
+READ_BYTES = 65_536  # decrypted bytes that are handed over at once
 
 
 def server_context(certificate: str, key: str, authority: str) -> ssl.SSLContext:
-    """Of a planner: edges must show a certificate of the authority."""
+    """For a planner: edges must present a certificate of the authority."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    return mutual(context, certificate, key, authority)
+    return require_mutual_tls(context, certificate, key, authority)
 
 
 def client_context(certificate: str, key: str, authority: str) -> ssl.SSLContext:
-    """Of an edge: the planner must show one, for the name that is asked for."""
-    return mutual(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT), certificate, key, authority)
+    """For an edge: the planner must present a certificate for the name that was dialled."""
+    return require_mutual_tls(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT), certificate, key, authority)
 
 
-def mutual(context: ssl.SSLContext, certificate: str, key: str, authority: str) -> ssl.SSLContext:
+def require_mutual_tls(
+    context: ssl.SSLContext, certificate: str, key: str, authority: str
+) -> ssl.SSLContext:
+    """Sets our certificate and requires TLS 1.3 and a peer certificate of the authority."""
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     context.load_cert_chain(certificate, key)
     context.load_verify_locations(authority)
@@ -34,117 +37,137 @@
 
 
 class TlsStream:
-    """See the module. `owner` is told as by a plain stream: opened once the handshake is done."""
+    """A TLS connection on a plain stream.
+
+    Calls `owner` as a plain stream does; `opened` comes once the handshake is done.
+    """
 
     def __init__(
         self, owner: Owner | None, context: ssl.SSLContext, server: bool, name: str | None = None
     ):
-        self.owner, self.stream, self.up, self.over = owner, None, False, False
-        self.come, self.go = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self.owner, self.stream, self.handshake_done, self.is_closed = owner, None, False, False
+        self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.tls = context.wrap_bio(
-            self.come, self.go, server_side=server, server_hostname=None if server else name
+            self.incoming,
+            self.outgoing,
+            server_side=server,
+            server_hostname=None if server else name,
         )
-        self.waiting = bytearray()  # written before the handshake was done
+        self.early_writes = bytearray()  # written before the handshake was done
         self.peer = None
 
     # As the owner of the stream below
 
     def opened(self, stream) -> None:
+        """Starts the handshake."""
         self.stream = stream
-        self.shake()
+        self.do_handshake()
 
     def data_received(self, stream, data: bytes) -> None:
+        """Continues the handshake, or decrypts the data and hands it over."""
         self.stream = stream
-        self.come.write(data)
-        if not self.up:
-            self.shake()
-        if self.up:
+        self.incoming.write(data)
+        if not self.handshake_done:
+            self.do_handshake()
+        if self.handshake_done:
             self.read()
 
     def write_buffer_drained(self, stream) -> None:
-        if self.up and self.owner is not None:
+        """Passes the call on to the owner once the handshake is done."""
+        if self.handshake_done and self.owner is not None:
             self.owner.write_buffer_drained(self)
 
-    def closed(self, stream, why: str | None) -> None:
-        if not self.over:
-            self.over = True
+    def closed(self, stream, reason: str | None) -> None:
+        """Passes the close on; a close during the handshake always has a reason."""
+        if not self.is_closed:
+            self.is_closed = True
             if self.owner is not None:
-                self.owner.closed(self, why if self.up or why else "closed within the handshake")
+                self.owner.closed(
+                    self,
+                    reason if self.handshake_done or reason else "closed during the handshake",
+                )
 
     # As a stream to the owner
 
     def write(self, data: bytes) -> None:
-        if self.over:
+        """Encrypts and writes the data; before the end of the handshake it is kept."""
+        if self.is_closed:
             return
-        if not self.up:
-            self.waiting += data
+        if not self.handshake_done:
+            self.early_writes += data
             return
         self.tls.write(data)
         self.flush()
 
     def close(self) -> None:
-        if self.stream is not None and not self.over:
+        """Closes the stream below after what is queued there."""
+        if self.stream is not None and not self.is_closed:
             self.stream.close()
 
     def abort(self) -> None:
+        """Resets the connection."""
         if self.stream is not None:
             self.stream.abort()
 
-    # Between
+    # Between the two
 
-    def shake(self) -> None:
+    def do_handshake(self) -> None:
+        """Takes the handshake as far as the data at hand allows."""
         try:
             self.tls.do_handshake()
         except ssl.SSLWantReadError:
             return self.flush()
         except ssl.SSLError as error:
-            return self.fail(f"handshake: {reason(error)}")
-        self.up = True
+            return self.fail(f"handshake: {error_text(error)}")
+        self.handshake_done = True
         self.peer = self.tls.getpeercert()
         self.flush()
         if self.owner is not None:
             self.owner.opened(self)
-        if self.waiting:
-            data, self.waiting = bytes(self.waiting), bytearray()
+        if self.early_writes:
+            data, self.early_writes = bytes(self.early_writes), bytearray()
             self.write(data)
         return None
 
     def read(self) -> None:
-        while not self.over:
+        """Hands all data that can be decrypted to the owner."""
+        while not self.is_closed:
             try:
-                data = self.tls.read(CHUNK)
+                data = self.tls.read(READ_BYTES)
             except ssl.SSLWantReadError:
                 return self.flush()
             except ssl.SSLZeroReturnError:
                 return self.close()
             except ssl.SSLError as error:
-                return self.fail(reason(error))
+                return self.fail(error_text(error))
             if not data:
                 return None
             self.owner.data_received(self, data)
         return None
 
     def flush(self) -> None:
-        if self.go.pending and self.stream is not None and not self.over:
-            self.stream.write(self.go.read())
+        """Writes the encrypted data to the stream below."""
+        if self.outgoing.pending and self.stream is not None and not self.is_closed:
+            self.stream.write(self.outgoing.read())
 
-    def fail(self, why: str) -> None:
-        """The other side is told by its alert; ours hears why."""
+    def fail(self, reason: str) -> None:
+        """Sends the peer its TLS alert, tells our owner the reason and closes."""
         self.flush()
-        if not self.over:
-            self.over = True
+        if not self.is_closed:
+            self.is_closed = True
             if self.owner is not None:
-                self.owner.closed(self, why)
+                self.owner.closed(self, reason)
             if self.stream is not None:
                 self.stream.close()
 
 
-def reason(error: ssl.SSLError) -> str:
+def error_text(error: ssl.SSLError) -> str:
+    """The shortest description of a TLS error: why verification failed, else OpenSSL's reason."""
     return getattr(error, "verify_message", "") or error.reason or str(error)
 
 
 def common_name(peer: dict | None) -> str:
-    """The name in a peer's certificate."""
+    """The common name in a peer's certificate; empty if it has none."""
     for pair in (pair for part in (peer or {}).get("subject", ()) for pair in part):
         if pair[0] == "commonName":
             return pair[1]
@@ -152,14 +175,14 @@
 
 
 def wrap_accept(accept: Callable, context: ssl.SSLContext | None) -> Callable:
-    """A listener's callback: `accept(stream)` gives the owner, over TLS with a context."""
+    """Returns a listener's callback: `accept(stream)` gives the owner, over TLS with a context."""
     if context is None:
         return accept
 
-    def secured(stream):
+    def accept_tls(stream):
         layer = TlsStream(None, context, True)
         layer.stream = stream
         layer.owner = accept(layer)
         return layer
 
-    return secured
+    return accept_tls
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS over loops: mutual certificates on sockets and in memory, strangers and expired ones refused; planners and edges over it; background work in turns."""
+"""TLS on sockets and in memory: both sides verify certificates, planners and edges over it. Also background tasks within turns."""
 import shutil
 import ssl
 import tempfile
@@ -16,11 +16,11 @@
 KEYS = (("k", b"a key of planners and edges"),)
 
 
-class End:
-    """Either side: keeps what it is told; the server's echoes."""
+class Endpoint:
+    """Either side's owner: records what it receives; the server's echoes it."""
 
     def __init__(self, echo=False, first=b""):
-        self.echo, self.first, self.data, self.why, self.name, self.ended = echo, first, b"", None, "", False
+        self.echo, self.first, self.data, self.reason, self.name, self.is_closed = echo, first, b"", None, "", False
 
     def opened(self, stream):
         self.name = common_name(stream.peer)
@@ -35,95 +35,96 @@
     def write_buffer_drained(self, stream):
         pass
 
-    def closed(self, stream, why):
-        self.why, self.ended = why, True
+    def closed(self, stream, reason):
+        self.reason, self.is_closed = reason, True
 
 
-class Secured(unittest.TestCase):
+class TlsTests(unittest.TestCase):
     def setUp(self):
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder)
         self.authority = Authority(self.folder)
-        self.server = server_context(*self.authority.issue("planner"))
+        self.server_context = server_context(*self.authority.issue("planner"))
 
-    def talk(self, loop, step, context, name="127.0.0.1", first=b"", address=("127.0.0.1", 0)):
-        """One connection; both ends as they stand afterwards."""
-        ours, theirs = End(first=first), []
+    def exchange(self, loop, run_until, context, name="127.0.0.1", first=b"", address=("127.0.0.1", 0)):
+        """Runs one connection; returns the client's and the server's endpoint."""
+        client, servers = Endpoint(first=first), []
 
         def accept(stream):
-            theirs.append(End(echo=True))
-            return theirs[-1]
-        listener = loop.listen(address, wrap_accept(accept, self.server))
-        (loop if not isinstance(loop, tuple) else loop).dial(listener.address, TlsStream(ours, context, False, name), 2_000.0)
-        step(lambda: ours.ended or first and len(ours.data) >= len(first))
-        return ours, theirs[0] if theirs else None
-
-    def on_sockets(self, context, **more):
+            servers.append(Endpoint(echo=True))
+            return servers[-1]
+        listener = loop.listen(address, wrap_accept(accept, self.server_context))
+        (loop if not isinstance(loop, tuple) else loop).dial(listener.address, TlsStream(client, context, False, name), 2_000.0)
+        run_until(lambda: client.is_closed or first and len(client.data) >= len(first))
+        return client, servers[0] if servers else None
+
+    def exchange_on_sockets(self, context, **options):
         loop = SocketLoop()
         self.addCleanup(loop.close)
 
-        def step(done):
-            end = loop.now + 5_000
-            while not done() and loop.now < end:
+        def run_until(done):
+            deadline = loop.now + 5_000
+            while not done() and loop.now < deadline:
                 loop.turn()
-        return self.talk(loop, step, context, **more)
+        return self.exchange(loop, run_until, context, **options)
 
-    def test_both_sides_know_each_other(self):
+    def test_both_sides_see_the_name_in_the_other_certificate(self):
         first = bytes(range(256)) * 2_000
-        ours, theirs = self.on_sockets(client_context(*self.authority.issue("edge-1")), first=first)
-        self.assertEqual((ours.data == first, ours.name, theirs.name, ours.ended), (True, "planner", "edge-1", False))
+        client, server = self.exchange_on_sockets(client_context(*self.authority.issue("edge-1")), first=first)
+        self.assertEqual((client.data == first, client.name, server.name, client.is_closed), (True, "planner", "edge-1", False))
 
-    def test_the_same_in_memory(self):
-        world = MemoryNetwork(3)
-        host = world.host("h")
-        ours, theirs = self.talk(host, lambda done: world.run(world.now + 200), client_context(*self.authority.issue("edge-1")), first=b"hello" * 10_000, address=("h", 0))
-        self.assertEqual((ours.data, theirs.name), (b"hello" * 10_000, "edge-1"))
+    def test_both_sides_in_memory(self):
+        network = MemoryNetwork(3)
+        host = network.host("h")
+        client, server = self.exchange(host, lambda done: network.run(network.now + 200), client_context(*self.authority.issue("edge-1")), first=b"hello" * 10_000, address=("h", 0))
+        self.assertEqual((client.data, server.name), (b"hello" * 10_000, "edge-1"))
 
-    def test_who_is_refused(self):
+    def test_refused_certificates(self):
         stranger = Authority(self.folder, "stranger")
-        no_papers = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        no_papers.load_verify_locations(self.authority.file)
+        without_certificate = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+        without_certificate.load_verify_locations(self.authority.file)
         cases = {"expired": client_context(*self.authority.issue("old", since_days=-9, until_days=-1)),
                  "not yet": client_context(*self.authority.issue("early", since_days=3)),
-                 "another authority's": client_context(*stranger.issue("edge-2")[:2], self.authority.file), "none": no_papers}
+                 "another authority's": client_context(*stranger.issue("edge-2")[:2], self.authority.file), "none": without_certificate}
         for name, context in cases.items():
             with self.subTest(name):
-                ours, theirs = self.on_sockets(context, first=b"x" * 100)
-                self.assertEqual((theirs.data, ours.data), (b"", b""))
-                self.assertTrue(ours.ended and theirs.ended and theirs.why, (ours.why, theirs.why))
-        ours, theirs = self.on_sockets(client_context(*self.authority.issue("edge-3")[:2], stranger.file), first=b"x")
-        self.assertIn("certificate", ours.why)           # an edge that does not know the planner's authority says nothing to it
-        self.assertEqual(theirs.data, b"")
-        ours, theirs = self.on_sockets(client_context(*self.authority.issue("edge-4")), name="10.1.1.1", first=b"x")
-        self.assertIn("match", ours.why.lower())
-
-    def test_nonsense_in_the_handshake(self):
+                client, server = self.exchange_on_sockets(context, first=b"x" * 100)
+                self.assertEqual((server.data, client.data), (b"", b""))
+                self.assertTrue(client.is_closed and server.is_closed and server.reason, (client.reason, server.reason))
+        # an edge that does not trust the planner's authority sends it no data
+        client, server = self.exchange_on_sockets(client_context(*self.authority.issue("edge-3")[:2], stranger.file), first=b"x")
+        self.assertIn("certificate", client.reason)
+        self.assertEqual(server.data, b"")
+        client, server = self.exchange_on_sockets(client_context(*self.authority.issue("edge-4")), name="10.1.1.1", first=b"x")
+        self.assertIn("match", client.reason.lower())
+
+    def test_plain_text_instead_of_a_handshake(self):
         loop = SocketLoop()
         self.addCleanup(loop.close)
-        theirs, ours = End(), End(first=b"GET / HTTP/1.1\r\n\r\n")
-        ours.opened = lambda stream: stream.write(ours.first)
-        listener = loop.listen(("127.0.0.1", 0), wrap_accept(lambda stream: theirs, self.server))
-        loop.dial(listener.address, ours, 500.0)
-        while not (ours.ended and theirs.ended):
+        server, client = Endpoint(), Endpoint(first=b"GET / HTTP/1.1\r\n\r\n")
+        client.opened = lambda stream: stream.write(client.first)
+        listener = loop.listen(("127.0.0.1", 0), wrap_accept(lambda stream: server, self.server_context))
+        loop.dial(listener.address, client, 500.0)
+        while not (client.is_closed and server.is_closed):
             loop.turn()
-        self.assertIn("handshake", theirs.why)
+        self.assertIn("handshake", server.reason)
 
-    def test_a_planner_over_it(self):
-        """An edge with its own name gets plans; one that says another's name does not."""
+    def test_a_planner_refuses_an_edge_whose_name_is_not_in_its_certificate(self):
+        """An edge that gives the name of its certificate gets plans; one that gives another name does not."""
         loop = SocketLoop()
         self.addCleanup(loop.close)
-        planner = Planner(loop, "p0", ("127.0.0.1", 0), None, KEYS, tls=self.server)
-        got, ended = [], []
+        planner = Planner(loop, "p0", ("127.0.0.1", 0), None, KEYS, tls=self.server_context)
+        received, closed = [], []
 
         def edge(name, context):
-            peer = Peer(loop, wire.Hello(1, name, wire.EDGE, 0), lambda peer, frame: got.append((name, frame)), lambda peer: peer.send(
-                wire.DigestFrame(1, 0, 0.0, {5: (70.0, 1)}, (), {}, (), {}, (), 0, 0.0, 0)), lambda peer, why: ended.append(name))
+            peer = Peer(loop, wire.Hello(1, name, wire.EDGE, 0), lambda peer, frame: received.append((name, frame)), lambda peer: peer.send(
+                wire.DigestFrame(1, 0, 0.0, {5: (70.0, 1)}, (), {}, (), {}, (), 0, 0.0, 0)), lambda peer, reason: closed.append(name))
             loop.dial(planner.address, TlsStream(peer, context, False, "127.0.0.1"), 1_000.0)
         edge("edge-1.a", client_context(*self.authority.issue("edge-1")))
         edge("edge-9.a", client_context(*self.authority.issue("edge-2")))
-        while not any(isinstance(frame, wire.PlanFrame) and plans.unseal(frame.sealed, KEYS).nodes for _, frame in got) or not ended:
+        while not any(isinstance(frame, wire.PlanFrame) and plans.unseal(frame.sealed, KEYS).nodes for _, frame in received) or not closed:
             loop.turn()
-        self.assertEqual(({name for name, _ in got}, ended), ({"edge-1.a"}, ["edge-9.a"]))
+        self.assertEqual(({name for name, _ in received}, closed), ({"edge-1.a"}, ["edge-9.a"]))
 
 
 class Clock:
@@ -141,7 +142,7 @@
         yield
 
 
-class Worked(unittest.TestCase):
+class SchedulerTests(unittest.TestCase):
     def setUp(self):
         self.clock, self.log, self.done = Clock(), [], []
         self.scheduler = Scheduler(self.clock, 2.0, lambda name, error: self.done.append((name, str(error))), lambda name, ms: self.done.append((name, ms)))
@@ -149,7 +150,7 @@
     def add(self, name, ms, count, priority=USUAL):
         return self.scheduler.add(name, steps(self.clock, ms, count, self.log, name), priority, self.done.append)
 
-    def test_priorities_and_what_is_left_of_the_budget(self):
+    def test_tasks_run_by_priority_within_the_budget(self):
         self.add("idle", 0.5, 100, IDLE)
         self.add("usual", 0.5, 100)
         self.add("urgent", 0.5, 3, URGENT)
@@ -160,7 +161,7 @@
         self.assertEqual(self.done[0].name, "urgent")
         self.assertEqual((self.done[0].steps, self.done[0].work_ms), (4, 1.5))
 
-    def test_a_task_does_not_pile_up_nor_starve(self):
+    def test_a_task_is_queued_once_and_does_not_starve(self):
         self.assertTrue(self.add("keep", 0.1, 2))
         self.assertFalse(self.add("keep", 0.1, 2))
         while self.scheduler.turn():
@@ -172,11 +173,11 @@
             self.scheduler.turn()
         self.assertIn("idle", self.log)
 
-    def test_a_task_that_fails_and_one_that_holds_on_too_long(self):
-        def broken():
+    def test_a_task_that_fails_and_one_whose_step_is_too_long(self):
+        def failing():
             yield
             raise ValueError("no")
-        self.scheduler.add("broken", broken())
+        self.scheduler.add("broken", failing())
         self.add("long", 9.0, 1)
         while self.scheduler.turn():
             pass
