--- a/laddergw/loop/__init__.py
+++ b/laddergw/loop/__init__.py
@@ -1,4 +1,4 @@
-"""One event loop a process: streams, timers, signals, children.
+"""One event loop per process: streams, timers, signals, child processes.
 
-Its clock and network can be handed in.
+Its clock and its network can be passed in.
 """
--- a/laddergw/loop/lingering.py
+++ b/laddergw/loop/lingering.py
@@ -1,5 +1,5 @@
-"""Sockets that we have closed for good, until their peers have ended too; and what the system has
-not delivered yet.
+"""Closed sockets that stay open until their peers have closed too, and a count of the bytes that
+a peer has not acknowledged.
 """
 
 import fcntl
@@ -12,35 +12,41 @@
 if TYPE_CHECKING:
     from laddergw.loop.sockets import SocketLoop
 
-# a connection that we have closed is read for so long: its peer, a few round trips away, ends its
-# side
+# time that a connection closed by us is still read: its peer, a few round trips away, closes its
+# side within that
 LINGER_MS = 500.0
-READ_BYTES = 65_536  # read of one stream in a turn: the others get theirs
-RESET = (
-    b"\1\0\0\0\0\0\0\0"  # SO_LINGER of no time: closing resets, and what has not arrived never does
-)
+# bytes read from one stream in a turn, so that the other streams are served too
+READ_BYTES = 65_536
+# SO_LINGER with a timeout of 0: closing resets the connection, and unsent bytes are discarded
+RESET = b"\1\0\0\0\0\0\0\0"
 
 
 class Lingering:
-    """A socket that we have closed for good: our end is told, what its peer still sends is read and
-    dropped until it ends too.
-    Closed at once beside bytes that lie unread, or come, the system resets it, and the peer loses
-    what we sent last.
+    """A closed socket whose peer has not closed yet.
+
+    Our end is shut down for writing; what the peer still sends is read and dropped until it closes.
+    If the socket were closed at once while bytes lie unread or still arrive, the kernel would reset
+    the connection, and the peer would lose what we sent last.
     """
 
-    def __init__(self, loop: "SocketLoop", sock: socket.socket, deliver_ms: float | None):
+    def __init__(self, loop: "SocketLoop", sock: socket.socket, delivery_limit_ms: float | None):
         self.loop, self.sock = loop, sock
-        self.limit = loop.call_later(LINGER_MS, self.close)
-        self.delivery = None if deliver_ms is None else loop.call_later(deliver_ms, self.late)
+        self.linger_timer = loop.call_later(LINGER_MS, self.close)
+        self.delivery_timer = (
+            None
+            if delivery_limit_ms is None
+            else loop.call_later(delivery_limit_ms, self.reset_if_undelivered)
+        )
         loop.selector.register(sock, selectors.EVENT_READ, self)
 
-    def late(self) -> None:
-        """What we sent last has to be there by now, or it is taken back."""
+    def reset_if_undelivered(self) -> None:
+        """Resets the connection if the peer has not acknowledged all that was sent."""
         if self.sock is not None and unacknowledged(self.sock):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             self.close()
 
     def ready(self, events: int) -> None:
+        """Reads and drops what the peer sent, up to READ_BYTES; closes once the peer has closed."""
         left = READ_BYTES
         try:
             while left > 0 and self.sock is not None:
@@ -54,8 +60,9 @@
             self.close()
 
     def close(self) -> None:
+        """Closes the socket and removes it from the loop."""
         if self.sock is not None:
-            for timer in filter(None, (self.limit, self.delivery)):
+            for timer in filter(None, (self.linger_timer, self.delivery_timer)):
                 timer.cancel()
             self.loop.selector.unregister(self.sock)
             self.sock.close()
@@ -64,8 +71,8 @@
 
 
 def unacknowledged(sock: socket.socket) -> int:
-    """Bytes that the system took of us and the peer's system has not told to have."""
+    """Bytes that the kernel took from us and the peer's kernel has not acknowledged."""
     try:
         return struct.unpack("i", fcntl.ioctl(sock, termios.TIOCOUTQ, b"\0" * 4))[0]
-    except OSError:  # no such answer here: nothing is known to be missing
+    except OSError:  # the system does not support the query: nothing is known to be missing
         return 0
--- a/laddergw/loop/listener.py
+++ b/laddergw/loop/listener.py
@@ -1,4 +1,6 @@
-"""A listening socket on the loop: accepts so many a turn, and rests where no descriptor is left."""
+"""A listening socket on the loop: accepts a bounded number of connections per turn, and pauses when
+the process is out of descriptors.
+"""
 
 import array
 import contextlib
@@ -15,14 +17,13 @@
     from laddergw.loop.sockets import SocketLoop
     from laddergw.loop.streams import Stream
 
-ACCEPTS = 128  # connections accepted in one turn by one listener
-# a listener that finds no descriptor rests so long: its socket would stay readable all the while
+MAX_ACCEPTS_PER_TURN = 128  # of one listener
+# pause of a listener that finds no free descriptor: its socket would stay readable all the while
 ACCEPT_PAUSE_MS = 50.0
-SO_ATTACH_FILTER = 26  # of Linux, which Python's socket module does not name
-DROP_ALL = struct.pack(
-    "=HBBI", 0x06, 0, 0, 0
-)  # one instruction of a socket filter: take no byte of any packet
-NO_ROOM = errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM
+SO_ATTACH_FILTER = 26  # Linux; Python's socket module does not define it
+# a socket filter of one instruction: accept zero bytes of any packet
+DROP_ALL = struct.pack("=HBBI", 0x06, 0, 0, 0)
+OUT_OF_RESOURCES = errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM
 
 
 class Listener:
@@ -32,70 +33,71 @@
         self, loop: "SocketLoop", sock: socket.socket, accept: Callable[["Stream"], Owner]
     ):
         self.loop, self.sock, self.accept = loop, sock, accept
-        self.resting, self.starved = (
-            None,
-            False,
-        )  # starved: some wait, and the last look found no descriptor for them
+        # out_of_descriptors: connections wait, and the last accept found no descriptor for them
+        self.pause_timer, self.out_of_descriptors = None, False
         self.address = sock.getsockname()[:2]
         loop.selector.register(sock, selectors.EVENT_READ, self)
 
     def ready(self, events: int = 0) -> bool:
-        """Whether more may wait."""
-        self.starved = False
-        for _ in range(ACCEPTS):
+        """Accepts what waits, within the bound; returns whether more may wait."""
+        self.out_of_descriptors = False
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if self.sock is None:
                 return False
             try:
-                sock, peer = self.loop.with_room(self.sock.accept)
+                sock, peer = self.loop.with_free_descriptor(self.sock.accept)
             except (BlockingIOError, InterruptedError):
                 return False
-            except OSError as error:  # out of descriptors: the others in the backlog wait a little
+            except OSError as error:  # out of descriptors: the rest of the backlog waits a little
                 self.loop.failed_accepts += 1
                 self.loop.last_error = str(error)
-                if error.errno in NO_ROOM:
-                    self.starved = True
-                    self.rest()
+                if error.errno in OUT_OF_RESOURCES:
+                    self.out_of_descriptors = True
+                    self.pause_accepting()
                 return False
-            self.loop.adopt(sock, peer, self.accept)
+            self.loop.add_accepted(sock, peer, self.accept)
         return True
 
     def drop_new_connections(self) -> None:
-        """No connection comes up any more: the system drops what asks for one.
+        """Makes the kernel drop connection requests from now on.
 
-        Those that are up wait to be accepted.
+        Connections that are established already still wait to be accepted.
         """
         program = array.array("B", DROP_ALL)
         address, _ = program.buffer_info()
-        with contextlib.suppress(
-            OSError
-        ):  # where the system has no such filters, some microseconds stay open
+        # without support for such filters, connections can come up for some more microseconds
+        with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HP", 1, address))
 
     def accept_waiting(self) -> bool:
-        """All of the backlog, at the end: what is not accepted when the listener closes is reset.
+        """Accepts the whole backlog before the listener closes: closing resets what is left in it.
 
-        Whether some wait for a descriptor.
+        Returns whether connections still wait for a descriptor.
         """
         if self.sock is not None:
             self.drop_new_connections()
         while self.ready():
             pass
-        return self.starved
+        return self.out_of_descriptors
 
-    def rest(self) -> None:
-        if self.resting is not None:  # it is asked for the rest of its backlog meanwhile
+    def pause_accepting(self) -> None:
+        """Stops accepting for ACCEPT_PAUSE_MS."""
+        # already paused: accept_waiting may ask for the rest of the backlog during a pause
+        if self.pause_timer is not None:
             return
         self.loop.selector.unregister(self.sock)
-        self.resting = self.loop.call_later(ACCEPT_PAUSE_MS, self.go_on)
+        self.pause_timer = self.loop.call_later(ACCEPT_PAUSE_MS, self.resume_accepting)
 
-    def go_on(self) -> None:
-        self.resting = None
+    def resume_accepting(self) -> None:
+        """Accepts again after a pause."""
+        self.pause_timer = None
         self.loop.selector.register(self.sock, selectors.EVENT_READ, self)
 
     def close(self) -> None:
+        """Closes the socket; connections that were not accepted are reset."""
         if self.sock is not None:
-            if self.resting is not None:
-                self.resting.cancel()
+            if self.pause_timer is not None:
+                self.pause_timer.cancel()
             else:
                 self.loop.selector.unregister(self.sock)
             self.sock.close()
--- a/laddergw/loop/memory_streams.py
+++ b/laddergw/loop/memory_streams.py
@@ -1,19 +1,18 @@
-"""Streams and listeners of the loop in memory: delay, bounded buffers, ends that come behind their
-data.
+"""Streams and listeners of the loop in memory: delay, bounded buffers, and a close that arrives
+after the data sent before it.
 """
 
 from collections import deque
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from laddergw.loop.base import Outgoing, Owner
+from laddergw.loop.base import Owner, QueuedWrites
 
 if TYPE_CHECKING:
     from laddergw.loop.memory import Host
 
-WINDOW = (
-    65_536  # bytes that one direction of a stream takes before its reader has read: a socket buffer
-)
+# bytes that one direction of a stream holds until its reader reads them, as a socket buffer does
+WINDOW = 65_536
 
 
 class Listener:
@@ -23,53 +22,58 @@
         self.host, self.address, self.accept, self.waiting = host, address, accept, deque()
 
     def ready(self) -> None:
+        """Accepts the connections that wait and hands over what they received meanwhile."""
         while self.waiting:
             stream = self.waiting.popleft()
-            if stream.gone is not None or not stream.alive:
+            if stream.close_reason is not None or not stream.alive:
                 continue
             stream.owner = self.accept(stream)
             stream.owner.opened(stream)
-            for call in stream.early:
-                call()
-            stream.early.clear()
+            for event in stream.events_before_accept:
+                event()
+            stream.events_before_accept.clear()
 
     def accept_waiting(self) -> None:
+        """Accepts the whole backlog."""
         self.ready()
 
     def close(self) -> None:
-        self.host.world.ports.pop(self.address, None)
+        """Frees the address; connections that were not accepted are reset."""
+        self.host.network.ports.pop(self.address, None)
         for stream in self.waiting:
-            stream.cut("Connection reset by peer")
+            stream.reset_remote("Connection reset by peer")
         self.waiting.clear()
 
 
-class Stream(Outgoing):
-    """One end of a connection in memory; the same calls and counts as a real one."""
+class Stream(QueuedWrites):
+    """One end of a connection in memory, with the methods and counters of a real one."""
 
-    may_have_more = False  # what has come is read at once
+    may_have_more = False  # what has arrived is read at once
 
     def __init__(self, host: "Host", owner: Owner | None, peer, number: int, delay: float):
         self.loop, self.owner, self.peer, self.number, self.delay = host, owner, peer, number, delay
-        self.other: Stream | None = None
-        self.open, self.alive, self.reading, self.ending = False, True, True, False
+        self.remote: Stream | None = None
+        self.open, self.alive, self.reading, self.closing = False, True, True, False
         self.bytes_written = self.bytes_sent = self.queued = self.unread = 0
-        self.write_queue, self.stash, self.early = deque(), deque(), []
-        self.limit, self.gone = None, None
+        self.write_queue, self.received, self.events_before_accept = deque(), deque(), []
+        self.limit_timer, self.close_reason = None, None
         host.streams[number] = self
         host.open_streams += 1
 
     def connected(self) -> None:
+        """The connection came up: calls the owner and sends what was written before."""
         if not self.alive:
             return
-        if self.limit is not None:
-            self.limit.cancel()
+        if self.limit_timer is not None:
+            self.limit_timer.cancel()
         self.open = True
         self.owner.opened(self)
         self.flush()
 
     def write(self, data: bytes) -> None:
+        """Queues the data and sends what the window takes; ignored once the stream is closed."""
         self.bytes_written += len(data)
-        if not self.alive or self.ending or not data:
+        if not self.alive or self.closing or not data:
             return
         self.queued += len(data)
         self.write_queue.append(bytes(data))
@@ -77,9 +81,12 @@
             self.flush(quiet=True)
 
     def flush(self, quiet: bool = False) -> None:
-        """Hands over what the window takes; the reader opens it again by reading."""
-        while self.write_queue and self.alive and self.other is not None:
-            room = WINDOW - self.other.unread
+        """Sends what the window takes; the reader opens it again by reading.
+
+        `quiet`: the owner is not told that the queue is empty.
+        """
+        while self.write_queue and self.alive and self.remote is not None:
+            room = WINDOW - self.remote.unread
             if room <= 0:
                 return
             data = self.write_queue.popleft()
@@ -88,103 +95,113 @@
                 data = data[:room]
             self.bytes_sent += len(data)
             self.queued -= len(data)
-            self.other.unread += len(data)
-            self.send(lambda other, data=data: other.arrived(data))
+            self.remote.unread += len(data)
+            self.send(lambda remote, data=data: remote.data_arrived(data))
         if self.alive and not self.write_queue and self.open:
-            if self.ending:
-                self.finish()
+            if self.closing:
+                self.finish_close()
             elif not quiet:
                 self.owner.write_buffer_drained(self)
 
-    def send(self, what: Callable[["Stream"], None]) -> None:
-        other, host = self.other, self.other.loop
+    def send(self, event: Callable[["Stream"], None]) -> None:
+        """Calls `event` with the other end after the delay; lost if this host is silent."""
+        remote, host = self.remote, self.remote.loop
         if not self.loop.silent:
             host.deliver_at(
-                self.loop.world.now + self.delay, lambda: other.take(lambda: what(other))
+                self.loop.network.now + self.delay, lambda: remote.handle(lambda: event(remote))
             )
 
-    def take(self, call: Callable[[], None]) -> None:
-        """In this end's turn; kept while the listener has not accepted yet."""
+    def handle(self, event: Callable[[], None]) -> None:
+        """Runs an event in this end's turn; it is kept until the listener has accepted."""
         if self.owner is None:
-            self.early.append(call)
+            self.events_before_accept.append(event)
         elif self.alive:
-            call()
+            event()
 
-    def arrived(self, data: bytes) -> None:
-        if self.reading and not self.stash:
+    def data_arrived(self, data: bytes) -> None:
+        """Hands data to the owner, or keeps it while reading is paused."""
+        if self.reading and not self.received:
             self.read(data)
         else:
-            self.stash.append(data)
+            self.received.append(data)
 
     def read(self, data: bytes) -> None:
+        """Hands data to the owner and lets the other end send more."""
         self.unread -= len(data)
-        other = self.other
-        if other is not None and other.write_queue and other.alive:
-            other.loop.deliver_at(
-                self.loop.world.now + self.delay, lambda: other.alive and other.flush()
+        remote = self.remote
+        if remote is not None and remote.write_queue and remote.alive:
+            remote.loop.deliver_at(
+                self.loop.network.now + self.delay, lambda: remote.alive and remote.flush()
             )
-        if not self.ending:
+        if not self.closing:
             self.owner.data_received(self, data)
 
     def read_now(self) -> None:
-        """Nothing lies unread here."""
+        """Does nothing: no data lies unread here."""
 
     def unacknowledged(self) -> int:
-        """What is told here has been handed over."""
+        """Always 0: what was sent has been delivered."""
         return 0
 
     def pause_reading(self) -> None:
+        """Keeps what arrives from now on."""
         self.reading = False
 
     def resume_reading(self) -> None:
+        """Hands over what was kept, later in this turn, and reads on."""
         self.reading = True
-        if self.stash:
-            self.loop.call_soon(self.unstash)
+        if self.received:
+            self.loop.call_soon(self.read_received)
 
-    def unstash(self) -> None:
-        while self.stash and self.reading and self.alive:
-            data = self.stash.popleft()
+    def read_received(self) -> None:
+        """Hands over the kept data, then the close that came after it."""
+        while self.received and self.reading and self.alive:
+            data = self.received.popleft()
             if data is None:
-                return self.lose(self.gone)
+                return self.close_now(self.close_reason)
             self.read(data)
 
-    def ended(self, why: str | None) -> None:
-        """The peer's end arrives, behind its data; a reset overtakes what was not read."""
-        if self.stash and why is None:
-            self.gone = why
-            self.stash.append(None)
+    def remote_closed(self, reason: str | None) -> None:
+        """The other end closed: handled after its data; a reset overtakes data that is not read."""
+        if self.received and reason is None:
+            self.close_reason = reason
+            self.received.append(None)
         else:
-            self.lose(why)
-
-    def finish(self) -> None:
-        if self.other is not None and self.other.alive:
-            self.send(lambda other: other.ended(None))
-        self.lose(None)
-
-    def close(self, deliver_ms: float | None = None) -> None:
-        if self.alive and not self.ending:
-            self.ending = True
+            self.close_now(reason)
+
+    def finish_close(self) -> None:
+        """Everything is sent: tells the other end and closes."""
+        if self.remote is not None and self.remote.alive:
+            self.send(lambda remote: remote.remote_closed(None))
+        self.close_now(None)
+
+    def close(self, delivery_limit_ms: float | None = None) -> None:
+        """Closes once everything queued is sent."""
+        if self.alive and not self.closing:
+            self.closing = True
             if not self.write_queue:
-                self.finish()
+                self.finish_close()
 
     def abort(self) -> None:
+        """Closes at once with a reset; what is queued is dropped."""
         if self.alive:
-            self.cut("Connection reset by peer")
-            self.lose("aborted")
+            self.reset_remote("Connection reset by peer")
+            self.close_now("aborted")
 
-    def cut(self, why: str) -> None:
-        """Tells the peer of a reset."""
-        if self.other is not None and self.other.alive:
-            self.send(lambda other: other.ended(why))
+    def reset_remote(self, reason: str) -> None:
+        """Sends the other end a reset."""
+        if self.remote is not None and self.remote.alive:
+            self.send(lambda remote: remote.remote_closed(reason))
 
-    def lose(self, why: str | None) -> None:
+    def close_now(self, reason: str | None) -> None:
+        """Drops what is queued, leaves the loop and calls the owner's `closed`."""
         if not self.alive:
             return
         self.alive = False
-        if self.limit is not None:
-            self.limit.cancel()
+        if self.limit_timer is not None:
+            self.limit_timer.cancel()
         self.loop.streams.pop(self.number, None)
         self.loop.open_streams -= 1
         self.write_queue.clear()
         if self.owner is not None:
-            self.owner.closed(self, why)
+            self.owner.closed(self, reason)
--- a/laddergw/loop/signal_mask.py
+++ b/laddergw/loop/signal_mask.py
@@ -1,8 +1,7 @@
-"""Holds a process's signals back until the loop takes them: by the system's default it would die of
-them.
+"""Blocks a process's signals until the loop handles them: their default action ends the process.
 
-Imports the C module alone, since `signal` imports `enum` for its names: milliseconds in which the
-default still holds.
+Imports only the C module: `signal` imports `enum` for its names, which takes milliseconds during
+which the default action still applies.
 """
 
 from _signal import SIG_BLOCK, SIG_UNBLOCK, SIGHUP, SIGINT, SIGTERM, pthread_sigmask
@@ -11,10 +10,10 @@
 
 
 def block_signals() -> None:
-    """From now on they wait in the kernel; several of one kind count as one."""
+    """Keeps the signals pending in the kernel; several of one kind count as one."""
     pthread_sigmask(SIG_BLOCK, BLOCKED_SIGNALS)
 
 
 def unblock_signal(number: int) -> None:
-    """Its handler stands: what has waited comes at once."""
+    """Called once the signal's handler is installed; a pending signal is delivered at once."""
     pthread_sigmask(SIG_UNBLOCK, (number,))
--- a/laddergw/loop/sockets.py
+++ b/laddergw/loop/sockets.py
@@ -1,5 +1,5 @@
-"""The loop on real sockets: selectors, signals by a wake-up descriptor, child processes by their
-descriptors.
+"""The loop on real sockets: selectors, signals through a wake-up descriptor, child processes
+through their descriptors.
 """
 
 import errno
@@ -15,38 +15,40 @@
 from laddergw.loop import signal_mask
 from laddergw.loop.base import CONNECTION_REFUSED, NO_DESCRIPTOR, BaseLoop, Owner, wait_ms
 from laddergw.loop.lingering import Lingering
-from laddergw.loop.listener import NO_ROOM, Listener
+from laddergw.loop.listener import OUT_OF_RESOURCES, Listener
 from laddergw.loop.streams import Stream
 
 if TYPE_CHECKING:
     import subprocess
 
-BACKLOG = 1024  # connections that wait in the kernel: a burst while a turn runs
-LONGEST_WAIT_MS = 100.0  # wait of one turn: a stand-still of the process is seen to within this
-# closed connections that still wait for their peers' ends; one more, and the oldest is cut off: a
-# flood of
-LINGERS = 16
-# connections that we close must not hold descriptors
+BACKLOG = 1024  # connections that wait in the kernel: a burst that arrives while a turn runs
+MAX_WAIT_MS = 100.0  # wait of one turn; a stall of the process is noticed with this precision
+# closed connections that still wait for their peers to close; beyond that the oldest is closed, so
+# that a flood of connections that we close does not hold descriptors
+MAX_LINGERING = 16
 
 
 def clock() -> float:
+    """The monotonic clock, ms."""
     return time.monotonic_ns() / 1e6
 
 
 class DescriptorWatch:
-    """Any descriptor that becomes readable: the wake-up socket of signals, a child's descriptor, a
-    pipe.
+    """Calls back when a descriptor is readable: the wake-up socket of signals, a child's
+    descriptor, a pipe.
     """
 
-    def __init__(self, loop: "SocketLoop", fd, call: Callable[[], None]):
-        self.loop, self.fd, self.call = loop, fd, call
+    def __init__(self, loop: "SocketLoop", fd, callback: Callable[[], None]):
+        self.loop, self.fd, self.callback = loop, fd, callback
         loop.selector.register(fd, selectors.EVENT_READ, self)
 
     def ready(self, events: int) -> None:
+        """Calls back, unless an event earlier in this turn closed the watch."""
         if self.fd is not None:
-            self.call()
+            self.callback()
 
     def close(self) -> None:
+        """Stops watching; the descriptor itself stays open."""
         if self.fd is not None:
             self.loop.selector.unregister(self.fd)
             self.fd = None
@@ -55,19 +57,21 @@
 class SocketLoop(BaseLoop):
     """The loop that programs run on.
 
-    Work in one turn is bounded: one read a stream, so many accepts and timers.
+    Work in one turn is bounded: one read per stream, a limited number of accepts and timers.
     """
 
     def __init__(self, clock: Callable[[], float] = clock, selector=None):
         super().__init__(clock())
         self.clock, self.selector = clock, selector or selectors.DefaultSelector()
         self.open_streams = self.failed_accepts = 0
-        self.last_error, self.signals, self.wakeup, self.over = None, {}, None, False
+        self.last_error, self.signal_handlers, self.wakeup, self.is_closed = None, {}, None, False
 
     def read_clock(self) -> float:
+        """See BaseLoop."""
         return self.clock()
 
     def listen(self, address: tuple[str, int], accept: Callable[[Stream], Owner]) -> Listener:
+        """Listens at an address. Raises OSError, as for an address that is in use."""
         sock = socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM
         )
@@ -81,28 +85,29 @@
             raise
         return Listener(self, sock, accept)
 
-    def adopt(self, sock: socket.socket, peer, accept: Callable[[Stream], Owner]) -> None:
+    def add_accepted(self, sock: socket.socket, peer, accept: Callable[[Stream], Owner]) -> None:
+        """Makes a stream of an accepted socket and gives it to the owner that `accept` returns."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = Stream(self, sock, None, peer)
         stream.open, self.open_streams = True, self.open_streams + 1
         stream.owner = accept(stream)
         stream.owner.opened(stream)
-        stream.watch()
+        stream.update_selector()
 
     def dial(self, address: tuple[str, int], owner: Owner, limit_ms: float) -> Stream:
-        """Connects; the owner is told `opened`, or `closed` with the reason, never within this
+        """Connects; calls the owner's `opened`, or `closed` with the reason, never within this
         call.
         """
-        if self.over:  # asked for as a connection ends with the loop
+        if self.is_closed:  # dialled when a connection ended as the loop was closed
             return Stream(self, None, owner, address)
         try:
-            sock = self.with_room(
+            sock = self.with_free_descriptor(
                 lambda: socket.socket(
                     socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM
                 )
             )
-        except OSError as error:  # this connection does not come up, nothing else is harmed
+        except OSError as error:  # only this connection fails
             self.last_error, stream = str(error), Stream(self, None, owner, address)
             self.call_soon(lambda: owner.closed(stream, NO_DESCRIPTOR))
             return stream
@@ -115,107 +120,116 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            why = (
+            reason = (
                 CONNECTION_REFUSED
                 if error.errno == errno.ECONNREFUSED
                 else str(error.strerror or error)
             )
-            self.call_soon(lambda: stream.lose(why))
+            self.call_soon(lambda: stream.close_now(reason))
             return stream
-        stream.limit = self.call_later(limit_ms, lambda: stream.lose("no connection in time"))
-        stream.watch()
+        stream.limit_timer = self.call_later(
+            limit_ms, lambda: stream.close_now("no connection in time")
+        )
+        stream.update_selector()
         return stream
 
-    def with_room(self, take: Callable):
-        """Takes a descriptor; where none is left, connections that are closed for good and wait for
-        their peers' ends give way, oldest
-        first: whoever does not end its side would hold them from all others."""
+    def with_free_descriptor(self, take: Callable):
+        """Calls `take`, which needs a descriptor.
+
+        Where none is free, lingering connections are closed, oldest first, until it succeeds: a
+        peer that does not close its side would otherwise keep descriptors from all others.
+        """
         while True:
             try:
                 return take()
             except OSError as error:
-                if error.errno not in NO_ROOM or not self.lingering:
+                if error.errno not in OUT_OF_RESOURCES or not self.lingering:
                     raise
                 next(iter(self.lingering)).close()
 
-    def linger(self, sock: socket.socket, deliver_ms: float | None) -> None:
-        """Takes over a socket that is closed for good, until its peer has ended too."""
+    def linger(self, sock: socket.socket, delivery_limit_ms: float | None) -> None:
+        """Takes over a socket that its stream has closed, until its peer has closed too."""
         try:
             sock.shutdown(socket.SHUT_WR)
         except OSError:  # the peer has reset it
             return sock.close()
-        if self.over:
+        if self.is_closed:
             return sock.close()
-        self.lingering[Lingering(self, sock, deliver_ms)] = None
-        if len(self.lingering) > LINGERS:
+        self.lingering[Lingering(self, sock, delivery_limit_ms)] = None
+        if len(self.lingering) > MAX_LINGERING:
             next(iter(self.lingering)).close()
 
-    def on_signal(self, number: int, call: Callable[[], None]) -> None:
+    def on_signal(self, number: int, callback: Callable[[], None]) -> None:
+        """Calls back in a turn after the signal has come; unblocks the signal."""
         if self.wakeup is None:
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
             theirs.setblocking(False)
             signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
-            self.wakeup = DescriptorWatch(self, ours, self.woken), theirs
-        self.signals[number] = call
+            self.wakeup = DescriptorWatch(self, ours, self.handle_signals), theirs
+        self.signal_handlers[number] = callback
         signal.signal(number, lambda *_: None)
         signal_mask.unblock_signal(number)
 
-    def woken(self) -> None:
-        """Each kind once a turn, in the order in which they came first."""
+    def handle_signals(self) -> None:
+        """Handles each kind of signal once per turn, in the order in which they came first."""
         for number in dict.fromkeys(self.wakeup[0].fd.recv(4096)):
-            if number in self.signals:
-                self.signals[number]()
+            if number in self.signal_handlers:
+                self.signal_handlers[number]()
 
     def spawn(
-        self, command: list[str], ended: Callable[[int], None], **options
+        self, command: list[str], on_exit: Callable[[int], None], **options
     ) -> "subprocess.Popen":
-        """Starts a child process; `ended(status)` is called in a turn when it has gone."""
-        import subprocess  # only programs that have children pay for it
+        """Starts a child process; `on_exit(status)` is called in a turn after it has ended."""
+        import subprocess  # a local import: only programs with child processes pay for it
 
         child = subprocess.Popen(command, **options)
         handle = os.pidfd_open(child.pid)
 
-        def gone() -> None:
+        def exited() -> None:
             watch.close()
             os.close(handle)
-            ended(child.wait())
+            on_exit(child.wait())
 
-        watch = DescriptorWatch(self, handle, gone)
+        watch = DescriptorWatch(self, handle, exited)
         return child
 
     def turn(self) -> None:
-        """Waits for what comes, then tells sockets before timers: what came in time is in time."""
+        """Waits for events, then handles sockets before timers: data that came in time is handled
+        before a timer that is due in the same turn.
+        """
         due = self.timers.next()
-        wait = 0.0 if self.calls else wait_ms(self.now, due, LONGEST_WAIT_MS)
+        wait = 0.0 if self.deferred_calls else wait_ms(self.now, due, MAX_WAIT_MS)
         before = self.now
         events = self.selector.select(math.ceil(wait) / 1000)
         self.now = self.clock()
-        self.lagged(max(0.0, self.now - before - wait - 1.0), self.now - before)
+        self.record_lag(max(0.0, self.now - before - wait - 1.0), self.now - before)
         self.begin_turn()
-        # Peers are heard before connections come up and queues move on: what one of them took back
-        # must not leave in this turn
-        for wanted in selectors.EVENT_READ, selectors.EVENT_WRITE:
+        # Data is read before connections come up and queues are written out: a write that a peer's
+        # message cancels must not leave in this turn.
+        for event in selectors.EVENT_READ, selectors.EVENT_WRITE:
             for key, mask in events:
-                if key.data is not None and mask & wanted:
-                    self.run_guarded(key.data.ready, mask & wanted)
+                if key.data is not None and mask & event:
+                    self.run_guarded(key.data.ready, mask & event)
                     self.run_calls()
         self.run_calls()
         self.run_timers()
         self.end_turn()
 
     def run(self) -> None:
+        """Runs turns until the loop is stopped."""
         while self.running:
             self.turn()
 
     def close(self) -> None:
-        if self.over:
+        """Closes every stream, listener and watch; may be called twice."""
+        if self.is_closed:
             return
-        self.over = True
+        self.is_closed = True
         ours = self.wakeup[0].fd if self.wakeup is not None else None
         for key in list(self.selector.get_map().values()):
             if isinstance(key.data, Stream):
-                key.data.lose("loop closed")
+                key.data.close_now("loop closed")
             else:
                 key.data.close()
         if self.wakeup is not None:
--- a/laddergw/loop/streams.py
+++ b/laddergw/loop/streams.py
@@ -1,5 +1,5 @@
-"""A connected socket on the loop: what is written waits until the kernel takes it, what comes is
-handed to the stream's owner.
+"""A connected socket on the loop: written data waits until the kernel takes it, received data goes
+to the stream's owner.
 """
 
 import errno
@@ -9,32 +9,32 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from laddergw.loop.base import CONNECTION_REFUSED, Outgoing, Owner
+from laddergw.loop.base import CONNECTION_REFUSED, Owner, QueuedWrites
 from laddergw.loop.lingering import READ_BYTES, RESET, unacknowledged
 
 if TYPE_CHECKING:
     from laddergw.loop.sockets import SocketLoop
 
-# what is queued on a connection that we have closed: a peer that takes nothing for so long gets no
-# more
-STUCK_MS = 5_000.0
+# limit for the queue of a connection that we have closed: if its peer takes nothing for so long,
+# the rest is dropped
+CLOSE_STALL_MS = 5_000.0
 
 
-class Stream(Outgoing):
+class Stream(QueuedWrites):
     """A connected socket.
 
-    `bytes_sent` counts the bytes that the kernel took, `bytes_written` those that we were given to
-    write. `may_have_more`: the last turn's read stopped at its bound, so its peer may have said
-    more, or have left.
+    `bytes_sent` counts the bytes that the kernel took, `bytes_written` those that were passed to
+    `write`. `may_have_more`: the last turn's read stopped at its bound, so the peer may have sent
+    more, or have closed.
     """
 
     __slots__ = (
         "bytes_sent",
         "bytes_written",
-        "deliver_ms",
-        "ending",
+        "closing",
+        "delivery_limit_ms",
         "fd",
-        "limit",
+        "limit_timer",
         "loop",
         "mask",
         "may_have_more",
@@ -57,62 +57,62 @@
         )
         self.write_queue: deque = deque()
         self.queued = self.bytes_written = self.bytes_sent = self.mask = 0
-        self.reading, self.ending, self.open, self.limit, self.may_have_more = (
+        self.reading, self.closing, self.open, self.limit_timer, self.may_have_more = (
             True,
             False,
             False,
             None,
             False,
         )
-        self.deliver_ms = None
+        self.delivery_limit_ms = None
 
     def write(self, data: bytes) -> None:
-        """Writes what the kernel takes now and keeps the rest.
-
-        Nothing is written once the stream has closed.
-        """
+        """Writes what the kernel takes now, queues the rest; ignored once the stream is closed."""
         self.bytes_written += len(data)
-        if self.sock is None or self.ending or not data:
+        if self.sock is None or self.closing or not data:
             return
         if self.open and not self.write_queue:
-            data = data[self.push(data) :]
+            data = data[self.send(data) :]
         if data and self.sock is not None:
             self.write_queue.append(data)
             self.queued += len(data)
-            self.watch()
+            self.update_selector()
 
-    def push(self, data) -> int:
+    def send(self, data) -> int:
+        """Returns how many bytes the kernel took."""
         try:
             count = self.sock.send(data)
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError as error:
-            why = str(error.strerror or error)
-            self.loop.call_soon(lambda: self.lose(why))
+            reason = str(error.strerror or error)
+            self.loop.call_soon(lambda: self.close_now(reason))
             return 0
         self.bytes_sent += count
         return count
 
     def flush(self) -> None:
+        """Sends queued writes as far as the kernel takes them."""
         while self.write_queue and self.sock is not None:
             data = self.write_queue[0]
-            count = self.push(data)
+            count = self.send(data)
             self.queued -= count
             if count < len(data):
                 if count:
                     self.write_queue[0] = data[count:]
-                if count and self.ending and self.deliver_ms is None:
-                    self.set_close_timeout(STUCK_MS)
+                if count and self.closing and self.delivery_limit_ms is None:
+                    self.set_close_timeout(CLOSE_STALL_MS)
                 return
             self.write_queue.popleft()
         if self.sock is None:
             return
-        if self.ending:
+        if self.closing:
             self.finish_close()
         else:
             self.owner.write_buffer_drained(self)
 
-    def watch(self) -> None:
+    def update_selector(self) -> None:
+        """Registers the socket for the events that the stream waits for now."""
         if self.sock is None:
             return
         mask = (selectors.EVENT_READ if self.reading and self.open else 0) | (
@@ -129,103 +129,113 @@
             self.mask = mask
 
     def ready(self, events: int) -> None:
-        if self.sock is None:  # closed by an event told earlier in this turn
+        """Handles the events of the selector."""
+        if self.sock is None:  # closed by an earlier event of this turn
             return
         if not self.open:
             return self.connected() if events & selectors.EVENT_WRITE else None
         if events & selectors.EVENT_WRITE:
             self.flush()
-            self.watch()
+            self.update_selector()
         if events & selectors.EVENT_READ:
             self.read_now()
 
     def read_now(self) -> None:
-        """Reads all that has come, within the bound: a peer's end stands behind its last bytes, and
-        is seen in the turn that reads those.
+        """Reads all that has arrived, within the bound.
+
+        A peer's close comes after its last bytes and is seen in the turn that reads those.
         """
         left, self.may_have_more = READ_BYTES, False
         while self.sock is not None and self.reading and not self.may_have_more:
             try:
-                data = self.sock.recv(
-                    left or 1
-                )  # one byte past the bound tells whether there is more
+                # past the bound, one more byte shows whether there is more
+                data = self.sock.recv(left or 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
-                return self.lose(str(error.strerror or error))
+                return self.close_now(str(error.strerror or error))
             if not data:
-                return self.lose(None)
+                return self.close_now(None)
             self.may_have_more, left = not left, max(0, left - len(data))
             self.owner.data_received(self, data)
 
     def connected(self) -> None:
-        if self.limit is not None:
-            self.limit.cancel()
+        """The connect ended: closes the stream on an error, else calls the owner's `opened`."""
+        if self.limit_timer is not None:
+            self.limit_timer.cancel()
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            return self.lose(
+            return self.close_now(
                 CONNECTION_REFUSED if error == errno.ECONNREFUSED else os.strerror(error)
             )
         self.open = True
-        if self.ending:
-            self.set_close_timeout(STUCK_MS if self.deliver_ms is None else self.deliver_ms)
+        if self.closing:
+            self.set_close_timeout(
+                CLOSE_STALL_MS if self.delivery_limit_ms is None else self.delivery_limit_ms
+            )
         self.owner.opened(self)
         if self.sock is not None and self.write_queue:
             self.flush()
-        self.watch()
+        self.update_selector()
 
     def unacknowledged(self) -> int:
+        """Bytes that the kernel took and the peer's kernel has not acknowledged."""
         return unacknowledged(self.sock)
 
     def pause_reading(self) -> None:
+        """Leaves what arrives in the kernel's buffer, so that the peer is held back."""
         self.reading = False
-        self.watch()
+        self.update_selector()
 
     def resume_reading(self) -> None:
+        """Reads again."""
         self.reading = True
-        self.watch()
+        self.update_selector()
+
+    def close(self, delivery_limit_ms: float | None = None) -> None:
+        """Closes once everything queued is sent; nothing more is read.
 
-    def close(self, deliver_ms: float | None = None) -> None:
-        """Ends after what is queued; nothing more is read. `deliver_ms`, where it is told: what the
-        peer's system has not got so long
-        after that is taken back from ours, and never arrives; else ours goes on delivering it."""
-        if self.sock is None or self.ending:
+        With `delivery_limit_ms`, what the peer's kernel has not acknowledged so long after that is
+        discarded from ours and never arrives; without it, ours goes on delivering.
+        """
+        if self.sock is None or self.closing:
             return
-        self.ending, self.deliver_ms = True, deliver_ms
+        self.closing, self.delivery_limit_ms = True, delivery_limit_ms
         if not self.write_queue:
             self.finish_close()
         else:
             self.pause_reading()
-            self.set_close_timeout(STUCK_MS if deliver_ms is None else deliver_ms)
+            self.set_close_timeout(
+                CLOSE_STALL_MS if delivery_limit_ms is None else delivery_limit_ms
+            )
 
     def set_close_timeout(self, ms: float) -> None:
-        """Closed, with something queued: so long, then it is dropped. (A connection that does not
-        come up has its own limit.)
+        """Aborts the closing stream unless its queue is sent within `ms`.
+
+        A connection that has not come up yet has its own limit.
         """
         if self.open:
-            if self.limit is not None:
-                self.limit.cancel()
-            self.limit = self.loop.call_later(ms, self.abort)
+            if self.limit_timer is not None:
+                self.limit_timer.cancel()
+            self.limit_timer = self.loop.call_later(ms, self.abort)
 
     def finish_close(self) -> None:
-        """Its owner is told that it has ended; the socket itself lingers until the peer has ended
-        too.
-        """
+        """Tells the owner that the stream is closed; the socket lingers until its peer closes."""
         if not self.open:
-            return self.lose(None)
-        self.loop.linger(self.leave_loop(), self.deliver_ms)
+            return self.close_now(None)
+        self.loop.linger(self.detach_socket(), self.delivery_limit_ms)
         self.owner.closed(self, None)
 
     def abort(self) -> None:
-        """Ends at once with a reset; what is queued is dropped."""
+        """Closes at once with a reset; what is queued is dropped."""
         if self.sock is not None:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            self.lose("aborted")
+            self.close_now("aborted")
 
-    def leave_loop(self) -> socket.socket:
-        """Its socket, which the loop does not look at any more."""
-        if self.limit is not None:
-            self.limit.cancel()
+    def detach_socket(self) -> socket.socket:
+        """Removes the socket from the loop and returns it; drops what is queued."""
+        if self.limit_timer is not None:
+            self.limit_timer.cancel()
         if self.mask:
             self.loop.selector.unregister(self.sock)
         sock, self.sock, self.mask = self.sock, None, 0
@@ -233,7 +243,8 @@
         self.loop.open_streams -= 1
         return sock
 
-    def lose(self, why: str | None) -> None:
+    def close_now(self, reason: str | None) -> None:
+        """Closes the socket and calls the owner's `closed`, unless the stream is closed already."""
         if self.sock is not None:
-            self.leave_loop().close()
-            self.owner.closed(self, why)
+            self.detach_socket().close()
+            self.owner.closed(self, reason)
--- a/tests/test_loop_waits.py
+++ b/tests/test_loop_waits.py
@@ -1,4 +1,4 @@
-"""The loop's turns: it waits once nothing asks for it any more, the work of one turn is bounded, and a long one is told with what it ran."""
+"""Turns of the loop: a turn waits when no work is pending, its work is bounded, and a slow one is logged with its longest calls."""
 import errno
 import random
 import selectors
@@ -9,18 +9,19 @@
 from laddergw.loop.listener import ACCEPT_PAUSE_MS, Listener
 from laddergw.loop.sockets import DescriptorWatch, SocketLoop
 
-WORK_MS, LONG_WORK_MS = 0.002, 0.5    # of a call, by the virtual clock
-TURNS = 1_500              # of one drawn world with long work: past all that it draws asks for
-ASKS = 40                  # things that ask for the loop again in one world
-READY, LATER = 0.0, 40.0   # ms until a drawn descriptor is ready again: at once, or after a wait
+# ms that each reading of the virtual clock moves it on: the duration of a call
+WORK_MS, LONG_WORK_MS = 0.002, 0.5
+TURNS = 1_500              # of one simulation with long work: more than all its random work takes
+MAX_REQUESTS = 40          # pieces of follow-up work in one simulation
+READY_MS, LATER_MS = 0.0, 40.0   # until a random descriptor is ready again: at once, or after a wait
 
 
-class World:
-    """A clock that only work and waits move, and descriptors that are ready as drawn."""
+class Simulation:
+    """A clock that moves only by work and waits, and a selector whose descriptors are ready at random times."""
 
     def __init__(self, seed, work_ms=WORK_MS):
         self.work_ms = work_ms
-        self.now, self.draw, self.ready, self.waits = 0.0, random.Random(seed), {}, 0
+        self.now, self.random, self.ready_at, self.wait_count = 0.0, random.Random(seed), {}, 0
         self.loop = SocketLoop(self.clock, self)
 
     def clock(self):
@@ -28,17 +29,17 @@
         return self.now
 
     def sleep(self, seconds):
-        self.now, self.waits = self.now + seconds * 1000, self.waits + 1
+        self.now, self.wait_count = self.now + seconds * 1000, self.wait_count + 1
 
-    # As the selector
+    # The interface of a selector
 
     def register(self, fd, events, data):
-        if fd in self.ready:
+        if fd in self.ready_at:
             raise KeyError(f"{fd!r} is registered")
-        self.ready[fd] = [SimpleNamespace(data=data), self.now]
+        self.ready_at[fd] = [SimpleNamespace(data=data), self.now]
 
     def unregister(self, fd):
-        del self.ready[fd]
+        del self.ready_at[fd]
 
     def get_map(self):
         return {}
@@ -47,116 +48,119 @@
         pass
 
     def select(self, timeout):
-        due = min((at for _, at in self.ready.values()), default=self.now + 1e9)
+        due = min((when for _, when in self.ready_at.values()), default=self.now + 1e9)
         wait = min(timeout * 1000, max(0.0, due - self.now))
         if wait > 0:
             self.sleep(wait / 1000)
-        return [(key, selectors.EVENT_READ) for key, at in list(self.ready.values()) if at <= self.now]
+        return [(key, selectors.EVENT_READ) for key, when in list(self.ready_at.values()) if when <= self.now]
 
 
-class Full:
+class FullSocket:
     """A listening socket of a process that has no descriptor left."""
 
     def __init__(self):
-        self.asked = 0
+        self.accept_count = 0
 
     def getsockname(self):
         return "127.0.0.1", 1
 
     def accept(self):
-        self.asked += 1
+        self.accept_count += 1
         raise OSError(errno.EMFILE, "Too many open files")
 
     def close(self):
         pass
 
 
-def annoy(world, left):
-    """One thing that asks for the loop again, drawn: a descriptor, a call or a timer, at once or a little later, or one that fails."""
-    loop, kind = world.loop, world.draw.randrange(5 if world.loop.turn_end_calls else 6)   # (what a turn's end calls stays for good)
+def add_work(simulation, requests_left):
+    """Adds one random piece of work that adds more when it runs: a descriptor, a deferred call, a timer, or a callback that fails.
 
-    def again():
-        if left[0] > 0:
-            left[0] -= 1
-            annoy(world, left)
+    Work is due at once or a little later. A callback of a turn's end stays for good, so only one is added.
+    """
+    loop, kind = simulation.loop, simulation.random.randrange(5 if simulation.loop.turn_end_calls else 6)
+
+    def run():
+        if requests_left[0] > 0:
+            requests_left[0] -= 1
+            add_work(simulation, requests_left)
         if kind == 5:
-            raise RuntimeError("drawn")
+            raise RuntimeError("random failure")
     if kind == 0:
-        loop.call_soon(again)
+        loop.call_soon(run)
     elif kind == 1:
-        loop.call_later(0, again)
+        loop.call_later(0, run)
     elif kind == 2:
-        loop.call_at(loop.now - world.draw.random() * 100, again)
+        loop.call_at(loop.now - simulation.random.random() * 100, run)
     elif kind == 3:
-        loop.call_later(world.draw.random() * LATER, again)
+        loop.call_later(simulation.random.random() * LATER_MS, run)
     elif kind == 4:
-        watch = DescriptorWatch(loop, object(), lambda: None)        # a descriptor that nobody empties
-        world.ready[watch.fd][1] += world.draw.choice((READY, READY, LATER))
-        loop.call_later(world.draw.random() * LATER, lambda: (watch.close(), again()))
+        watch = DescriptorWatch(loop, object(), lambda: None)        # a descriptor that nobody reads
+        simulation.ready_at[watch.fd][1] += simulation.random.choice((READY_MS, READY_MS, LATER_MS))
+        loop.call_later(simulation.random.random() * LATER_MS, lambda: (watch.close(), run()))
     else:
-        loop.on_turn_end(again)
+        loop.on_turn_end(run)
 
 
-class Waits(unittest.TestCase):
-    def test_it_waits_once_nothing_asks_for_it_any_more(self):
+class TurnTests(unittest.TestCase):
+    def test_a_turn_waits_when_no_work_is_pending(self):
         for seed in range(12):
-            world = World(seed, LONG_WORK_MS)
+            simulation = Simulation(seed, LONG_WORK_MS)
             for _ in range(1 + seed % 5):
-                annoy(world, [ASKS])
+                add_work(simulation, [MAX_REQUESTS])
             with self.subTest(seed=seed), self.assertLogs("laddergw.loop") as logs:
-                world.loop.run_guarded(lambda: 1 / 0)          # (assertLogs wants one line at least)
+                simulation.loop.run_guarded(lambda: 1 / 0)          # assertLogs needs at least one record
                 for _ in range(TURNS):
-                    world.loop.turn()
+                    simulation.loop.turn()
                 self.assertGreater(len(logs.output), 0)
-                world.loop.turn_end_calls.clear()
+                simulation.loop.turn_end_calls.clear()
                 for _ in range(100):
-                    waits = world.waits
-                    world.loop.turn()
-                    self.assertEqual(world.waits, waits + 1, "a turn that waited for nothing")
+                    wait_count = simulation.wait_count
+                    simulation.loop.turn()
+                    self.assertEqual(simulation.wait_count, wait_count + 1, "a turn did not wait although no work was pending")
 
-    def test_a_call_that_asks_for_itself_ends_its_turn(self):
-        """Bounded in one turn, and the timers and the ends of turns have theirs."""
-        world, calls, ends = World(2), [], []
+    def test_a_call_that_defers_itself_is_bounded_in_a_turn(self):
+        """Timers and the callbacks of a turn's end still run in that turn."""
+        simulation, calls, others = Simulation(2), [], []
 
-        def again():
+        def defer_itself():
             calls.append(1)
-            world.loop.call_soon(again)
-        world.loop.call_soon(again)
-        world.loop.call_later(0, lambda: ends.append("timer"))
-        world.loop.on_turn_end(lambda: ends.append("end"))
+            simulation.loop.call_soon(defer_itself)
+        simulation.loop.call_soon(defer_itself)
+        simulation.loop.call_later(0, lambda: others.append("timer"))
+        simulation.loop.on_turn_end(lambda: others.append("end"))
         for _ in range(2):
-            world.loop.turn()
-        self.assertEqual((len(calls), ends), (2 * MAX_CALLS_PER_TURN, ["timer", "end", "end"]))
-
-    def test_a_listener_without_descriptors_rests(self):
-        world, sock = World(3), Full()
-        listener = Listener(world.loop, sock, None)
-        while world.now < 20.5 * ACCEPT_PAUSE_MS:
-            world.loop.turn()
-        self.assertIn(sock.asked, (20, 21))
-        self.assertEqual(world.loop.failed_accepts, sock.asked)
+            simulation.loop.turn()
+        self.assertEqual((len(calls), others), (2 * MAX_CALLS_PER_TURN, ["timer", "end", "end"]))
+
+    def test_a_listener_without_free_descriptors_pauses(self):
+        simulation, sock = Simulation(3), FullSocket()
+        listener = Listener(simulation.loop, sock, None)
+        while simulation.now < 20.5 * ACCEPT_PAUSE_MS:
+            simulation.loop.turn()
+        self.assertIn(sock.accept_count, (20, 21))
+        self.assertEqual(simulation.loop.failed_accepts, sock.accept_count)
         listener.close()
-        world.loop.turn()
-        self.assertNotIn(sock, world.ready)
+        simulation.loop.turn()
+        self.assertNotIn(sock, simulation.ready_at)
 
-    def test_a_timer_at_no_time_is_refused(self):
-        loop = World(4).loop
-        for add in loop.call_at, loop.call_later:
-            self.assertRaises(ValueError, add, float("nan"), print)
+    def test_a_timer_at_nan_is_refused(self):
+        loop = Simulation(4).loop
+        for add_timer in loop.call_at, loop.call_later:
+            self.assertRaises(ValueError, add_timer, float("nan"), print)
 
-    def test_a_long_turn_is_told_with_what_it_ran(self):
-        world = World(5)
+    def test_a_slow_turn_is_logged_with_its_longest_calls(self):
+        simulation = Simulation(5)
 
-        def dawdle():
-            world.now += SLOW_TURN_MS
-        world.loop.call_soon(dawdle)
+        def run_slowly():
+            simulation.now += SLOW_TURN_MS
+        simulation.loop.call_soon(run_slowly)
         for _ in range(3):
-            world.loop.call_later(0, lambda: world.sleep(0.030))
+            simulation.loop.call_later(0, lambda: simulation.sleep(0.030))
         with self.assertLogs("laddergw.loop", "WARNING") as logs:
-            world.loop.turn()
-            world.loop.turn()
+            simulation.loop.turn()
+            simulation.loop.turn()
         line, = logs.output
-        self.assertRegex(line, r"a turn of 1090 ms, .* the longest: .*dawdle line \d+ 1000 ms, .*lambda.* 30 ms")
+        self.assertRegex(line, r"a turn of 1090 ms, .* the longest: .*run_slowly line \d+ 1000 ms, .*lambda.* 30 ms")
 
 
 if __name__ == "__main__":
