--- a/tests/test_loop_waits.py
+++ b/tests/test_loop_waits.py
@@ -73,9 +73,9 @@
 
 
 def add_work(simulation, requests_left):
-    """Adds one random piece of work that adds more when it runs: a descriptor, a deferred call, a timer, or a callback that fails.
+    """Adds one random piece of work that adds more when it runs: a descriptor, a deferred call, a timer, or a callback of the turn's end that fails.
 
-    Work is due at once or a little later. A callback of a turn's end stays for good, so only one is added.
+    Work is due at once or a little later. A callback of the turn's end stays for good, so only one is added.
     """
     loop, kind = simulation.loop, simulation.random.randrange(5 if simulation.loop.turn_end_calls else 6)
 
