--- a/benchmarks/broken_fleets.py
+++ b/benchmarks/broken_fleets.py
@@ -12,12 +12,12 @@
 
 BROKEN = {
     "none": "pass",
-    "no ramp": "from laddergw.control import holders; holders.Holders.turn = lambda self, now, node: True",
+    "no ramp": "from laddergw.control import candidates; candidates.Candidates.ramp_allows = lambda self, now, node: True",
     "deaf to leaving": "from laddergw.platform import admission, viewers; viewers.Viewer.closed = lambda self, stream, why: self.listener.leave(self); "
                        "admission.Admission.given_up = lambda self, ply: None",
     "sends to who drains": "from laddergw.platform import listing as d; d.STATES = dict(d.STATES, DRAINING='ready')",
     "ends at once": "from laddergw.platform import director as d; d.Director.stop = lambda self: self.loop.stop()",
-    "sends paid plays again": "from laddergw.control import plays; plays.Allocations.send_back = lambda self, now, ply, node, outcome: setattr(ply, 'out', None)",
+    "sends paid plays again": "from laddergw.control import plays; plays.Allocations.setup_ended = lambda self, now, ply, node, outcome: setattr(ply, 'pending_setup', None)",
     "does not end": "from laddergw.platform import director as d; d.Director.stop = lambda self: None",
 }
 HOLDS = "import runpy, signal; signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM)); "
--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -68,7 +68,8 @@
         "spins",
     ),
     "spends past its budget": Broken(
-        "from laddergw.control import plays; plays.Allocations.ration = lambda *args: None",
+        "from laddergw.control import plays; "
+        "plays.Allocations.check_retry_budget = lambda *args: None",
         "budget",
     ),
     "fails in its calls": Broken(
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -46,7 +46,7 @@
         self.stopping, self.bounds, self.chance, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
         self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, changed=lambda *given: None)
-        self.controller = SimpleNamespace(seen=None)
+        self.controller = SimpleNamespace(observe_load=None)
         self.feed = lambda *given: None
 
     def change_limits(self, limits) -> None:
--- /dev/null
+++ b/laddergw/control/candidates.py
@@ -0,0 +1,217 @@
+"""Which nodes that hold a title may be chosen: ready by the list, healthy, within the cold ramp,
+with load known.
+"""
+
+import math
+from operator import attrgetter
+from zlib import crc32
+
+from laddergw import interface
+from laddergw.control.fleet_state import DRAW_WEIGHT, MIX_FACTOR
+from laddergw.control.plays import decline_or_fail
+
+# So far over a link's or uplink's rate a play at its lowest rung beats a decline: steps that cost
+# much are taken back.
+LOWEST_RUNG_OVERLOAD = 0.05
+# First back-off of a node that failed; doublings at most: to 13 s, about a restart.
+BACKOFF_MS, MAX_BACKOFF_DOUBLINGS = 400.0, 5
+# Share of a cold node's allowance that all directors use: set-ups differ in work.
+COLD_RAMP_SHARE = 0.7
+FRESH_REPORT_MS = 1_000.0  # a report holds so long: under a change or two of a node's plays
+# A play waits so long for probes: a set-up's time, far under first-frame targets.
+PROBE_WAIT_MS = 200.0
+
+
+class Candidates:
+    """Narrows down the nodes for a play. `waiting`: plays that wait for a probe, by id."""
+
+    def __init__(self, fleet):
+        self.fleet, self.waiting = fleet, {}
+
+    def select_ready(self, now, play):
+        """Sets the play's candidates: nodes that the list calls ready, most free rate first."""
+        fleet, deployment = self.fleet, self.fleet.deployment
+        first_cell, replica_count = (
+            int(play.request.first_cell),
+            min(int(play.request.replica_count) or deployment.cells, deployment.cells),
+        )
+        play.candidates = [
+            node
+            for offset in range(replica_count)
+            for node in fleet.cells[(first_cell + offset) % deployment.cells].values()
+            if node.state == interface.READY and node.id not in play.tried_nodes
+        ]
+        if play.may_have_run and play.product.repeat == "keyed":
+            key_group = {"zone": attrgetter("zone"), "cell": attrgetter("cell")}.get(
+                play.product.group, bool
+            )
+            play.candidates = [
+                node
+                for node in play.candidates
+                if now < play.key_expires_at and key_group(node) == key_group(play.first_node)
+            ]
+        shared, needed_rate = play.is_shared(), play.rate(play.highest_rung())
+        # Where many directors know little, equal estimates rank alike: what is unreported of a link
+        # is weighted by a random number
+        for node in play.candidates:
+            basis = now, deployment, fleet.others_share, node.revision, node.rack.revision
+            # Once a moment, not once a play in a batch of thousands
+            if node.basis != basis:
+                node.basis, node.free_rate, node.unreported_rate = (
+                    basis,
+                    fleet.free_rate(now, node),
+                    node.rate - node.known_kb.at(now),
+                )
+                node.free_rate_overloaded = fleet.free_rate(now, node, -LOWEST_RUNG_OVERLOAD)
+                node.within_ramp = now - node.ramp_start >= deployment.warm_ms or self.ramp_allows(
+                    now, node
+                )
+            node.rank, node.tie_break = (
+                node.free_rate
+                + (
+                    fleet.scarcity
+                    and DRAW_WEIGHT * fleet.scarcity * node.unreported_rate * fleet.draw()
+                ),
+                node.id,
+            )
+            # A common draw: all directors' viewers of the title meet there
+            if shared:
+                node.rank = math.inf if node.free_rate > needed_rate else node.free_rate
+                node.tie_break = (
+                    crc32(b"%d %d" % (node.id, play.request.title)) * (MIX_FACTOR) % 2**32
+                )
+        play.candidates.sort(
+            key=lambda node: (fleet.crossing_price(node), -node.rank, node.tie_break)
+        )
+
+    def ramp_allows(self, now, node):
+        """Whether a set-up may go to a node that is cold, or may be.
+
+        It may be after our own start, or after its failure.
+        """
+        deployment, since = self.fleet.deployment, now - node.ramp_start
+        # Between our set-ups; the first comes after a random part of it
+        gap = deployment.directors / max(
+            self.warm_setup_rate(node) * self.fleet.warmth(now, node.ramp_start), 1e-9
+        )
+        free = since >= deployment.warm_ms or node.ramp_start <= node.cold_since
+        free = free or now - max(node.last_setup, node.ramp_start - node.ramp_gap * gap) >= gap
+        return free and (
+            now - node.cold_since >= deployment.warm_ms or self.has_planned_setup(now, node)
+        )
+
+    def warm_setup_rate(self, node):
+        """Returns the set-ups a ms that all directors plan for a node once it is warm."""
+        return (
+            COLD_RAMP_SHARE
+            * max(self.fleet.deployment.fall_multiple, 1)
+            * node.max_streams
+            / max(self.fleet.deployment.warm_ms, 1e-9)
+        )
+
+    def planned_setups(self, node, at):
+        """Returns the set-ups planned for a node from its start until `at`."""
+        warmth = (self.fleet.deployment.cold_from + self.fleet.warmth(at, node.cold_since)) / 2
+        return self.warm_setup_rate(node) * warmth * max(at - node.cold_since, 0)
+
+    def has_planned_setup(self, now, node):
+        """Whether one of the planned set-ups of a cold node is this director's now.
+
+        Each planned set-up is one director's, in rotation. With no play for it it lapses, or a rush
+        would find many. In any span come those planned in it and those still live, under
+        N + root of N + 2 where N are allowed.
+        """
+        deployment, planned, planned_before = (
+            self.fleet.deployment,
+            self.planned_setups(node, now),
+            self.planned_setups(node, now - self.fleet.deployment.fall_ms),
+        )
+        # since: planned set-ups since this director's last; span: those allowed in the counted time
+        since, span = (
+            (planned - deployment.number - node.rotation_offset) % deployment.directors,
+            (planned - planned_before) / COLD_RAMP_SHARE,
+        )
+        if not (since <= planned and since < (1 - COLD_RAMP_SHARE) * span + span**0.5 + 1):
+            return False
+        return (
+            node.last_setup < node.cold_since
+            or self.planned_setups(node, node.last_setup) < planned - since
+        )
+
+    def filter_healthy(self, now, play):
+        """Drops candidates in back-off, over their share while cold, or just failed.
+
+        The last counts for paid plays, and for others while a set-up is out there.
+        """
+        play.candidates = [
+            node
+            for node in play.candidates
+            if now >= node.backoff_until
+            and node.within_ramp
+            and not (
+                node.backoff_level
+                and (
+                    play.product.repeat == "paid"
+                    or any(other.pending_setup for other in node.plays.values())
+                )
+            )
+        ]
+        return None if play.candidates else decline_or_fail(self.fleet, play)
+
+    def record_health(self, now, play, node, outcome):
+        """Takes in how an allocation at a node ended."""
+        if node and outcome in (
+            interface.ERROR,
+            interface.TIMED_OUT,
+            interface.UNREACHABLE,
+            interface.BROKEN,
+        ):
+            self.record_failure(now, node)
+            # It may be starting: its set-ups are paced when it answers
+            if outcome in (interface.UNREACHABLE, interface.BROKEN):
+                node.ramp_start, node.ramp_gap = now, self.fleet.draw()
+        # It is fuller than was reported
+        elif node and outcome == interface.FULL:
+            node.record_others(
+                now,
+                max(
+                    node.others_load(now, self.fleet.others_share),
+                    self.fleet.usable_rate(now, node) - node.own,
+                ),
+            )
+            node.backoff_until = max(node.backoff_until, now + BACKOFF_MS)
+
+    def record_failure(self, now, node):
+        """Backs off from a node; failures of one moment count once."""
+        if now >= node.backoff_until:
+            node.backoff_until = now + BACKOFF_MS * 2**node.backoff_level * (1 + self.fleet.draw())
+            node.backoff_level = min(node.backoff_level + 1, MAX_BACKOFF_DOUBLINGS)
+
+    def probe_first(self, now, play):
+        """Where load is told to probes only: asks the first candidate before the play is placed."""
+        play.candidates.sort(
+            key=lambda n: n.probed_at is not None and now - n.probed_at >= PROBE_WAIT_MS
+        )
+        # What left a probe unanswered comes last, it may stand still; too near its limit a play
+        # does not ask
+        node, late = play.candidates[0], play.answer_by - now <= 2 * PROBE_WAIT_MS
+        if (
+            not self.fleet.probes_only
+            or play.wait_until is not None
+            or late
+            or now - node.reported_at <= FRESH_REPORT_MS
+        ):
+            return None
+        play.wait_until, play.awaited_node, self.waiting[play.id] = now + PROBE_WAIT_MS, node, play
+        return interface.Verdict(play.id, probe_nodes=mark_probed(now, [node]))
+
+    def take_waiting(self, is_done):
+        """Removes and returns the waiting plays for which `is_done(play)` holds."""
+        return [self.waiting.pop(play.id) for play in list(self.waiting.values()) if is_done(play)]
+
+
+def mark_probed(now, nodes):
+    """Marks the nodes without an open probe as probed now; returns their ids."""
+    for node in (nodes := [n for n in nodes if n.probed_at is None]):
+        node.probed_at = now
+    return tuple(n.id for n in nodes)
--- a/laddergw/control/controller.py
+++ b/laddergw/control/controller.py
@@ -1,143 +1,190 @@
-"""Strings the rooms of the decision module together: what happens goes in, verdicts come out."""
+"""Ties the parts of the decisions together: what happens goes in, verdicts come out."""
 
 import math
 
 from laddergw import interface
-from laddergw.control.accounts import Fading, Fleet
-from laddergw.control.holders import Holders
-from laddergw.control.plays import RETRY_MS, Allocations, Play
-from laddergw.control.prices import FORECAST_MS, Prices
-from laddergw.control.rungs import LOOK_MS, Rungs
+from laddergw.control.candidates import Candidates
+from laddergw.control.fleet_state import DecayingSum, Fleet
+from laddergw.control.plays import RETRY_AFTER_MS, Allocations, Play
+from laddergw.control.prices import DEMAND_MEMORY_MS, Prices
+from laddergw.control.rungs import REVIEW_INTERVAL_MS, Rungs
 
 
 class Controller:
     """The decisions of one director: told what happens, it answers with verdicts."""
 
     def __init__(self, deployment, seed, now):
-        self.plays, self.pending, self.next_look, self.ask_at = {}, [], now + LOOK_MS, math.inf
+        self.plays, self.pending, self.next_review, self.list_request_at = (
+            {},
+            [],
+            now + REVIEW_INTERVAL_MS,
+            math.inf,
+        )
         self.fleet = Fleet(seed)
-        self.prices, self.holders = Prices(self.fleet, now), Holders(self.fleet)
+        self.prices, self.candidates = Prices(self.fleet, now), Candidates(self.fleet)
         self.rungs, self.allocations = (
             Rungs(self.fleet, self.prices),
             Allocations(self.fleet, self.prices),
         )
-        self.retold(now, deployment)
-        a, h = self.allocations, self.holders  # the chain: its stages, and what takes each back
+        self.update_deployment(now, deployment)
+        allocations, candidates = self.allocations, self.candidates
+        # The chain: its stages, and what undoes each when an allocation ends
         self.chain = (
-            (a.terms, None),
-            (h.holding, None),
-            (h.health, h.health_back),
-            (h.inquire, None),
-            (self.prices.price, self.fleet.put_back),
-            (a.ration, None),
-            (a.send, a.send_back),
+            (allocations.check_terms, None),
+            (candidates.select_ready, None),
+            (candidates.filter_healthy, candidates.record_health),
+            (candidates.probe_first, None),
+            (self.prices.choose_node, self.fleet.remove_play),
+            (allocations.check_retry_budget, None),
+            (allocations.send_setup, allocations.setup_ended),
         )
 
-    def listed(self, now, lines, whole):
-        return self.done(self.fleet.listed(now, lines, whole))
-
-    def list_failed(self, now):
-        self.ask_at = now + (RETRY_MS if self.fleet.d.must_ask else math.inf)
-        return self.done()
+    def update_fleet(self, now, entries, whole):
+        """The fleet list has come, whole or its changes."""
+        return self.result(self.fleet.update_nodes(now, entries, whole))
 
-    def retold(self, now, told):  # at start or switched: plays keep their terms
-        self.ask_at = (
-            now if told.must_ask and not (self.fleet.d and self.fleet.d.must_ask) else self.ask_at
+    def fleet_list_failed(self, now):
+        """The fleet list could not be had."""
+        self.list_request_at = now + (
+            RETRY_AFTER_MS if self.fleet.deployment.must_ask else math.inf
+        )
+        return self.result()
+
+    def update_deployment(self, now, deployment):
+        """The deployment is told, at the start or switched: plays keep their terms."""
+        self.list_request_at = (
+            now
+            if deployment.must_ask
+            and not (self.fleet.deployment and self.fleet.deployment.must_ask)
+            else self.list_request_at
+        )
+        self.rungs.shortages = (
+            {} if self.fleet.update_deployment(now, deployment) else self.rungs.shortages
         )
-        self.rungs.shorts = {} if self.fleet.retold(now, told) else self.rungs.shorts
-        more = told.products[len(self.prices.demand) :]
-        return self.done(self.prices.demand.extend(Fading(FORECAST_MS, now) for _ in more))
+        new_products = deployment.products[len(self.prices.demand) :]
+        return self.result(
+            self.prices.demand.extend(DecayingSum(DEMAND_MEMORY_MS, now) for _ in new_products)
+        )
+
+    def request_play(self, now, request):
+        """A viewer asks for a play: it is pending until decide()."""
+        self.prices.record_length_hint(request)
+        play = self.plays[request.play] = Play(request, self.fleet.deployment, now)
+        self.allocations.play_times.extend([now] * (self.fleet.deployment.budget_free is not None))
+        return self.result(self.pending.append(play))
 
-    def asked(self, now, ask):
-        self.prices.hinted(ask)
-        play = self.plays[ask.play] = Play(ask, self.fleet.d, now)
-        self.allocations.taken.extend([now] * (self.fleet.d.budget_free is not None))
-        return self.done(self.pending.append(play))
+    def decide(self, now, most=None):
+        """Decides pending plays, `most` at once, when all that came together is known.
 
-    def decide(self, now, most=None):  # when all that came together is known: a drain, a leaving
+        What came may hold a drain, or the leaving of a viewer.
+        """
         waiting, self.pending = self.pending[:most], self.pending[most:] if most else []
-        return self.done([verdict for play in waiting for verdict in self.run(now, play)])
+        return self.result([verdict for play in waiting for verdict in self.run_chain(now, play)])
 
-    def seen(self, now, node_id, others):  # a planner's view: what others ask, kB a second
+    def observe_load(self, now, node_id, others):
+        """A planner's view has come: what others ask of a node, in kB/s."""
         if node := self.fleet.nodes.get(node_id):
-            node.hear(now, max(0.0, others))
-        return self.done()
-
-    def handed_over(self, now, ask, node_id):
-        play = self.plays[ask.play] = Play(ask, self.fleet.d, now)
-        play.started, play.sends = now, 1
-        self.prices.demand[ask.product].add(
-            now, 1 / play.length
-        )  # of plays over length: Little's law
+            node.record_others(now, max(0.0, others))
+        return self.result()
+
+    def take_over_play(self, now, request, node_id):
+        """A play that is under way at a node was handed over."""
+        play = self.plays[request.play] = Play(request, self.fleet.deployment, now)
+        play.started_at, play.setup_count = now, 1
+        # Arrivals are plays over their length: Little's law
+        self.prices.demand[request.product].add(now, 1 / play.length_ms)
         if node := self.fleet.nodes.get(node_id):
-            self.fleet.put(now, play, node)
-        return self.done()
+            self.fleet.add_play(now, play, node)
+        return self.result()
 
-    def playing(self, now, play_id, number, delay, node_id):
-        if (play := self.plays.get(play_id)) and play.out == number + 1:
-            self.allocations.answered(now, play, delay)
-        return self.done()
+    def play_started(self, now, play_id, number, delay_ms, node_id):
+        """Set-up `number` of a play (from 0 on) was answered: the node serves it."""
+        if (play := self.plays.get(play_id)) and play.pending_setup == number + 1:
+            self.allocations.setup_answered(now, play, delay_ms)
+        return self.result()
 
-    def ended(self, now, play_id, number, outcome, node_id, over, report):
+    def allocation_ended(self, now, play_id, number, outcome, node_id, over, report):
+        """Allocation `number` of a play has ended; `over`: the play is too."""
         node, play = self.fleet.nodes.get(node_id), self.plays.get(play_id)
-        node and report and self.rungs.reported(now, node, report)
-        if play and play.sends - 1 == number and play not in self.pending:
-            for _, back in reversed(self.chain):
-                back and back(now, play, node or play.node, outcome)
-            self.plays.pop(play_id) if over or play.started is not None else self.pending.append(
+        node and report and self.rungs.receive_report(now, node, report)
+        if play and play.setup_count - 1 == number and play not in self.pending:
+            for _, undo in reversed(self.chain):
+                undo and undo(now, play, node or play.node, outcome)
+            self.plays.pop(play_id) if over or play.started_at is not None else self.pending.append(
                 play
             )
-        return self.done()
+        return self.result()
 
-    def probed(self, now, node_id, outcome, delay, report):
+    def probe_ended(self, now, node_id, outcome, delay, report):
+        """A node's probe was answered, or failed."""
         if (node := self.fleet.nodes.get(node_id)) is None:
-            return self.done()
-        node.asked, out = None, []
+            return self.result()
+        node.probed_at, verdicts = None, []
         if outcome == interface.SERVED and report:
-            out = self.rungs.reported(now, node, report)
-        elif outcome != interface.FULL:  # too many probes at once tell nothing
-            self.holders.fail(now, node)
-        self.pending += self.holders.waited(lambda p: p.asks is node)
-        return self.done(out)
-
-    def mail(self, now, sender, loads, shares):
-        return self.done(self.rungs.mail(now, loads, shares))
-
-    def note(self, now, play_id, node_id, kind, value):
-        return self.done(self.rungs.note(now, self.plays.get(play_id), node_id, kind, value))
+            verdicts = self.rungs.receive_report(now, node, report)
+        # Too many probes at once tell nothing
+        elif outcome != interface.FULL:
+            self.candidates.record_failure(now, node)
+        self.pending += self.candidates.take_waiting(lambda play: play.awaited_node is node)
+        return self.result(verdicts)
+
+    def receive_peer_report(self, now, sender, loads, shares):
+        """Another director has told loads of nodes, and shares delivered behind short uplinks."""
+        return self.result(self.rungs.receive_peer_report(now, loads, shares))
+
+    def update_play(self, now, play_id, node_id, kind, value):
+        """A note on a play under way has come."""
+        return self.result(
+            self.rungs.receive_note(now, self.plays.get(play_id), node_id, kind, value)
+        )
 
-    def left(self, now, play_id):
+    def viewer_left(self, now, play_id):
+        """A play's viewer has left."""
         if play := self.plays.get(play_id):
-            play.over = True  # it keeps its place until its allocation is told to end
-        return self.done()
+            # It keeps its place until its allocation is told to end
+            play.viewer_left = True
+        return self.result()
 
     def wake(self, now):
-        out = [interface.Verdict(follow=True)] if now >= self.ask_at else []
-        self.ask_at = math.inf if out else self.ask_at
-        self.pending += self.holders.waited(lambda p: now >= p.until)
-        if now >= self.next_look:
-            self.next_look = now + LOOK_MS
-            self.rungs.try_more(now, self.plays)
-            out += (
-                [interface.Verdict(probe=self.rungs.look_up(now, self.plays))]
-                if self.fleet.blind
+        """The wake time has come: waiting plays go on, and plays under way are reviewed."""
+        verdicts = (
+            [interface.Verdict(request_fleet_list=True)] if now >= self.list_request_at else []
+        )
+        self.list_request_at = math.inf if verdicts else self.list_request_at
+        self.pending += self.candidates.take_waiting(lambda play: now >= play.wait_until)
+        if now >= self.next_review:
+            self.next_review = now + REVIEW_INTERVAL_MS
+            self.rungs.try_full_uplinks(now, self.plays)
+            verdicts += (
+                [interface.Verdict(probe_nodes=self.rungs.nodes_to_probe(now, self.plays))]
+                if self.fleet.probes_only
                 else []
             )
-            out += [self.rungs.tell()] if self.rungs.loads or self.rungs.shorts else []
-        return self.done([v for v in out if v.follow or v.probe or v.tell])
+            verdicts += (
+                [self.rungs.report_to_peers()] if self.rungs.loads or self.rungs.shortages else []
+            )
+        return self.result(
+            [v for v in verdicts if v.request_fleet_list or v.probe_nodes or v.notify_directors]
+        )
 
-    def done(self, verdicts=None):
-        first = next(
-            iter(self.holders.waiting.values()), None
-        )  # all wait equally long: it came first
-        return verdicts or [], min(self.next_look, self.ask_at, first.until if first else math.inf)
+    def result(self, verdicts=None):
+        """Returns the verdicts and the next wake time."""
+        # All wait equally long: the first to wait came first
+        first = next(iter(self.candidates.waiting.values()), None)
+        return verdicts or [], min(
+            self.next_review, self.list_request_at, first.wait_until if first else math.inf
+        )
 
-    def run(self, now, play):  # each stage passes a play on (None) or ends it (a verdict)
+    def run_chain(self, now, play):
+        """Runs a play through the chain: each stage passes it on (None) or ends it (a verdict)."""
         verdict = (
-            None if play.over else next(filter(None, (stage(now, play) for stage, _ in self.chain)))
+            None
+            if play.viewer_left
+            else next(filter(None, (stage(now, play) for stage, _ in self.chain)))
         )
-        if play.over or verdict.answer:  # left meanwhile: no answer is owed
+        # A viewer that left meanwhile is owed no answer
+        if play.viewer_left or verdict.answer:
             self.plays.pop(play.id, None)
-        if play.id not in self.holders.waiting:
-            self.prices.came(now, play)
+        if play.id not in self.candidates.waiting:
+            self.prices.record_demand(now, play)
         return [verdict] if verdict else []
--- a/laddergw/control/plays.py
+++ b/laddergw/control/plays.py
@@ -1,121 +1,165 @@
-"""One play on its terms, how often and within which budget it may be set up, its final answer."""
+"""One play on its terms: how often and within which budget it may be set up, its final answer."""
 
 from collections import deque
 
 from laddergw import interface
 
-LENGTH_MS, LENGTH_STEP = (
-    40_000.0,
-    0.02,
-)  # usual length of a play, before hints (design page); weight of one
-TAIL = 0.25  # share of its length that an overdue play is still expected to last
-ANSWER_START_MS, ANSWER_STEP = (
-    150.0,
-    0.1,
-)  # set-up time before any was seen; weight of one in the usual
-PATIENCE, WAIT_MS = 5.0, 300.0  # time-out in usual set-up times: slow ones pass; a handshake fits
-RETRY_MS = 1_000.0  # longest retry-after; spread over its upper half, against returns in one wave
+# Usual length of a play, before hints (design page); weight of one hint in it.
+LENGTH_MS, LENGTH_STEP = 40_000.0, 0.02
+OVERDUE_SHARE = 0.25  # share of its length that an overdue play is still expected to last
+# Set-up time before any was seen; weight of one in the usual time.
+SETUP_START_MS, SETUP_STEP = 150.0, 0.1
+# Time-out of a set-up in usual set-up times (slow ones pass), and at least (a handshake fits).
+TIMEOUT_MULTIPLE, MIN_TIMEOUT_MS = 5.0, 300.0
+# Longest retry-after; it is spread over its upper half, against returns in one wave.
+RETRY_AFTER_MS = 1_000.0
 
 
 class Play:
-    """From its request to its end."""
-
-    def __init__(self, ask, deployment, now):
-        product = deployment.products[
-            ask.product
-        ]  # the terms that it was taken on are its own to its end
-        self.ask, self.id, self.product, self.rung, self.d = (
-            ask,
-            ask.play,
+    """A play from its request to its end."""
+
+    def __init__(self, request, deployment, now):
+        # The terms that it was taken on are its own to its end
+        product = deployment.products[request.product]
+        self.request, self.id, self.product, self.rung, self.deployment = (
+            request,
+            request.play,
             product,
             product.floor,
             deployment,
         )
-        self.length, self.limit, self.changed = ask.length_ms or LENGTH_MS, now + ask.wait_ms, now
-        self.holders, self.key_ends, self.tried, self.sends = [], now + product.key_ms, set(), 0
-        self.started = self.out = self.node = self.first = self.until = self.asks = (
-            None  # out: from 1 on
+        self.length_ms, self.answer_by, self.rung_changed_at = (
+            request.length_ms or LENGTH_MS,
+            now + request.wait_ms,
+            now,
         )
-        self.may_have_run = self.over = self.seen = False
-
-    def left(self, now):  # expected time still to play
+        self.candidates, self.key_expires_at, self.tried_nodes, self.setup_count = (
+            [],
+            now + product.key_ms,
+            set(),
+            0,
+        )
+        # pending_setup: number of the set-up that is out, from 1 on
+        self.started_at = self.pending_setup = self.node = self.first_node = self.wait_until = (
+            self.awaited_node
+        ) = None
+        self.may_have_run = self.viewer_left = self.demand_counted = False
+
+    def remaining_ms(self, now):
+        """Returns the expected time still to play."""
         return max(
-            self.length - (now - self.started if self.started is not None else 0),
-            TAIL * self.length,
+            self.length_ms - (now - self.started_at if self.started_at is not None else 0),
+            OVERDUE_SHARE * self.length_ms,
         )
 
-    def highest(self):
-        return min(self.product.top, int(self.ask.ceiling), len(self.d.ladder) - 1)
+    def highest_rung(self):
+        """Returns the highest rung that product, viewer and ladder allow."""
+        return min(
+            self.product.top, int(self.request.highest_rung), len(self.deployment.ladder) - 1
+        )
 
     def rate(self, rung=None):
-        return self.d.ladder[self.rung if rung is None else rung] * self.product.scale
+        """Returns the rate at a rung, or at its own, in kB/s."""
+        return self.deployment.ladder[self.rung if rung is None else rung] * self.product.scale
 
-    def shares(self):
-        return self.product.live and self.d.join < 1
+    def is_shared(self):
+        """Whether it may share a live title's stream with other plays."""
+        return self.product.live and self.deployment.join < 1
 
-    def stream(self, rung):
-        return self.ask.product, self.ask.title, self.rate(rung), self.d.join
+    def stream_key(self, rung):
+        """Returns what plays have in common that share one stream."""
+        return self.request.product, self.request.title, self.rate(rung), self.deployment.join
 
-    def frees(self):
-        return self.rate() - self.rate(self.rung - 1)  # what its last step takes
+    def last_step_rate(self):
+        """Returns the rate that its last step takes, in kB/s."""
+        return self.rate() - self.rate(self.rung - 1)
 
-    def gain(self, rung):  # what a step up from it brings
-        return self.product.importance * (self.d.rung_worth[rung + 1] - self.d.rung_worth[rung])
+    def step_gain(self, rung):
+        """Returns what a step up from a rung brings, in worth a second."""
+        return self.product.importance * (
+            self.deployment.rung_worth[rung + 1] - self.deployment.rung_worth[rung]
+        )
 
 
 class Allocations:
-    """Set-ups sent out, and the budget of further ones."""
+    """Set-ups sent out, and the budget of retries."""
 
     def __init__(self, fleet, prices):
-        self.fleet, self.prices, self.usual = fleet, prices, ANSWER_START_MS
-        self.taken, self.further = deque(), deque()  # times for the budget
-
-    def terms(self, now, play):
-        row, held = play.product, self.fleet.seats[play.ask.product, play.ask.title]
-        barred = (play.may_have_run and row.repeat == "paid") or (row.seats and held >= row.seats)
-        barred = barred or row.floor > play.highest() or now >= play.limit
-        if barred or play.sends >= self.fleet.d.max_allocations:
-            return give_up(self.fleet, play)
-
-    def ration(self, now, play):  # the stated budget, counted over a sliding window
-        if play.sends and (d := self.fleet.d).budget_free is not None:
-            late = d.connect_ms + 1  # it leaves so much later, or never; 1: rounding
-            for times, slack in (self.taken, late), (self.further, -late):
-                while times and times[0] < now - d.budget_ms + slack:
+        self.fleet, self.prices, self.usual_setup_ms = fleet, prices, SETUP_START_MS
+        # Times counted for the budget: of plays taken, of their retries
+        self.play_times, self.retry_times = deque(), deque()
+
+    def check_terms(self, now, play):
+        """Answers a play that its product's terms or its own limit bar from a set-up."""
+        product, seats = (play.product, self.fleet.seats[play.request.product, play.request.title])
+        barred = (play.may_have_run and product.repeat == "paid") or (
+            product.seats and seats >= product.seats
+        )
+        barred = barred or product.floor > play.highest_rung() or now >= play.answer_by
+        if barred or play.setup_count >= self.fleet.deployment.max_allocations:
+            return decline_or_fail(self.fleet, play)
+
+    def check_retry_budget(self, now, play):
+        """Answers a play whose retry the stated budget, counted over a sliding window, bars."""
+        if play.setup_count and (deployment := self.fleet.deployment).budget_free is not None:
+            # A set-up leaves so much later, or never; 1: rounding
+            late_ms = deployment.connect_ms + 1
+            for times, slack_ms in (self.play_times, late_ms), (self.retry_times, -late_ms):
+                while times and times[0] < now - deployment.budget_ms + slack_ms:
                     times.popleft()
-            if len(self.further) + 1 > d.budget_free + d.budget_share * len(self.taken):
-                return give_up(self.fleet, play)
-            self.further.append(now)
-
-    def send(self, now, play):
-        node, due, most = play.holders[0], play.limit - now, self.fleet.d.max_allocations
-        least = max(WAIT_MS, due * (play.product.repeat == "paid" or play.sends + 1 >= most))
-        play.first, node.last_send = play.first or node, now
-        play.out = play.sends = play.sends + 1
-        play.tried.add(node.id)
+            if len(self.retry_times) + 1 > (
+                deployment.budget_free + deployment.budget_share * len(self.play_times)
+            ):
+                return decline_or_fail(self.fleet, play)
+            self.retry_times.append(now)
+
+    def send_setup(self, now, play):
+        """Allocates the play at its first candidate, with a time-out within its limit."""
+        node, left_ms, max_setups = (
+            play.candidates[0],
+            play.answer_by - now,
+            self.fleet.deployment.max_allocations,
+        )
+        min_timeout_ms = max(
+            MIN_TIMEOUT_MS,
+            left_ms * (play.product.repeat == "paid" or play.setup_count + 1 >= max_setups),
+        )
+        play.first_node, node.last_setup = play.first_node or node, now
+        play.pending_setup = play.setup_count = play.setup_count + 1
+        play.tried_nodes.add(node.id)
         for setups in node.setups, self.prices.setups:
             setups.add(now, 1)
-        self.fleet.put(now, play, node)
+        self.fleet.add_play(now, play, node)
         return interface.Verdict(
-            play.id, node.id, play.rung, min(due, max(PATIENCE * self.usual, least))
+            play.id,
+            node.id,
+            play.rung,
+            min(left_ms, max(TIMEOUT_MULTIPLE * self.usual_setup_ms, min_timeout_ms)),
         )
 
-    def send_back(self, now, play, node, outcome):
-        play.until = play.out = None
+    def setup_ended(self, now, play, node, outcome):
+        """Takes in that the play's set-up or allocation is over."""
+        play.wait_until = play.pending_setup = None
         if outcome not in (interface.FULL, interface.UNREACHABLE, interface.NEVER_SENT):
             play.may_have_run = True
 
-    def answered(self, now, play, delay):
-        play.started, play.changed, play.out = now, now, None
-        self.usual += ANSWER_STEP * (delay - self.usual)
-        play.node.ill, play.node.rest = max(0, play.node.ill - 2), 0.0
+    def setup_answered(self, now, play, delay_ms):
+        """Takes in that a node serves the play, `delay_ms` after its set-up was sent."""
+        play.started_at, play.rung_changed_at, play.pending_setup = now, now, None
+        self.usual_setup_ms += SETUP_STEP * (delay_ms - self.usual_setup_ms)
+        play.node.backoff_level, play.node.backoff_until = (
+            max(0, play.node.backoff_level - 2),
+            0.0,
+        )
 
 
-def give_up(
-    fleet, play
-):  # the final answer at once: a decline with a time to come back, where none ran
-    row, wait = play.product, min(RETRY_MS, fleet.d.retry_max_ms) * (1 + fleet.chance()) / 2
-    runs_once = row.repeat == "paid" or (row.repeat == "keyed" and row.group != "all")
+def decline_or_fail(fleet, play):
+    """Returns the final answer at once: a decline with a time to come back, where none ran."""
+    product, wait_ms = (
+        play.product,
+        min(RETRY_AFTER_MS, fleet.deployment.retry_max_ms) * (1 + fleet.draw()) / 2,
+    )
+    runs_once = product.repeat == "paid" or (product.repeat == "keyed" and product.group != "all")
     if play.may_have_run and runs_once:
         return interface.Verdict(play.id, answer=interface.FAILED)
-    return interface.Verdict(play.id, answer=interface.DECLINED, retry_ms=wait)
+    return interface.Verdict(play.id, answer=interface.DECLINED, retry_after_ms=wait_ms)
--- a/laddergw/control/prices.py
+++ b/laddergw/control/prices.py
@@ -1,164 +1,229 @@
-"""The bid-price gate: shadow prices of a node's streams, link and uplink, the rung that pays."""
+"""The bid-price gate: shadow prices of a node's streams, link and uplink, and the rung that pays.
+
+It follows the DLPC policy of Bichler and Setzer, "Admission Control for Media on Demand Services".
+"""
 
 from operator import mul
 
-from laddergw.control.accounts import SHARE_MS, SHARE_PRIOR, Fading
-from laddergw.control.plays import LENGTH_MS, LENGTH_STEP, give_up
+from laddergw.control.fleet_state import EVEN_SETUPS, SETUPS_MS, DecayingSum
+from laddergw.control.plays import LENGTH_MS, LENGTH_STEP, decline_or_fail
 
-FORECAST_MS = 15_000.0  # memory of arrivals: a few dozen plays, short enough to follow a wave
-LOOP_SWEEPS, LOOP_HALVINGS, SURE = (
-    4,
-    24,
-    1.000001,
-)  # of the dual loop; worth beats cost by over rounding
+# Memory of arrivals: a few dozen plays, short enough to follow a wave.
+DEMAND_MEMORY_MS = 15_000.0
+# Of the loop that solves the dual; a worth must beat its cost by this factor, over rounding.
+DUAL_SWEEPS, DUAL_HALVINGS, COST_FACTOR = 4, 24, 1.000001
 
 
 class Prices:
     """Demand as it was seen, and what it makes of a node's room."""
 
     def __init__(self, fleet, now):
-        self.fleet, self.demand, self.setups = fleet, [], Fading(SHARE_MS, now)
-        self.length, self.hints = LENGTH_MS, 1
-
-    def hinted(self, ask):  # what will be asked for lasts as what is asked for
-        self.hints += bool(ask.length_ms)
-        self.length += max(LENGTH_STEP, 1 / self.hints) * (
-            (ask.length_ms or self.length) - self.length
+        self.fleet, self.demand, self.setups = fleet, [], DecayingSum(SETUPS_MS, now)
+        self.usual_length_ms, self.hint_count = LENGTH_MS, 1
+
+    def record_length_hint(self, request):
+        """Takes in a request's hint: what will be asked for lasts as long as what is asked for."""
+        self.hint_count += bool(request.length_ms)
+        self.usual_length_ms += max(LENGTH_STEP, 1 / self.hint_count) * (
+            (request.length_ms or self.usual_length_ms) - self.usual_length_ms
         )
 
-    def came(
-        self, now, play
-    ):  # after its pricing; no further tries: a storm of them priced all out, for go
-        self.demand[play.ask.product].add(now, (not (play.seen or play.ask.again)) / FORECAST_MS)
-        play.seen = True
+    def record_demand(self, now, play):
+        """Counts a play as demand once it was priced.
 
-    def price(self, now, play):  # the first holder that makes an offer gets the play
-        for node in play.holders:
-            rung = self.offer(now, play, node, play.length, node.room)
+        Retries do not count: a storm of them priced out all plays, for good.
+        """
+        self.demand[play.request.product].add(
+            now, (not (play.demand_counted or play.request.is_retry)) / DEMAND_MEMORY_MS
+        )
+        play.demand_counted = True
+
+    def choose_node(self, now, play):
+        """Gives the play to the first candidate at which a rung pays, or answers it."""
+        for node in play.candidates:
+            rung = self.best_rung(now, play, node, play.length_ms, node.free_rate)
             if rung is not None:
-                play.rung, play.holders = rung, [node]
+                play.rung, play.candidates = rung, [node]
                 return None
-        return give_up(self.fleet, play)
+        return decline_or_fail(self.fleet, play)
+
+    def best_rung(self, now, play, node, length_ms, free_rate, current_rung=None):
+        """Returns the highest rung that fits and whose payoff beats its cost at the node, or None.
 
-    def offer(self, now, play, node, lk, room, held=None):
-        """The highest rung that fits and whose payoff beats its cost at the node, or None."""
+        `length_ms` is l_k of the policy. With a `current_rung` the play is under way.
+        """
         fleet = self.fleet
-        if held is None and (
-            fleet.adds(play, node, play.product.floor) > node.over
-            or node.streams - len(node.plays) - fleet.other_streams(now, node) < 1
+        if current_rung is None and (
+            fleet.added_rate(play, node, play.product.floor) > node.free_rate_overloaded
+            or node.max_streams - len(node.plays) - fleet.others_streams(now, node) < 1
         ):
             return None
-        places, link, uplink = self.shadow_prices(now, node, lk)
-        place, kb = (
-            places / node.streams,
-            link / fleet.size(now, node) + uplink / node.rack.size(now),
+        streams_price, link_price, uplink_price = self.shadow_prices(now, node, length_ms)
+        price_per_stream, price_per_kb = (
+            streams_price / node.max_streams,
+            link_price / fleet.usable_rate(now, node) + uplink_price / node.rack.uplink_rate(now),
         )
-        chosen, below, has = None, (0.0, 0.0), 0.0
-        cross = fleet.crossing(node) * play.product.importance * lk if held is None else 0.0
-        if held is not None:  # a play under way: what it has, and what a change costs
-            has = play.rate(held) * (
-                play.d.join if play.shares() and node.shared[play.stream(held)] > 1 else 1
+        # below: payoff and cost of the rung below
+        chosen, below, current_rate = None, (0.0, 0.0), 0.0
+        crossing = (
+            fleet.crossing_price(node) * play.product.importance * length_ms
+            if current_rung is None
+            else 0.0
+        )
+        # A play under way: what it has, and what a change costs
+        if current_rung is not None:
+            current_rate = play.rate(current_rung) * (
+                play.deployment.join
+                if play.is_shared() and node.viewers[play.stream_key(current_rung)] > 1
+                else 1
             )
             below = (
-                play.product.importance * (play.d.rung_worth[held] * lk + fleet.d.step_cost_ms),
-                lk / 2 * (place + has * kb),
+                play.product.importance
+                * (
+                    play.deployment.rung_worth[current_rung] * length_ms
+                    + fleet.deployment.step_cost_ms
+                ),
+                length_ms / 2 * (price_per_stream + current_rate * price_per_kb),
             )
-        for rung in range(play.product.floor if held is None else held + 1, play.highest() + 1):
-            rate = fleet.adds(play, node, rung)
-            payoff = play.product.importance * play.d.rung_worth[rung] * lk
-            cost = cross + lk / 2 * (place + rate * kb)
-            least = held is None and rung == play.product.floor  # a low play beats a decline
+        for rung in range(
+            play.product.floor if current_rung is None else current_rung + 1,
+            play.highest_rung() + 1,
+        ):
+            rate = fleet.added_rate(play, node, rung)
+            payoff = play.product.importance * play.deployment.rung_worth[rung] * length_ms
+            cost = crossing + length_ms / 2 * (price_per_stream + rate * price_per_kb)
+            # A play at its lowest rung beats a decline
+            is_lowest = current_rung is None and rung == play.product.floor
             # Each step must pay for what it adds: a top rung can pay as a whole while its last step
             # does not
-            if (rate - has <= room or least) and payoff - below[0] > (cost - below[1]) * SURE:
+            if (rate - current_rate <= free_rate or is_lowest) and payoff - below[0] > (
+                cost - below[1]
+            ) * COST_FACTOR:
                 chosen, below = rung, (payoff, cost)
         return chosen
 
-    def pays(self, now, play):  # its last step, by the admission's test
-        if (size := self.fleet.size(now, play.node)) <= 0:  # weighted out
+    def last_step_pays(self, now, play):
+        """Whether the last step of a play under way pays, by the admission's test."""
+        # Weighted out
+        if (link_rate := self.fleet.usable_rate(now, play.node)) <= 0:
             return False
-        lk, (_, link, uplink) = play.left(now), self.shadow_prices(now, play.node, play.left(now))
-        kb = link / size + uplink / play.node.rack.size(now)
-        return play.gain(play.rung - 1) * lk > lk / 2 * play.frees() * kb * SURE
-
-    def shadow_prices(
-        self, now, node, lk
-    ):  # of streams, link, uplink over lk, net of plays under way
-        fleet, rack, d = self.fleet, node.rack, self.fleet.d
-        size, up = fleet.size(now, node), rack.size(now)
-        prior, total = SHARE_PRIOR / max(fleet.ready, 1e-9), self.setups.now(now) + SHARE_PRIOR
-        here = (node.setups.now(now) + prior * node.links) / total
-        beside = (
-            sum(n.setups.now(now) for n in rack.members.values()) + prior * rack.links
+        remaining_ms, (_, link_price, uplink_price) = (
+            play.remaining_ms(now),
+            self.shadow_prices(now, play.node, play.remaining_ms(now)),
+        )
+        price_per_kb = link_price / link_rate + uplink_price / play.node.rack.uplink_rate(now)
+        return (
+            play.step_gain(play.rung - 1) * remaining_ms
+            > remaining_ms / 2 * play.last_step_rate() * price_per_kb * COST_FACTOR
+        )
+
+    def shadow_prices(self, now, node, horizon_ms):
+        """Returns the prices of a node's streams, link and uplink over the horizon (l_k).
+
+        They are of the capacity that plays under way leave.
+        """
+        fleet, rack, deployment = self.fleet, node.rack, self.fleet.deployment
+        link_rate, uplink_rate = fleet.usable_rate(now, node), rack.uplink_rate(now)
+        even_spread, total = (
+            EVEN_SETUPS / max(fleet.ready_kb, 1e-9),
+            self.setups.at(now) + EVEN_SETUPS,
+        )
+        # Shares of our set-ups that go to the node, and to its rack
+        node_share = (node.setups.at(now) + even_spread * node.rate) / total
+        rack_share = (
+            sum(other.setups.at(now) for other in rack.nodes.values()) + even_spread * rack.rate
         ) / total
         # Others' plays are planned anew, as they step too, of the products that we see asked for
-        streams = fleet.other_streams(now, node)
-        held = min(self.length, lk) * (
-            1 - min(self.length, lk) / (2 * lk)
-        )  # may start any time in lk (q)
-        again = streams / held / max(sum(demand.now(now) for demand in self.demand), 1e-12)
-        caps = [lk, lk * (1 - fleet.margin(now, node)), lk * (1 - fleet.margin(now, rack))]
-        for n in rack.members.values():
-            for p in n.plays.values():
-                stay = min(p.left(now), lk)
-                caps[2] -= stay * p.rate() / up
-                if n is node:
-                    caps[0] -= stay / node.streams
-                    caps[1] -= stay * p.rate() / size
+        others_streams = fleet.others_streams(now, node)
+        # Time a play takes of the horizon: it may start at any time in it (q)
+        holding_ms = min(self.usual_length_ms, horizon_ms) * (
+            1 - min(self.usual_length_ms, horizon_ms) / (2 * horizon_ms)
+        )
+        others_share = (
+            others_streams / holding_ms / max(sum(demand.at(now) for demand in self.demand), 1e-12)
+        )
+        capacities = [
+            horizon_ms,
+            horizon_ms * (1 - fleet.margin(now, node)),
+            horizon_ms * (1 - fleet.margin(now, rack)),
+        ]
+        for other in rack.nodes.values():
+            for play in other.plays.values():
+                stay_ms = min(play.remaining_ms(now), horizon_ms)
+                capacities[2] -= stay_ms * play.rate() / uplink_rate
+                if other is node:
+                    capacities[0] -= stay_ms / node.max_streams
+                    capacities[1] -= stay_ms * play.rate() / link_rate
         groups = []
-        for row, demand in zip(d.products, self.demand, strict=False):
-            # the rack's uplink also carries what our set-ups at its other nodes will ask
+        for product, demand in zip(deployment.products, self.demand, strict=False):
+            # The rack's uplink also carries what our set-ups at its other nodes will ask
             choices = [
                 (
-                    row.importance * d.rung_worth[r] * self.length,
+                    product.importance * deployment.rung_worth[rung] * self.usual_length_ms,
                     (
-                        held / node.streams,
-                        held * d.ladder[r] * row.scale / size,
-                        held * d.ladder[r] * row.scale / up * beside / max(here, 1e-9),
+                        holding_ms / node.max_streams,
+                        holding_ms * deployment.ladder[rung] * product.scale / link_rate,
+                        holding_ms
+                        * deployment.ladder[rung]
+                        * product.scale
+                        / uplink_rate
+                        * rack_share
+                        / max(node_share, 1e-9),
                     ),
                 )
-                for r in range(row.floor, min(row.top, len(d.ladder) - 1) + 1)
+                for rung in range(product.floor, min(product.top, len(deployment.ladder) - 1) + 1)
             ]
-            groups.append((lk * demand.now(now) * (here + again), choices))
-        return duals(groups, caps)
+            groups.append((horizon_ms * demand.at(now) * (node_share + others_share), choices))
+        return dual_prices(groups, capacities)
 
 
-def duals(groups, caps):
-    """Of max sum(payoff x), sum(use x) <= caps, by group sum(x) <= demand; each halved to the least
-    fit.
+def dual_prices(groups, capacities):
+    """Returns the prices of capacities: the dual of a linear program, solved by coordinate descent.
+
+    The program is max sum(payoff x) with sum(use x) <= capacity, by group sum(x) <= demand.
+    A group is (demand, choices), a choice (payoff, use of each capacity). Each price in turn is
+    halved to the least at which the use fits.
     """
-    prices = [0.0] * len(caps)
-    for _ in range(LOOP_SWEEPS):
+    prices = [0.0] * len(capacities)
+    for _ in range(DUAL_SWEEPS):
         before = prices[:]
-        for e, cap in enumerate(caps):
-            prices[e] = 0.0
+        for index, capacity in enumerate(capacities):
+            prices[index] = 0.0
             # As this price moves and the others stand, each choice is a line: what it nets at 0,
             # and its use
             lines = [
                 (
                     demand,
-                    [(payoff - sum(map(mul, uses, prices)), uses[e]) for payoff, uses in choices],
+                    [
+                        (payoff - sum(map(mul, uses, prices)), uses[index])
+                        for payoff, uses in choices
+                    ],
                 )
                 for demand, choices in groups
             ]
-            if used(lines, 0.0) <= cap:
+            if total_use(lines, 0.0) <= capacity:
                 continue
             low, high = (
                 0.0,
-                max(payoff / uses[e] for _, choices in groups for payoff, uses in choices),
+                max(payoff / uses[index] for _, choices in groups for payoff, uses in choices),
             )
-            for _ in range(LOOP_HALVINGS):
+            for _ in range(DUAL_HALVINGS):
                 middle = (low + high) / 2
-                low, high = (low, middle) if used(lines, middle) <= cap else (middle, high)
-            prices[e] = high
-        if prices == before:  # a further sweep would do the same again
+                low, high = (
+                    (low, middle) if total_use(lines, middle) <= capacity else (middle, high)
+                )
+            prices[index] = high
+        # A further sweep would do the same again
+        if prices == before:
             break
     return prices
 
 
-def used(
-    lines, price
-):  # what the groups use of it at that price: each takes what nets most, if over 0
+def total_use(lines, price):
+    """Returns what the groups use of a capacity at a price.
+
+    Each group takes the choice that nets most, if that is over 0.
+    """
     total = 0.0
     for demand, choices in lines:
         best = use = 0.0
--- a/laddergw/control/rungs.py
+++ b/laddergw/control/rungs.py
@@ -1,201 +1,250 @@
-"""What notes, reports and mail tell of links and uplinks, and how rungs in play follow."""
+"""What notes, reports and peers tell of links and uplinks, and how the rungs of plays follow."""
 
 import math
 
 from laddergw import interface
-from laddergw.control.accounts import ABSURD, MARGIN, REPORT_LAG_MS
-from laddergw.control.holders import probe
-
-QUIET_MS, TRY_MORE = 3_000.0, 1.1  # not short for three notes, an uplink is tried with so much more
-SHORT = 0.98  # delivered share under which plays lose, from the wire's rules
-TOGETHER_MS = 2_000.0  # nodes of a rack short within this are short together: two notes' seconds
-LOOK_MS = 500.0  # pace of looking over the plays under way: half a note's second
-MAIL_PART, LINE = (
-    0.12,
-    5.0,
-)  # what telling a report may cost over its probe; bytes of a line of mail
-AIM_LOAD = 0.86  # load of a short link that stepping down aims for: true rates stray, short is dear
-KEEP = 0.3  # share of a step down that plays take whose last step pays: others' go first
+from laddergw.control.candidates import mark_probed
+from laddergw.control.fleet_state import IMPLAUSIBLE_LOAD, MARGIN, REPORT_LAG_MS
+
+# An uplink that was not short for three notes is tried with so much more.
+NO_SHORTAGE_MS, TRIAL_FACTOR = 3_000.0, 1.1
+SHORT_SHARE = 0.98  # delivered share under which plays lose, from the wire's rules
+# Nodes of a rack that are short within this are short together: two notes' seconds.
+TOGETHER_MS = 2_000.0
+REVIEW_INTERVAL_MS = 500.0  # between reviews of the plays under way: half a note's second
+# Share of a probe's price that telling peers its report may cost; bytes of an entry of a message.
+PEER_COST_SHARE, ENTRY_BYTES = 0.12, 5.0
+# Load of a short link that steps down aim for: true rates stray, shortage costs much.
+TARGET_LOAD = 0.86
+# Share of a step down that plays take whose last step pays: others' go first.
+PAYING_STEP_SHARE = 0.3
 SETTLE_MS = 700.0  # wait, past the notes' lateness, before a shortage is answered again
-UP_PART, HOPE = 0.3, 3.0  # part of probed room that one director takes; gain over a probe's price
-GAP, ECHO_GAP_MS = (
-    0.2,
-    8_000.0,
-)  # from a change of rung to a step up, in usual lengths; of probes for it
+# Share of probed room that one director takes; expected gain over a probe's price.
+STEP_UP_SHARE, PROBE_GAIN_FACTOR = 0.3, 3.0
+# From a change of rung to a step up, in usual lengths; between probes for it.
+STEP_UP_GAP_LENGTHS, PROBE_GAP_MS = 0.2, 8_000.0
 
 
 class Rungs:
-    """Loads, shorts: for peers."""
+    """Changes the rungs of plays. `loads`, `shortages`: what came in and is to be told to peers."""
 
     def __init__(self, fleet, prices):
-        self.fleet, self.prices, self.loads, self.shorts = fleet, prices, {}, {}
+        self.fleet, self.prices, self.loads, self.shortages = fleet, prices, {}, {}
 
-    def note(self, now, play, node_id, kind, value):
+    def receive_note(self, now, play, node_id, kind, value):
+        """Takes in a note on a play; returns the verdicts that follow."""
         fleet, node = self.fleet, self.fleet.nodes.get(node_id)
-        fresh = play and play.first and play.started is not None and now - play.started < 1
-        kind = kind if node and 0 <= value < ABSURD else None  # also NaN and infinite: no note
-        if kind == interface.RUNG_NOW and play and play.node is node:
-            self.step(now, play, min(int(value), len(play.d.ladder) - 1))
-            play.changed = -math.inf  # not our change: it may step up at once
-        elif kind == interface.LINK_ASKED:
-            fleet.told(now, node, value, 0.0 if fresh else fleet.d.seen_after_ms)
-            return self.shed(now, node, [node], value) or self.step_up(now, node)
-        elif kind == interface.UPLINK_ASKED and value > 0:
-            node.rack.heard = now
-            node.rack.learn(now, fleet.load(now, node.rack) / value)
-            return self.shed(now, node.rack, node.rack.members.values(), value)
-        elif kind == interface.DELIVERED and value < SHORT:
-            return self.delivered(now, node, node.rack, max(value, 0.1))
-
-    def delivered(
-        self, now, node, rack, share
-    ):  # its own fault, or its uplink's when others share it
-        fleet, node.short, rack.short = self.fleet, now, now
-        size, had = fleet.size(now, node), node.others(now, fleet.crowd)
-        together = any(n is not node and now - n.short < TOGETHER_MS for n in rack.members.values())
-        if had + node.own > size or not together:
-            if now >= node.settle:  # alone: the node itself (a sag, a stand-still)
-                node.hear(now, max(had, size / share - node.own))
-            return self.shed(now, node, [node], 1 / share)
-        if now >= rack.settle:
-            if now - rack.learned > SETTLE_MS:
-                self.shorts[rack.number] = share
-            self.uplink_short(now, rack, share)
-        return self.shed(
-            now, rack, [n for n in rack.members.values() if now >= n.settle], 1 / share
+        just_started = (
+            play and play.first_node and play.started_at is not None and now - play.started_at < 1
+        )
+        # Also NaN and infinite: no note
+        kind = kind if node and 0 <= value < IMPLAUSIBLE_LOAD else None
+        if kind == interface.RUNG_CHANGED and play and play.node is node:
+            self.change_rung(now, play, min(int(value), len(play.deployment.ladder) - 1))
+            # Not our change: it may step up at once
+            play.rung_changed_at = -math.inf
+        elif kind == interface.LINK_DEMAND:
+            fleet.record_load(
+                now, node, value, 0.0 if just_started else fleet.deployment.seen_after_ms
+            )
+            return self.step_down(now, node, [node], value) or self.step_up(now, node)
+        elif kind == interface.UPLINK_DEMAND and value > 0:
+            node.rack.reported_at = now
+            node.rack.learn_rate(now, fleet.load(now, node.rack) / value)
+            return self.step_down(now, node.rack, node.rack.nodes.values(), value)
+        elif kind == interface.DELIVERED and value < SHORT_SHARE:
+            return self.answer_shortage(now, node, node.rack, max(value, 0.1))
+
+    def answer_shortage(self, now, node, rack, share):
+        """Takes a delivered share as the node's own fault, or its uplink's when others share it."""
+        fleet, node.short_at, rack.short_at = self.fleet, now, now
+        rate, others = fleet.usable_rate(now, node), node.others_load(now, fleet.others_share)
+        together = any(
+            n is not node and now - n.short_at < TOGETHER_MS for n in rack.nodes.values()
+        )
+        if others + node.own > rate or not together:
+            # Alone: the node itself (it sags, or stands still)
+            if now >= node.settle_until:
+                node.record_others(now, max(others, rate / share - node.own))
+            return self.step_down(now, node, [node], 1 / share)
+        if now >= rack.settle_until:
+            if now - rack.learned_at > SETTLE_MS:
+                self.shortages[rack.number] = share
+            self.record_uplink_shortage(now, rack, share)
+        return self.step_down(
+            now, rack, [n for n in rack.nodes.values() if now >= n.settle_until], 1 / share
         )
 
-    def uplink_short(self, now, rack, share):  # learned once a settling: notes lag steps
-        rack.short = now
-        if now - rack.learned > self.fleet.d.seen_after_ms + SETTLE_MS:
-            rack.learn(now, self.fleet.load(now, rack) * share)
-            rack.learned = now
+    def record_uplink_shortage(self, now, rack, share):
+        """Learns an uplink's rate from a shortage, once a settling time: notes lag steps."""
+        rack.short_at = now
+        if now - rack.learned_at > self.fleet.deployment.seen_after_ms + SETTLE_MS:
+            rack.learn_rate(now, self.fleet.load(now, rack) * share)
+            rack.learned_at = now
 
-    def reported(self, now, node, report):
+    def receive_report(self, now, node, report):
+        """Takes in a node's load report; returns the verdicts that follow."""
         values = {
-            k: v for k, v in zip(self.fleet.d.reports, report, strict=False) if 0 <= v < ABSURD
+            name: value
+            for name, value in zip(self.fleet.deployment.reports, report, strict=False)
+            if 0 <= value < IMPLAUSIBLE_LOAD
         }
-        asked, up, out = values.get("x0", values.get("load_share")), values.get("x1"), []
-        if asked is not None:
-            self.fleet.told(now, node, asked, REPORT_LAG_MS)
-            node.heard, self.loads[node.id] = now, asked
-        if up:
-            node.rack.learn(now, self.fleet.load(now, node.rack) / up)
-            node.rack.heard = now
-        if self.fleet.blind and asked is not None:  # nothing else tells of room
-            out = self.shed(now, node, [node], asked)
-            out = out or self.shed(now, node.rack, node.rack.members.values(), up or 0)
-            out = out or self.step_up(now, node)
-        return out
-
-    def mail(self, now, loads, shares):  # feeds accounts as our own reports do; it lists no node
-        for node_id, asked in loads:
+        link, uplink, verdicts = values.get("x0", values.get("load_share")), values.get("x1"), []
+        if link is not None:
+            self.fleet.record_load(now, node, link, REPORT_LAG_MS)
+            node.reported_at, self.loads[node.id] = now, link
+        if uplink:
+            node.rack.learn_rate(now, self.fleet.load(now, node.rack) / uplink)
+            node.rack.reported_at = now
+        # Nothing else tells of room
+        if self.fleet.probes_only and link is not None:
+            verdicts = self.step_down(now, node, [node], link)
+            verdicts = verdicts or self.step_down(
+                now, node.rack, node.rack.nodes.values(), uplink or 0
+            )
+            verdicts = verdicts or self.step_up(now, node)
+        return verdicts
+
+    def receive_peer_report(self, now, loads, shares):
+        """Takes in a peer's reports as our own; they list no node."""
+        for node_id, load in loads:
             node = self.fleet.nodes.get(node_id)
             if (
                 node
                 and node.state != interface.GONE
-                and 0 <= asked < ABSURD
-                and now - node.heard > LOOK_MS
+                and 0 <= load < IMPLAUSIBLE_LOAD
+                and now - node.reported_at > REVIEW_INTERVAL_MS
             ):
-                self.fleet.told(now, node, asked, REPORT_LAG_MS + LOOK_MS)
-                node.heard = now - LOOK_MS
+                self.fleet.record_load(now, node, load, REPORT_LAG_MS + REVIEW_INTERVAL_MS)
+                node.reported_at = now - REVIEW_INTERVAL_MS
         for number, share in shares:
-            if 0 <= number < len(self.fleet.racks) and 0 < share < SHORT:
-                self.uplink_short(now, self.fleet.racks[number], share)
+            if 0 <= number < len(self.fleet.racks) and 0 < share < SHORT_SHARE:
+                self.record_uplink_shortage(now, self.fleet.racks[number], share)
 
-    def try_more(
-        self, now, plays
-    ):  # full by our account, not short: it carries more, or links sagged
+    def try_full_uplinks(self, now, plays):
+        """Raises estimates of uplinks full by them, not short: they carry more, or links sagged."""
         fleet = self.fleet
         for rack in {id(p.node.rack): p.node.rack for p in plays.values() if p.node}.values():
-            asked, free = fleet.load(now, rack), 1 - fleet.margin(now, rack)
-            if asked > free * rack.size(now) and now - max(rack.heard, rack.short) > QUIET_MS:
-                rack.learn(now, asked / (1 - MARGIN if fleet.blind else free) * TRY_MORE)
-
-    def tell(self):  # what came since, to as many peers as part of a probe pays for
-        d, loads, shares = self.fleet.d, tuple(self.loads.items()), tuple(self.shorts.items())
-        cost = max(d.peer_price * LINE / 256, 1e-9)
-        many = min(int(MAIL_PART * d.probe_price / cost), d.directors - 1) if d.peers else 0
-        start, size = int(self.fleet.chance() * d.directors) if many else 0, d.directors
-        peers = [(start + n) % size for n in range(many + 1) if (start + n) % size != d.number][
-            :many
-        ]
-        self.loads, self.shorts = {}, {}
-        return interface.Verdict(tell=tuple(peers), loads=loads, shares=shares)
-
-    def shed(
-        self, now, short, nodes, asked
-    ):  # steps plays down by what is asked too much, as all do
-        if asked <= 1 or now < short.settle:
+            load, free = fleet.load(now, rack), 1 - fleet.margin(now, rack)
+            if (
+                load > free * rack.uplink_rate(now)
+                and now - max(rack.reported_at, rack.short_at) > NO_SHORTAGE_MS
+            ):
+                rack.learn_rate(
+                    now, load / (1 - MARGIN if fleet.probes_only else free) * TRIAL_FACTOR
+                )
+
+    def report_to_peers(self):
+        """Returns what came since, for as many peers as a share of a probe's price pays for."""
+        terms, loads, shares = (
+            self.fleet.deployment,
+            tuple(self.loads.items()),
+            tuple(self.shortages.items()),
+        )
+        cost = max(terms.peer_price * ENTRY_BYTES / 256, 1e-9)
+        count = (
+            min(int(PEER_COST_SHARE * terms.probe_price / cost), terms.directors - 1)
+            if terms.peers
+            else 0
+        )
+        start, directors = int(self.fleet.draw() * terms.directors) if count else 0, terms.directors
+        peers = [
+            (start + offset) % directors
+            for offset in range(count + 1)
+            if (start + offset) % directors != terms.number
+        ][:count]
+        self.loads, self.shortages = {}, {}
+        return interface.Verdict(notify_directors=tuple(peers), loads=loads, shares=shares)
+
+    def step_down(self, now, short, nodes, load):
+        """Steps plays at the nodes down by what is asked too much, as all directors do.
+
+        `short`: the node or rack that is short; `load`: what is asked of it over what it gives.
+        """
+        if load <= 1 or now < short.settle_until:
             return []
-        short.settle = now + self.fleet.d.seen_after_ms + SETTLE_MS
-        want, out = sum(n.own for n in nodes) * (1 - AIM_LOAD / asked), {}
-        able = [p for n in nodes for p in n.plays.values() if p.started is not None]
+        short.settle_until = now + self.fleet.deployment.seen_after_ms + SETTLE_MS
+        excess, verdicts = sum(node.own for node in nodes) * (1 - TARGET_LOAD / load), {}
+        able = [p for node in nodes for p in node.plays.values() if p.started_at is not None]
         while able := [p for p in able if p.rung > p.product.floor]:
-            p = min(able, key=lambda p: (p.gain(p.rung - 1) / p.frees(), p.id))
-            part = (
-                KEEP if self.prices.pays(now, p) else 1
-            )  # what pays at the node's prices goes down later
-            if (
-                want * part < p.frees() * self.fleet.chance()
-            ):  # the last by chance: not all round up
+            play = min(able, key=lambda p: (p.step_gain(p.rung - 1) / p.last_step_rate(), p.id))
+            # What pays at the node's prices goes down later
+            share = PAYING_STEP_SHARE if self.prices.last_step_pays(now, play) else 1
+            # The last by chance: not all directors round up
+            if excess * share < play.last_step_rate() * self.fleet.draw():
                 break
-            want -= p.frees()
-            out[p.id] = self.step(now, p, p.rung - 1)  # several rungs at once cost one change
-        return list(out.values())
-
-    def step_up(
-        self, now, node
-    ):  # by our part of the room: all with plays there heard the same note
-        fleet, sizes = self.fleet, self.fleet.sizes(now, node)
-        want = min(
-            (size * fleet.up_to / max(fleet.load(now, p), 1e-9) - 1) * node.own for p, size in sizes
+            excess -= play.last_step_rate()
+            # Several rungs at once cost one change
+            verdicts[play.id] = self.change_rung(now, play, play.rung - 1)
+        return list(verdicts.values())
+
+    def step_up(self, now, node):
+        """Steps plays up by our part of the room: all with plays there heard the same note."""
+        fleet, rates = self.fleet, self.fleet.rates(now, node)
+        room = min(
+            (rate * fleet.step_up_load / max(fleet.load(now, link), 1e-9) - 1) * node.own
+            for link, rate in rates
         )
-        if fleet.blind:  # no one else heard this
-            want = UP_PART * min(
-                size * min(fleet.up_to, 1 - fleet.margin(now, part)) - fleet.load(now, part)
-                for part, size in sizes
+        # No one else heard this
+        if fleet.probes_only:
+            room = STEP_UP_SHARE * min(
+                rate * min(fleet.step_up_load, 1 - fleet.margin(now, resource))
+                - fleet.load(now, resource)
+                for resource, rate in rates
             )
-        able, out = [p for p in node.plays.values() if self.may_rise(now, p)], []
-        for p in sorted(able, key=lambda p: (-p.gain(p.rung) * p.left(now), p.id)):
-            had, extra = p.rate(), p.rate(p.rung + 1) - p.rate()
-            if want < extra * fleet.chance():
+        able, verdicts = [p for p in node.plays.values() if self.may_step_up(now, p)], []
+        for play in sorted(able, key=lambda p: (-p.step_gain(p.rung) * p.remaining_ms(now), p.id)):
+            old_rate, extra_rate = play.rate(), play.rate(play.rung + 1) - play.rate()
+            if room < extra_rate * fleet.draw():
                 break
-            rung = self.prices.offer(now, p, node, p.left(now), max(want, extra), p.rung)
+            rung = self.prices.best_rung(
+                now, play, node, play.remaining_ms(now), max(room, extra_rate), play.rung
+            )
             if rung is not None:
-                out.append(self.step(now, p, rung))
-                want -= p.rate() - had
-        return out
-
-    def step(self, now, play, rung):
-        self.fleet.weigh(now, play, -1)
-        play.rung, play.changed = rung, now
-        self.fleet.weigh(now, play, 1)
+                verdicts.append(self.change_rung(now, play, rung))
+                room -= play.rate() - old_rate
+        return verdicts
+
+    def change_rung(self, now, play, rung):
+        """Changes a play's rung in the counts; returns the verdict that does it."""
+        self.fleet.count_load(now, play, -1)
+        play.rung, play.rung_changed_at = rung, now
+        self.fleet.count_load(now, play, 1)
         return interface.Verdict(play.id, rung=rung)
 
-    def may_rise(self, now, p):
+    def may_step_up(self, now, play):
+        """Whether a play is under way, below its highest rung and long enough at its own."""
         return (
-            p.started is not None
-            and p.rung < p.highest()
-            and now - p.changed >= GAP * self.prices.length
+            play.started_at is not None
+            and play.rung < play.highest_rung()
+            and now - play.rung_changed_at >= STEP_UP_GAP_LENGTHS * self.prices.usual_length_ms
         )
 
-    def look_up(
-        self, now, plays
-    ):  # where no note tells of room: nodes to probe where a step up pays for it
-        d, nodes = self.fleet.d, []
-        cost = HOPE * d.probe_price * self.prices.length * max(row.importance for row in d.products)
-        for node in {p.node.id: p.node for p in plays.values() if p.node and not p.out}.values():
-            if node.next_up is None:  # not all at once after a start
-                node.next_up = now + self.fleet.chance() * ECHO_GAP_MS
+    def nodes_to_probe(self, now, plays):
+        """Where no note tells of room: returns nodes to probe where a step up pays for it."""
+        deployment, nodes = self.fleet.deployment, []
+        cost = (
+            PROBE_GAIN_FACTOR
+            * deployment.probe_price
+            * self.prices.usual_length_ms
+            * max(product.importance for product in deployment.products)
+        )
+        for node in {
+            p.node.id: p.node for p in plays.values() if p.node and not p.pending_setup
+        }.values():
+            # Not all at once after a start
+            if node.next_probe_at is None:
+                node.next_probe_at = now + self.fleet.draw() * PROBE_GAP_MS
             if (
-                now < max(node.next_up, node.heard + ECHO_GAP_MS / 2)
+                now < max(node.next_probe_at, node.reported_at + PROBE_GAP_MS / 2)
                 or node.state == interface.GONE
             ):
                 continue
             if cost < sum(
-                p.gain(p.rung) * p.left(now) for p in node.plays.values() if self.may_rise(now, p)
+                p.step_gain(p.rung) * p.remaining_ms(now)
+                for p in node.plays.values()
+                if self.may_step_up(now, p)
             ):
-                node.next_up = now + ECHO_GAP_MS
+                node.next_probe_at = now + PROBE_GAP_MS
                 nodes.append(node)
-        return probe(now, nodes)
+        return mark_probed(now, nodes)
--- a/laddergw/director/carrying.py
+++ b/laddergw/director/carrying.py
@@ -91,7 +91,7 @@
         self.apply(ply, ply.allocation.answered(self.loop.now, call.status, sound), report)
         for kind, value in notes:
             if ply.playing:
-                self.feed(self.controller.note, self.loop.now, ply.id, ply.allocation.node, kind, value)
+                self.feed(self.controller.update_play, self.loop.now, ply.id, ply.allocation.node, kind, value)
 
     def set_up_late(self, ply: Try, name: str) -> None:
         ply.lease_timer = None
@@ -138,7 +138,7 @@
                    own_ms=self.loop.reading() - ply.asked_at - ply.node_ms, first_ms=now - ply.asked_at, reason="")
         ply.exchange.begin(200, frames.playing(tokens.sign(self.house.keys, ply.earlier), a.node,
                                                link.address if link else ("", 0), a.name, a.rung, self.rate(ply)))
-        self.feed(self.controller.playing, now, ply.id, a.number, now - a.asked_at, a.node)
+        self.feed(self.controller.play_started, now, ply.id, a.number, now - a.asked_at, a.node)
 
     def allocation_ended(self, ply: Try, outcome: str, report: tuple) -> None:
         """The allocation can be out no more: the module is told, and the viewer of a play that has ended."""
@@ -158,7 +158,7 @@
         if not (ply.left or ply.answered) and ply.life.spent():      # what its terms allow has been tried
             self.finish(ply, *ply.life.final(self.chance()), reason=TRIES_OVER)
         over = ply.left or ply.answered
-        self.feed(self.controller.ended, self.loop.now, ply.id, a.number, outcome, a.node, over, report)
+        self.feed(self.controller.allocation_ended, self.loop.now, ply.id, a.number, outcome, a.node, over, report)
         if not over:
             return
         if ply.playing:
@@ -177,7 +177,7 @@
         """Asks a node for its load; the module hears what came, in a later turn."""
         link, asked_at = self.fleet.links.get(node), self.loop.now
         if link is None:
-            return self.loop.soon(lambda: self.feed(self.controller.probed, self.loop.now, node, face.UNREACHABLE, 0.0, ()))
+            return self.loop.soon(lambda: self.feed(self.controller.probe_ended, self.loop.now, node, face.UNREACHABLE, 0.0, ()))
         return link.probe(lambda call: self.probe_ended(node, asked_at, call))
 
     def probe_ended(self, node: int, asked_at: float, call: Call) -> None:
@@ -190,7 +190,7 @@
             except frames.Malformed as error:
                 outcome = face.ERROR
                 self.watch("bad answer", node=node, reason=str(error))
-        self.feed(self.controller.probed, self.loop.now, node, outcome, self.loop.now - asked_at, report)
+        self.feed(self.controller.probe_ended, self.loop.now, node, outcome, self.loop.now - asked_at, report)
 
     def change_rung(self, ply: Try, rung: int) -> None:
         a = ply.allocation
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -8,7 +8,7 @@
 from typing import Any, Callable
 from zlib import crc32
 
-from laddergw import interface as face, mail
+from laddergw import interface as face, peer_messages
 from laddergw.control import Controller
 from laddergw.machines import allocation as alloc
 from laddergw.director import frames, tokens
@@ -81,7 +81,7 @@
         self.generations.switch(limits, self.loop.now)
         self.budgets.set(allowed(limits))
         self.room.switch(limits.adaptive)
-        self.feed(self.controller.retold, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
+        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
         self.watch("limits changed", generation=self.generations.current.number, lines=len(changed))
         if self.tap is not None:
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
@@ -97,7 +97,7 @@
         self.products = {name: index for index, name in enumerate(house.names)}
         self.most_importance = max(product.importance for product in house.deployment.products)
         self.post.reach(house.peers)
-        self.feed(self.controller.retold, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
+        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
         self.watch("deployment changed", products=len(house.names), held=self.held, waiting=self.waiting)
         if self.tap is not None:
             self.tap("deployment changed", self.loop.now, {"products": list(house.names), "held": self.held, "waiting": self.waiting})
@@ -192,20 +192,20 @@
         """A message of another director. One that makes no sense is refused, told, and changes nothing."""
         try:
             sender, loads, shares = self.post.read(exchange.body)
-        except mail.Malformed as error:
+        except peer_messages.MalformedMessage as error:
             self.watch("mail refused", reason=str(error))
             return exchange.answer(400, frames.problem(str(error)))
         exchange.answer(200, b"{}")
-        return self.feed(self.controller.mail, self.loop.now, sender, loads, shares)
+        return self.feed(self.controller.receive_peer_report, self.loop.now, sender, loads, shares)
 
     def admit(self, ply: Try) -> None:
         r, now = ply.request, self.loop.now
         ply.asked = True
         if self.observer is not None:
             self.observer.admitted(ply)
-        self.feed(self.controller.asked, now, face.Asked(ply.id, ply.product, r.title, r.home, r.copies, r.ceiling,
-                                                         r.length_ms, max(0.0, ply.life.limit - now),
-                                                         ply.earlier.tries > 1))
+        self.feed(self.controller.request_play, now, face.PlayRequest(ply.id, ply.product, r.title, r.home, r.copies, r.ceiling,
+                                                                      r.length_ms, max(0.0, ply.life.limit - now),
+                                                                      ply.earlier.tries > 1))
 
     def overdue(self, ply: Try) -> None:
         """The last guard of the one answer: what holds it up is not known here, so it is failed."""
@@ -213,7 +213,7 @@
         if not ply.answered and not ply.left:
             self.watch("overdue", play=ply.id)
             if ply.asked:
-                self.feed(self.controller.left, self.loop.now, ply.id)
+                self.feed(self.controller.viewer_left, self.loop.now, ply.id)
             self.finish(ply, face.FAILED, None, "time limit")
 
     def viewer_left(self, ply: Try) -> None:
@@ -223,7 +223,7 @@
         ply.left = True
         self.watch("viewer left", play=ply.id, playing=ply.playing)
         if ply.asked:
-            self.feed(self.controller.left, self.loop.now, ply.id)
+            self.feed(self.controller.viewer_left, self.loop.now, ply.id)
         if not ply.answered:
             self.waiting -= 1
         self.end_allocation(ply)
@@ -258,12 +258,12 @@
     # Verdicts
 
     def carry_out(self, verdict: face.Verdict) -> None:
-        if verdict.follow:
+        if verdict.request_fleet_list:
             return self.fleet.follow()
-        for node in verdict.probe:
+        for node in verdict.probe_nodes:
             self.probe(node)
-        if verdict.tell:
-            return self.post.send(verdict.tell, mail.pack(verdict.loads, verdict.shares))
+        if verdict.notify_directors:
+            return self.post.send(verdict.notify_directors, peer_messages.pack(verdict.loads, verdict.shares))
         ply = self.tries.get(verdict.play)
         if ply is None:
             return
@@ -271,7 +271,7 @@
             self.allocate(ply, verdict)
         elif verdict.answer is not None:
             ply.allocation = None
-            self.finish(ply, verdict.answer, ply.life.retry(verdict.retry_ms) if verdict.answer == face.DECLINED else None)
+            self.finish(ply, verdict.answer, ply.life.retry(verdict.retry_after_ms) if verdict.answer == face.DECLINED else None)
         elif verdict.move:
             self.take_off(ply, MOVED)
         elif verdict.rung is not None:
@@ -283,7 +283,7 @@
         return Link(self.loop, node, address, self.name, self, self.tap)
 
     def list_changed(self, lines: list, whole: bool, stopped: list[int]) -> None:
-        self.feed(self.controller.listed, self.loop.now, lines, whole)
+        self.feed(self.controller.update_fleet, self.loop.now, lines, whole)
         for node in stopped:
             self.take_back(node)
         self.fleet.drop_unused(lambda node: bool(self.on_node.get(node)))
@@ -303,7 +303,7 @@
     def list_failed(self) -> None:
         self.watch("list failed")
         if self.house.deployment.must_ask:
-            self.feed(self.controller.list_failed, self.loop.now)
+            self.feed(self.controller.fleet_list_failed, self.loop.now)
 
     def session_up(self, link: Link) -> None:
         self.watch("session up", node=link.node)
@@ -318,9 +318,9 @@
     def node_said(self, link: Link, line: frames.NodeLineOfNotes) -> None:
         for name, kind, value in line.notes:
             ply = self.by_allocation.get(name)
-            if self.observer is not None and kind == face.LINK_ASKED:
+            if self.observer is not None and kind == face.LINK_DEMAND:
                 self.observer.asked_told(link.node, value)
-            self.feed(self.controller.note, self.loop.now, ply.id if ply else 0, link.node, kind, value)
+            self.feed(self.controller.update_play, self.loop.now, ply.id if ply else 0, link.node, kind, value)
         for name, how in line.ended:
             if ply := self.by_allocation.get(name):
                 self.apply(ply, ply.allocation.node_ended(how == frames.FINISHED))
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -89,13 +89,13 @@
             for node in [node for node in self.entries if node not in named]:
                 self.entries[node] = self.entries[node]._replace(state=face.GONE)
 
-    def as_line(self, entry: frames.NodeEntry) -> face.NodeLine:
+    def as_line(self, entry: frames.NodeEntry) -> face.NodeEntry:
         """The module's line. A process's start is fixed when we first hear of it: told again it must stay the same."""
         known = self.started.get(entry.node)
         if known is None or known[0] != entry.incarnation:
             start = 0.0 if entry.age_ms is None else max(0.0, self.loop.now - entry.age_ms)
             known = self.started[entry.node] = entry.incarnation, start
-        return face.NodeLine(entry.node, entry.cell, entry.weight, entry.state, known[1], entry.kind, entry.zone, entry.node)
+        return face.NodeEntry(entry.node, entry.cell, entry.weight, entry.state, known[1], entry.kind, entry.zone, entry.node)
 
     def drop_unused(self, used: Callable[[int], bool]) -> None:
         """Closes the links of nodes that are gone and hold nothing of ours."""
--- a/laddergw/director/frames.py
+++ b/laddergw/director/frames.py
@@ -16,7 +16,7 @@
 MOST_ID = 2 ** 53          # whole numbers that every JSON reader keeps
 WHOLE, CHANGES, ALIVE = "whole", "changes", "alive"
 STATES = (face.READY, face.DRAINING, face.GONE)
-NOTES = (face.DELIVERED, face.LINK_ASKED, face.UPLINK_ASKED)
+NOTES = (face.DELIVERED, face.LINK_DEMAND, face.UPLINK_DEMAND)
 FINISHED, BROKEN, LEASE = "finished", "broken", "lease"    # how a node says that an allocation ended
 MISSING = object()
 
--- a/laddergw/director/post.py
+++ b/laddergw/director/post.py
@@ -1,12 +1,12 @@
 """Messages between directors: each signed with the first key, sent to peers by number, read and checked. Carries, decides nothing.
 
-A body is id.payload.mark, as tokens are: the payload is the sender's number, its wall clock in ms, and the message of laddergw/mail.py.
+A body is id.payload.mark, as tokens are: the payload is the sender's number, its wall clock in ms, and the message of laddergw/peer_messages.py.
 """
 import hmac
 import struct
 from typing import Callable
 
-from laddergw import mail
+from laddergw import peer_messages
 from laddergw.director import tokens
 from laddergw.http.client import Pool
 from laddergw.http.limits import PoolLimits
@@ -47,21 +47,21 @@
         self.loop.after(LIMIT_MS, lambda: call.cut("no answer to mail in time"))
 
     def read(self, body: bytes) -> tuple[int, list, list]:
-        """(sender, loads, shares). Raises mail.Malformed for what is not signed by a key of ours, stale or makes no sense."""
+        """(sender, loads, shares). Raises peer_messages.MalformedMessage for what is not signed by a key of ours, stale or makes no sense."""
         try:
             name, payload, told = body.decode("ascii").split(".")
             secret = dict(self.keys()).get(name)
             if secret is None or not hmac.compare_digest(tokens.unpack(told), tokens.mark(secret, name, payload)):
-                raise mail.Malformed("mail: not signed by a key of ours")
+                raise peer_messages.MalformedMessage("mail: not signed by a key of ours")
             data = tokens.unpack(payload)
             sender, at = HEAD.unpack_from(data)
         except (ValueError, struct.error) as error:
-            raise mail.Malformed(f"mail: not a signed message: {error}") from None
+            raise peer_messages.MalformedMessage(f"mail: not a signed message: {error}") from None
         if sender not in self.pools:
-            raise mail.Malformed(f"mail of {sender}: no peer in the file")
+            raise peer_messages.MalformedMessage(f"mail of {sender}: no peer in the file")
         if not abs(self.wall() - at) <= STALE_MS:
-            raise mail.Malformed(f"mail of {sender}: {self.wall() - at:.0f} ms old")
-        return sender, *mail.unpack(data[HEAD.size:])
+            raise peer_messages.MalformedMessage(f"mail of {sender}: {self.wall() - at:.0f} ms old")
+        return sender, *peer_messages.unpack(data[HEAD.size:])
 
     def close(self) -> None:
         for pool in self.pools.values():
--- a/laddergw/interface.py
+++ b/laddergw/interface.py
@@ -1,11 +1,11 @@
-"""What goes into a Controller and what comes out of it. Plain types; no choice is made here.
+"""What goes into a Controller and what comes out of it: plain types, no decisions.
 
 Times are milliseconds with fractions, rates are kB a second, ids are as the host gives them.
 """
 
 from typing import NamedTuple
 
-# How an allocation ended, in the words that the host hands to Controller.ended().
+# How an allocation ended, in the words that the host hands to Controller.allocation_ended().
 SERVED, ERROR, FULL, TIMED_OUT, UNREACHABLE, BROKEN, CANCELLED, NEVER_SENT = (
     "served",
     "error",
@@ -16,20 +16,29 @@
     "cancelled",
     "never sent",
 )
-# What the fleet list says of a media node.
+# State of a media node by the fleet list.
 READY, DRAINING, GONE = "ready", "draining", "gone"
-# What a note on a playing play tells.
-DELIVERED, RUNG_NOW, LINK_ASKED, UPLINK_ASKED = "delivered", "rung", "link asked", "uplink asked"
+# Kinds of note on a play under way: the share delivered of its rate; its rung, changed by the node;
+# what is asked of the node's link, and of its rack's uplink, over what they give.
+DELIVERED, RUNG_CHANGED, LINK_DEMAND, UPLINK_DEMAND = (
+    "delivered",
+    "rung",
+    "link asked",
+    "uplink asked",
+)
 # Final answers that a verdict may carry.
 DECLINED, FAILED = "declined", "failed"
 
 
 class Product(NamedTuple):
-    """One product's terms, as the deployment states them."""
+    """One product's terms, as the deployment states them.
+
+    Fleet versions hash a deployment's repr: the names of this class and its fields are stored data.
+    """
 
-    importance: float  # a second at a rung worth 1
-    repeat: str  # "safe", "keyed" or "paid"
-    group: str  # keyed: "all", "zone" or "cell"
+    importance: float  # worth of a second at a rung worth 1
+    repeat: str  # whether a set-up may be repeated: "safe", "keyed" or "paid"
+    group: str  # keyed: nodes on which a key holds: "all", "zone" or "cell"
     key_ms: float  # keyed: how long a key holds
     floor: int  # lowest rung
     top: int  # highest rung
@@ -39,7 +48,10 @@
 
 
 class Deployment(NamedTuple):
-    """What a director is told of its deployment at start."""
+    """What a director is told of its deployment at start.
+
+    Fleet versions hash its repr: the names of this class and its fields are stored data.
+    """
 
     products: tuple
     ladder: tuple  # kB/s of each rung
@@ -47,37 +59,39 @@
     cells: int
     racks: int
     link_unit: float  # kB/s of a link for a weight of 1
-    rack_kb: float  # mean uplink of a rack
-    streams: tuple  # by kind of node
-    step_cost_ms: float  # a change of rung, in time of the product's importance
+    rack_kb: float  # mean rate of a rack's uplink
+    streams: tuple  # streams that a node serves, by kind of node
+    step_cost_ms: float  # cost of a change of rung, in time of the product's importance
     seen_after_ms: float  # how late notes are
     directors: int
-    max_allocations: int
+    max_allocations: int  # of one play
     retry_max_ms: float  # longest retry-after that viewers follow; 0: none
-    cold_from: float
-    warm_ms: float
-    fall_multiple: float
+    cold_from: float  # share of its capacity that a node gives at its start
+    warm_ms: float  # from its start until a node gives all of its capacity
+    fall_multiple: float  # set-ups that a cold node takes, over its streams in warm_ms
     fall_ms: float  # span in which all set-ups to a cold node are counted
-    budget_free: float  # further allocations; None where they are not rationed
-    budget_share: float
-    budget_ms: float
+    budget_free: float  # retries free of the share; None where they are not rationed
+    budget_share: float  # further retries, as a share of the plays taken
+    budget_ms: float  # window in which both are counted
     must_ask: bool  # the fleet list comes only when asked for
     reports: tuple  # names of the values in a load report
     probes: bool = False  # a node may be asked for its load
-    # what load reports come with: "answers", "probe" (answers to probes alone), "none"
+    # What load reports come with: "answers", "probe" (answers to probes alone), "none"
     told_by: str = "answers"
-    probe_price: float = 0.0  # of one probe a play, as a part of all worth asked for
-    cross_price: float = 0.0  # of plays that cross zones, as a part of all worth asked for
+    probe_price: float = 0.0  # of one probe a play, as a share of all worth asked for
+    cross_price: float = 0.0  # of plays that cross zones, as a share of all worth asked for
     zone: int = 0  # of this director
     number: int = 0  # of this director; they count from 0
     peers: bool = False  # directors may send each other messages
-    peer_price: float = 0.0  # of 256 bytes received for each play, as a part of all worth asked for
+    # Of 256 bytes received for each play, as a share of all worth asked for
+    peer_price: float = 0.0
     connect_ms: float = 0.0  # a connection comes up within this or not at all
-    join: float = 1.0  # what a further viewer of a live title's stream adds, as a part of its rate
+    # What a further viewer of a live title's stream adds, as a share of its rate
+    join: float = 1.0
 
 
-class NodeLine(NamedTuple):
-    """One line of the fleet list."""
+class NodeEntry(NamedTuple):
+    """One entry of the fleet list."""
 
     node: int
     cell: int
@@ -86,40 +100,44 @@
     started_ms: float  # latest start; 0: long ago
     kind: int
     zone: int
-    mark: int = 0  # the same at every director, another at each node
+    # Shifts the directors' turns at a cold node: the same at every director, another at each node
+    rotation_offset: int = 0
 
 
-class Asked(NamedTuple):
+class PlayRequest(NamedTuple):
     """A viewer's request for a play, or a play handed over at the start."""
 
     play: int
     product: int
     title: int
-    home: float  # first cell that holds the title
-    copies: float  # cells that hold it
-    ceiling: float  # highest rung that the viewer can use
-    length_ms: float  # hint of its length (handed over: of what is left); None: no hint
+    first_cell: float  # first cell that holds the title
+    replica_count: float  # cells that hold it, from the first on
+    highest_rung: float  # that the viewer can use
+    # Hint of its length (handed over: of what is left); None: no hint
+    length_ms: float
     wait_ms: float  # the viewer stops waiting after this
-    again: bool = False  # a further try of a play that was asked for before
+    is_retry: bool = False  # the play was asked for before
 
 
 class Verdict(NamedTuple):
-    """One decision. `node` set: allocate there at `rung` with `timeout_ms`; `answer`: the final
-    one;
-    `rung` alone: change the rung of a playing play; `move`: take the play off its node;
-    `follow`: ask for the fleet list and its changes; `probe`: nodes to ask for their load now. A
-    verdict with a
-    play and no more than `probe` keeps the play for a later one."""
+    """One decision.
+
+    `node` set: allocate there at `rung` with `timeout_ms`. `answer`: the final answer. `rung`
+    alone: change the rung of a play under way. `move`: take the play off its node.
+    `request_fleet_list`: ask for the fleet list and its changes. `probe_nodes`: nodes to ask for
+    their load now. A verdict with a play and no more than `probe_nodes` keeps the play for a later
+    one.
+    """
 
     play: int = None
     node: int = None
     rung: int = None
     timeout_ms: float = None
     answer: str = None
-    retry_ms: float = None
+    retry_after_ms: float = None
     move: bool = False
-    follow: bool = False
-    probe: tuple = ()
-    tell: tuple = ()  # numbers of directors to be told:
+    request_fleet_list: bool = False
+    probe_nodes: tuple = ()
+    notify_directors: tuple = ()  # numbers of directors to be sent the following
     loads: tuple = ()  # (node, what is asked of its link over what it gives)
     shares: tuple = ()  # (rack, share of their rates that plays behind its uplink get)
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/edge_side.py
@@ -126,7 +126,7 @@
             return
         self.used += 1
         for node, kb in others.items():
-            director.feed(director.controller.seen, self.loop.now, node, kb)
+            director.feed(director.controller.observe_load, self.loop.now, node, kb)
 
 
     def page(self, exchange: Exchange) -> None:
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -114,7 +114,9 @@
                 ask = play.request.ask._replace(
                     wait_ms=max(0.0, play.limit - self.director.loop.now)
                 )
-                self.director.feed(self.director.controller.asked, self.director.loop.now, ask)
+                self.director.feed(
+                    self.director.controller.request_play, self.director.loop.now, ask
+                )
 
     def takes_over(self, message: binary.Message) -> bool:
         return b"at:" in (message.parameters or {}).get(binary.FIGURES, b"")
@@ -135,7 +137,7 @@
             )
             play.node, play.number, play.stands = node, 0, True
             self.director.feed(
-                self.director.controller.handed_over,
+                self.director.controller.take_over_play,
                 self.director.loop.now,
                 request.ask,
                 node.number,
@@ -156,7 +158,9 @@
             self.director.listener.send(
                 viewer, binary.RELEASE, session, (binary.CAUSE, bytes([ENDED]))
             )
-            self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
+            self.director.feed(
+                self.director.controller.viewer_left, self.director.loop.now, play.id
+            )
             self.director.allocating.ending.ended(play, allocation.HELD, allocation.GIVEN_UP)
         elif (play := self.director.open.get(session)) and play.viewer is viewer:
             return self.given_up(play)
@@ -178,7 +182,7 @@
         self.director.count("given up")
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
-        self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
+        self.director.feed(self.director.controller.viewer_left, self.director.loop.now, play.id)
         self.director.allocating.give_up(play)
 
     def overdue(self, play: Play) -> None:
@@ -187,7 +191,9 @@
         if play.session in self.director.open:
             log.info("%s: overdue, failed by the last guard", play.session)
             self.director.count("overdue")
-            self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
+            self.director.feed(
+                self.director.controller.viewer_left, self.director.loop.now, play.id
+            )
             if play.session in self.director.open:
                 self.finish(play, FAILED)
 
@@ -220,7 +226,7 @@
         log.debug("%s.%d: plays, answered on %s", play.session, play.number, play.viewer)
         self.director.count("playing")
         self.director.feed(
-            self.director.controller.playing,
+            self.director.controller.play_started,
             self.director.loop.now,
             play.id,
             play.number,
--- a/laddergw/platform/allocating.py
+++ b/laddergw/platform/allocating.py
@@ -123,7 +123,7 @@
             )
             if kind is not None and requests.FIGURE.fullmatch(value):
                 self.director.feed(
-                    self.director.controller.note,
+                    self.director.controller.update_play,
                     self.director.loop.now,
                     play.id,
                     node.number,
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -102,7 +102,7 @@
         before, found = self.assignment, following(self.assignment, assignment)
         self.assignment = found
         if found.deployment != before.deployment:
-            self.feed(self.controller.retold, self.loop.now, found.deployment)
+            self.feed(self.controller.update_deployment, self.loop.now, found.deployment)
         self.listener.bound(int(VIEWERS_PART * found.sockets))
         self.nodes.most, self.nodes.connect_ms, self.nodes.idle_ms = (
             int(NODES_PART * found.sockets),
@@ -114,7 +114,7 @@
             before.zones,
         ):  # a name that was not known has its meaning now
             self.feed(
-                self.controller.listed,
+                self.controller.update_fleet,
                 self.loop.now,
                 [self.listing.line_of(node) for node in self.nodes.by_id.values() if not node.gone],
                 False,
@@ -217,7 +217,7 @@
             self.admission.finish(
                 play,
                 DECLINED if declined else FAILED,
-                *([self.admission.away(verdict.retry_ms)] if declined else ()),
+                *([self.admission.away(verdict.retry_after_ms)] if declined else ()),
             )
         elif verdict.move and play.stands:
             self.allocating.release(play)
--- a/laddergw/platform/ending.py
+++ b/laddergw/platform/ending.py
@@ -75,7 +75,7 @@
         (outcome, report), play.untold = play.untold, None
         over = play.stands or self.director.open.get(play.session) is not play
         self.director.feed(
-            self.director.controller.ended,
+            self.director.controller.allocation_ended,
             self.director.loop.now,
             play.id,
             play.number,
--- a/laddergw/platform/listing.py
+++ b/laddergw/platform/listing.py
@@ -31,7 +31,7 @@
                 stopped.append(node)
             lines.append(self.line_of(node))
         self.director.feed(
-            self.director.controller.listed, self.director.loop.now, lines, event.whole
+            self.director.controller.update_fleet, self.director.loop.now, lines, event.whole
         )
         for node in stopped:
             self.take_back(node)
@@ -67,13 +67,13 @@
             ):
                 self.director.allocating.drop_set_up(play, allocation.TAKEN_BACK)
 
-    def line_of(self, node: Node) -> interface.NodeLine:
+    def line_of(self, node: Node) -> interface.NodeEntry:
         """The module's line of a node, by the names in force.
 
-        `mark`: by its id, which every director hears alike.
+        `rotation_offset`: by its id, which every director hears alike.
         """
         m = node.member
-        return interface.NodeLine(
+        return interface.NodeEntry(
             node.number,
             m.cell,
             m.weight,
--- a/laddergw/platform/reports.py
+++ b/laddergw/platform/reports.py
@@ -9,9 +9,9 @@
 # The kinds of notes, by their names on the wire
 NOTES = {
     "got": interface.DELIVERED,
-    "level": interface.RUNG_NOW,
-    "port": interface.LINK_ASKED,
-    "spine": interface.UPLINK_ASKED,
+    "level": interface.RUNG_CHANGED,
+    "port": interface.LINK_DEMAND,
+    "spine": interface.UPLINK_DEMAND,
 }
 
 
--- a/laddergw/platform/requests.py
+++ b/laddergw/platform/requests.py
@@ -7,7 +7,7 @@
 import re
 from typing import NamedTuple
 
-from laddergw.interface import Asked
+from laddergw.interface import PlayRequest
 from laddergw.platform.assignment import Assignment
 from laddergw.signalling import binary
 
@@ -27,7 +27,7 @@
 class Request(NamedTuple):
     """What a viewer asks for: what the module is asked, and what passes on to a media node."""
 
-    ask: Asked
+    ask: PlayRequest
     product: str
     title: str
     at: str  # the node where it plays already, or empty
@@ -85,7 +85,7 @@
             text_of(message, binary.PATIENCE), "patience", 0, PATIENCE_MOST * assignment.longest_ms
         )
     )
-    ask = Asked(
+    ask = PlayRequest(
         int(message.session, 16),
         assignment.products[product],
         int(title, 16),
--- a/laddergw/terms/proof.py
+++ b/laddergw/terms/proof.py
@@ -7,7 +7,7 @@
 from typing import Iterable, NamedTuple
 
 from laddergw import interface as face
-from laddergw.control.holders import COLD_PART
+from laddergw.control.candidates import COLD_RAMP_SHARE
 from laddergw.terms.house import House
 from laddergw.machines.life import PlayTerms
 from laddergw.terms import search
@@ -177,7 +177,7 @@
     streams = min(d.streams)
     mean = d.fall_multiple * streams / d.warm_ms * d.cold_from * COLD_WINDOW_MS
     allowed = mean + COLD_SIGMAS * math.sqrt(mean)
-    gap = d.directors * d.warm_ms / (COLD_PART * max(d.fall_multiple * pace, 1) * streams * d.cold_from)
+    gap = d.directors * d.warm_ms / (COLD_RAMP_SHARE * max(d.fall_multiple * pace, 1) * streams * d.cold_from)
     worst = d.directors * (math.floor(COLD_WINDOW_MS / gap) + 1)
     if worst <= allowed:
         return
--- a/laddergw/wirehost/__main__.py
+++ b/laddergw/wirehost/__main__.py
@@ -3,14 +3,14 @@
 import sys
 import traceback
 
-from laddergw import interface as face, mail, settings
+from laddergw import interface as face, peer_messages, settings
 from laddergw.control import Controller
 from laddergw.wirehost import codec
 
 STATES = {0: face.GONE, 1: face.READY, 2: face.DRAINING}
 OUTCOMES = {10: face.SERVED, 20: face.ERROR, 30: face.FULL, 40: face.TIMED_OUT, 50: face.UNREACHABLE,
             60: face.BROKEN, 70: face.CANCELLED, 80: face.NEVER_SENT}
-NOTES = {1: face.DELIVERED, 2: face.RUNG_NOW, 3: face.LINK_ASKED, 4: face.UPLINK_ASKED}
+NOTES = {1: face.DELIVERED, 2: face.RUNG_CHANGED, 3: face.LINK_DEMAND, 4: face.UPLINK_DEMAND}
 HINTED = 1          # bit of a request's bitmap: a length hint is given
 FORM_FAILED, FORM_DELTA = 3, 0
 LONGEST_US = 71 * 60 * 1_000_000   # the wire's longest timer
@@ -30,23 +30,23 @@
     def encode(self, now, result, out):
         verdicts, wake = result
         for v in verdicts:
-            out.extend(codec.action(codec.INSPECT, self.number, node) for node in v.probe)
-            if v.tell:
-                out.extend(codec.message(self.number, peer, m) for m in mail.pack(v.loads, v.shares) for peer in v.tell)
-            elif v != face.Verdict(v.play, probe=v.probe):   # it holds more than probes
+            out.extend(codec.action(codec.INSPECT, self.number, node) for node in v.probe_nodes)
+            if v.notify_directors:
+                out.extend(codec.message(self.number, peer, m) for m in peer_messages.pack(v.loads, v.shares) for peer in v.notify_directors)
+            elif v != face.Verdict(v.play, probe_nodes=v.probe_nodes):   # it holds more than probes
                 out.append(self.one(v))
         if wake is not None and (self.wake is None or wake < self.wake):
             self.wake = wake
             out.append(codec.action(codec.AFTER, self.number, max(1, micros(wake - now)), 0))
 
     def one(self, v):
-        if v.follow:
+        if v.request_fleet_list:
             return codec.action(codec.TRACK, self.number, 1)
         if v.node is not None:
             return (codec.action(codec.SET_RATE, self.number, v.play, v.rung)
                     + codec.action(codec.DELIVER, self.number, v.play, v.node, micros(v.timeout_ms)))
         if v.answer == face.DECLINED:
-            return codec.action(codec.PUSH_BACK, self.number, v.play, micros(v.retry_ms or 0))
+            return codec.action(codec.PUSH_BACK, self.number, v.play, micros(v.retry_after_ms or 0))
         if v.answer == face.FAILED:
             return codec.action(codec.FAIL, self.number, v.play)
         if v.move:
@@ -56,35 +56,35 @@
     def event(self, code, f, tail, now, pages):
         c = self.controller
         if code == codec.REQUEST:
-            return c.asked(now, face.Asked(f[1], f[3], f[4], f[5], f[8], f[7], f[2] / 1000 if f[10] & HINTED else None,
-                                           f[11] / 1000))
+            return c.request_play(now, face.PlayRequest(f[1], f[3], f[4], f[5], f[8], f[7], f[2] / 1000 if f[10] & HINTED else None,
+                                                         f[11] / 1000))
         if code == codec.INHERITED:
-            return c.handed_over(now, face.Asked(f[1], f[2], f[5], f[8], f[9], f[10],
-                                                 f[7] / 1000 if f[11] & HINTED else None, f[6] / 1000), f[12])
+            return c.take_over_play(now, face.PlayRequest(f[1], f[2], f[5], f[8], f[9], f[10],
+                                                             f[7] / 1000 if f[11] & HINTED else None, f[6] / 1000), f[12])
         if code == codec.STARTED:
-            return c.playing(now, f[1], f[2], f[3] / 1000, f[4])
+            return c.play_started(now, f[1], f[2], f[3] / 1000, f[4])
         if code == codec.REPLY:
-            return c.ended(now, f[1], f[6], OUTCOMES.get(f[5], face.ERROR), f[3], bool(f[2]), tail)
+            return c.allocation_ended(now, f[1], f[6], OUTCOMES.get(f[5], face.ERROR), f[3], bool(f[2]), tail)
         if code == codec.INTERIM:
-            return c.note(now, f[1], f[2], NOTES.get(f[3]), f[5])
+            return c.update_play(now, f[1], f[2], NOTES.get(f[3]), f[5])
         if code == codec.HANGUP:
-            return c.left(now, f[1])
+            return c.viewer_left(now, f[1])
         if code == codec.ALARM:
             if self.wake is not None and now >= self.wake:   # an earlier, overtaken timer leaves it set
                 self.wake = None
             return c.wake(now)
         if code == codec.REGISTRY:
             if f[1] == FORM_FAILED:
-                return c.list_failed(now)
-            lines = [face.NodeLine(e[6], e[0], e[1], STATES.get(e[2], face.GONE), e[3] / 1000, e[4], e[5], e[6])
+                return c.fleet_list_failed(now)
+            lines = [face.NodeEntry(e[6], e[0], e[1], STATES.get(e[2], face.GONE), e[3] / 1000, e[4], e[5], e[6])
                      for e in pages.get(f[3], ())]
-            return c.listed(now, lines, f[1] != FORM_DELTA)
+            return c.update_fleet(now, lines, f[1] != FORM_DELTA)
         if code == codec.ECHO:
-            return c.probed(now, f[1], OUTCOMES.get(f[3], face.ERROR), f[2] / 1000, tail)
+            return c.probe_ended(now, f[1], OUTCOMES.get(f[3], face.ERROR), f[2] / 1000, tail)
         if code == codec.MAIL:
             try:
-                return c.mail(now, f[1], *mail.unpack(tail))
-            except mail.Malformed as error:
+                return c.receive_peer_report(now, f[1], *peer_messages.unpack(tail))
+            except peer_messages.MalformedMessage as error:
                 print(f"laddergw: instance {self.number}: mail of {f[1]}: {error}", file=sys.stderr)
         return [], None
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -3,7 +3,7 @@
 
 from laddergw import interface as face
 from laddergw.control import Controller
-from laddergw.control.plays import give_up
+from laddergw.control.plays import decline_or_fail
 from laddergw.director.director import Director
 
 
@@ -60,29 +60,29 @@
 
 def any_health(c, now, ply):
     """Takes no notice of rests and of the cold pace."""
-    return None if ply.holders else give_up(c.fleet, ply)
+    return None if ply.candidates else decline_or_fail(c.fleet, ply)
 
 
 def coldest(c, now, ply):
-    cold = [node for node in ply.holders if node.started and now - node.started < c.fleet.d.warm_ms]
-    ply.holders = cold or ply.holders
+    cold = [node for node in ply.candidates if node.started_ms and now - node.started_ms < c.fleet.deployment.warm_ms]
+    ply.candidates = cold or ply.candidates
     return any_health(c, now, ply)
 
 
-def first_holder(c, now, ply):
-    ply.rung, ply.holders = ply.product.floor, ply.holders[:1]
+def first_candidate(c, now, ply):
+    ply.rung, ply.candidates = ply.product.floor, ply.candidates[:1]
 
 
 def no_seats(c, now, ply):
     ply.product = ply.product._replace(seats=0)
-    return c.allocations.terms(now, ply)
+    return c.allocations.check_terms(now, ply)
 
 
 class Eager(Director):
     """Rule 4: sends to the node that started last, at any pace."""
 
     class controller_class(Replaced):
-        stages = {"health": coldest, "price": first_holder}
+        stages = {"filter_healthy": coldest, "choose_node": first_candidate}
 
 
 class Lowest(Director):
@@ -96,11 +96,11 @@
     """Rule 5: does not count seats."""
 
     class controller_class(Replaced):
-        stages = {"terms": no_seats}
+        stages = {"check_terms": no_seats}
 
 
 class Spendthrift(Director):
     """Rule 6: further allocations without a budget."""
 
     class controller_class(Replaced):
-        stages = {"ration": lambda c, now, ply: None, "health": any_health}
+        stages = {"check_retry_budget": lambda c, now, ply: None, "filter_healthy": any_health}
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -69,7 +69,7 @@
     def line(self, node, now):
         gone = node <= self.case.cold and now >= self.case.starts and not self.case.dead
         fresh = node in self.cold and now >= self.case.starts
-        return face.NodeLine(node, (node - 1) % self.case.nodes, 1.0, face.GONE if gone else face.READY, self.case.starts if fresh else 0.0, 0, 0,
+        return face.NodeEntry(node, (node - 1) % self.case.nodes, 1.0, face.GONE if gone else face.READY, self.case.starts if fresh else 0.0, 0, 0,
                              node)
 
     def start(self, now, number):
@@ -80,7 +80,7 @@
             self.knows |= {(number, self.lives[number], node) for node in self.cold}
         controller = self.controllers[number] = Controller(self.deployment(number), self.draw.getrandbits(32), now)
         born = now >= c.starts and not c.dead
-        controller.listed(now, [self.line(n, now) for n in range(1, c.nodes + (c.cold if born else 0) + 1)
+        controller.update_fleet(now, [self.line(n, now) for n in range(1, c.nodes + (c.cold if born else 0) + 1)
                                 if not (born and n <= c.cold)], True)
         if not again:
             self.at(c.starts + self.draw.random() * c.told, self.tell, number, self.lives[number])
@@ -89,7 +89,7 @@
         if life == self.lives[number]:
             nodes = sorted(self.cold | set(range(1, self.case.cold + 1)))
             self.knows |= {(number, life, node) for node in self.cold}
-            self.controllers[number].listed(now, [self.line(n, now) for n in nodes], False)
+            self.controllers[number].update_fleet(now, [self.line(n, now) for n in nodes], False)
 
     def gap(self, number, now):
         c = self.case
@@ -99,10 +99,10 @@
     def ask(self, now, number):
         self.at(now + self.gap(number, now), self.ask, number)
         self.plays += 1
-        asked = face.Asked(self.plays, 0, self.plays, self.draw.randrange(self.case.nodes), 1 + (self.draw.random() < 0.4), 2,
+        asked = face.PlayRequest(self.plays, 0, self.plays, self.draw.randrange(self.case.nodes), 1 + (self.draw.random() < 0.4), 2,
                            LENGTH_MS, 4000.0)
         controller = self.controllers[number]
-        controller.asked(now, asked)
+        controller.request_play(now, asked)
         self.decide(now, number)
 
     def decide(self, now, number):
@@ -127,7 +127,7 @@
         number, life, node = self.where[play]
         self.at(now + self.draw.expovariate(1 / LENGTH_MS), self.over, play, face.SERVED)
         if life == self.lives[number]:
-            self.controllers[number].playing(now, play, self.controllers[number].plays[play].sends - 1, ANSWER_MS, node)
+            self.controllers[number].play_started(now, play, self.controllers[number].plays[play].setup_count - 1, ANSWER_MS, node)
             self.at(now + NOTE_MS, self.note, play)
 
     def note(self, now, play):
@@ -136,7 +136,7 @@
         number, life, node = self.where[play]
         if life == self.lives[number]:
             load = len(self.streams[node]) / self.case.streams
-            self.controllers[number].note(now, play, node, face.LINK_ASKED, load)
+            self.controllers[number].update_play(now, play, node, face.LINK_DEMAND, load)
 
     def over(self, now, play, outcome):
         number, life, node = self.where.pop(play)
@@ -146,7 +146,7 @@
         if life == self.lives[number]:
             ply = self.controllers[number].plays.get(play)
             if ply:
-                self.controllers[number].ended(now, play, ply.sends - 1, outcome, node, outcome == face.SERVED, ())
+                self.controllers[number].allocation_ended(now, play, ply.setup_count - 1, outcome, node, outcome == face.SERVED, ())
                 self.decide(now, number)
 
     def run(self):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,7 +31,7 @@
         self.base = 20_000.0 if warm else 0.0      # past the pacing after our own start
 
     def line(self, node, state=face.READY, started=0.0, zone=0):
-        return face.NodeLine(node, node - 1, 1.0, state, started, 0, zone)
+        return face.NodeEntry(node, node - 1, 1.0, state, started, 0, zone)
 
     def say(self, text):
         self.lines.append("# " + text)
@@ -44,48 +44,48 @@
 
     @staticmethod
     def show(v):
-        if v.tell:
-            return f"tells {', '.join(map(str, v.tell))}: loads {dict(v.loads)}, short uplinks {dict(v.shares)}"
-        if v.probe:
-            return f"{'' if v.play is None else f'play {v.play} waits, '}probes {', '.join(map(str, v.probe))}"
+        if v.notify_directors:
+            return f"tells {', '.join(map(str, v.notify_directors))}: loads {dict(v.loads)}, short uplinks {dict(v.shares)}"
+        if v.probe_nodes:
+            return f"{'' if v.play is None else f'play {v.play} waits, '}probes {', '.join(map(str, v.probe_nodes))}"
         if v.node is not None:
             return f"play {v.play} to node {v.node} at rung {v.rung}, time-out {v.timeout_ms:.0f}"
         if v.answer:
-            return f"play {v.play} {v.answer}" + (f", come back in {v.retry_ms:.0f}" if v.retry_ms else "")
+            return f"play {v.play} {v.answer}" + (f", come back in {v.retry_after_ms:.0f}" if v.retry_after_ms else "")
         if v == face.Verdict(v.play):
             return f"play {v.play} waits"
-        return "move" if v.move else "follow the list" if v.follow else f"play {v.play} to rung {v.rung}"
+        return "move" if v.move else "follow the list" if v.request_fleet_list else f"play {v.play} to rung {v.rung}"
 
     def listed(self, now, lines, whole=False):
-        return self.c.listed(now, lines, whole)
+        return self.c.update_fleet(now, lines, whole)
 
     def ask(self, now, play, product=0, wait=4000.0, title=5, copies=4, ceiling=2, length=None, together=False, again=False):
-        request = face.Asked(play, product, title, 0, copies, ceiling, length, wait, again)
-        return self.run(now, f"asked{' again' * again}: play {play} of product {product}", self.c.asked(self.base + now, request), together)
+        request = face.PlayRequest(play, product, title, 0, copies, ceiling, length, wait, again)
+        return self.run(now, f"asked{' again' * again}: play {play} of product {product}", self.c.request_play(self.base + now, request), together)
 
     def starts(self, now, play, node, number=0):
-        return self.run(now, f"play {play} plays on {node}", self.c.playing(self.base + now, play, number, 100.0, node))
+        return self.run(now, f"play {play} plays on {node}", self.c.play_started(self.base + now, play, number, 100.0, node))
 
     def end(self, now, play, node, outcome, number=0, over=False, report=()):
         return self.run(now, f"play {play} on {node}: {outcome}",
-                        self.c.ended(self.base + now, play, number, outcome, node, over, report))
+                        self.c.allocation_ended(self.base + now, play, number, outcome, node, over, report))
 
     def echo(self, now, node, outcome=face.SERVED, report=()):
         return self.run(now, f"probe of {node}: {outcome} {' '.join(map(str, report))}",
-                        self.c.probed(self.base + now, node, outcome, 5.0, report))
+                        self.c.probe_ended(self.base + now, node, outcome, 5.0, report))
 
     def mail(self, now, loads=(), shares=()):
-        return self.run(now, f"mail: {dict(loads)} {dict(shares)}", self.c.mail(self.base + now, 1, loads, shares))
+        return self.run(now, f"mail: {dict(loads)} {dict(shares)}", self.c.receive_peer_report(self.base + now, 1, loads, shares))
 
     def wake(self, now):
         return self.run(now, "wakes", self.c.wake(self.base + now))
 
     def note(self, now, play, node, kind, value):
-        return self.run(now, f"note on {node}: {kind} {value}", self.c.note(self.base + now, play, node, kind, value))
+        return self.run(now, f"note on {node}: {kind} {value}", self.c.update_play(self.base + now, play, node, kind, value))
 
 
 class TraceTest(unittest.TestCase):
-    def same(self, name, drive):
+    def assert_trace(self, name, drive):
         """Compares the trace with the kept one, which people read and change by hand."""
         kept = (TRACES / f"{name}.txt").read_text().splitlines()
         if kept != drive.lines:
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -64,7 +64,7 @@
                (710, "lease over"), (1_700, "session lost"))
         d.tell("a viewer that leaves before the answer", (0, "sent"), (40, "viewer left"), (90, "answered 201"), (95, "released ran"))
         d.tell("an answer that cannot be read", (0, "sent"), (90, "answered 201 unsound"), (95, "released ran"))
-        self.same("allocation", d)
+        self.assert_trace("allocation", d)
 
     @settings(max_examples=400, deadline=None)
     @given(st.lists(st.tuples(st.sampled_from(FACTS), st.floats(0, 400)), max_size=12))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -28,7 +28,7 @@
         """The judge itself: directors that take every cold node for warm are seen."""
         play = Fleet(Case(20, warm_ms=12_000.0), 0)
         for controller in play.controllers:
-            controller.holders.turn = lambda now, node: True
+            controller.candidates.ramp_allows = lambda now, node: True
         self.assertGreater(play.run().excess(), 0.0)
 
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -82,7 +82,7 @@
     def test_when_the_module_fails_all_are_answered_and_the_process_ends(self):
         class Failing(Director):
             class controller_class(Director.controller_class):
-                def note(self, *_):
+                def update_play(self, *_):
                     raise ZeroDivisionError
         town = Town(director_class=Failing)
         first = town.ask()
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -44,7 +44,7 @@
             with self.assertRaises(Refused) as caught:
                 house.read(GOOD.replace(old, new, 1), "house.scm")
             Lines.lines += str(caught.exception).splitlines()
-        self.same("files", Lines)
+        self.assert_trace("files", Lines)
 
     def test_all_faults_come_at_once(self):
         text = GOOD.replace("(streams 20)", "(streams x)").replace("(floor 1)", "(floor 9)").replace("8200", "-1")
--- a/tests/test_module_calls.py
+++ b/tests/test_module_calls.py
@@ -54,39 +54,39 @@
         if what == "ask":
             self.ids += 1
             product = one % len(PRODUCTS)
-            ask = face.Asked(self.ids, product, two % 3, one % 4, 1 + two % 4, 2 - one % 2, None if two % 2 else 9_000.0, 50.0 + 200 * two)
+            ask = face.PlayRequest(self.ids, product, two % 3, one % 4, 1 + two % 4, 2 - one % 2, None if two % 2 else 9_000.0, 50.0 + 200 * two)
             self.plays[self.ids] = ask
-            self.take(c.asked(now, ask))
+            self.take(c.request_play(now, ask))
         elif what == "plays" and self.out:
             play = sorted(self.out)[one % len(self.out)]
             self.playing[play] = self.out.pop(play)
-            self.take(c.playing(now, play, self.sends[play], 80.0, self.playing[play]))
+            self.take(c.play_started(now, play, self.sends[play], 80.0, self.playing[play]))
         elif what == "ends" and (self.out or self.playing):
             held = self.out if self.out and (two % 2 or not self.playing) else self.playing
             play = sorted(held)[one % len(held)]
             outcome, node, over = OUTCOMES[two % len(OUTCOMES)], held.pop(play), held is self.playing or play in self.gone
             if outcome not in NEVER_RAN:
                 self.ran.add(play)
-            self.take(c.ended(now, play, self.sends[play], outcome, node, over, (0.1 * one,) if one % 2 else ()))
+            self.take(c.allocation_ended(now, play, self.sends[play], outcome, node, over, (0.1 * one,) if one % 2 else ()))
             if over:
                 self.plays.pop(play, None)
         elif what == "left" and self.plays:
             play = sorted(self.plays)[one % len(self.plays)]
             self.gone.add(play)
-            self.take(c.left(now, play))
+            self.take(c.viewer_left(now, play))
         elif what == "note":
-            kind = (face.DELIVERED, face.LINK_ASKED, face.UPLINK_ASKED)[two % 3]
+            kind = (face.DELIVERED, face.LINK_DEMAND, face.UPLINK_DEMAND)[two % 3]
             value = (math.nan, math.inf, -1.0, 0.0)[one % 4] if one > 26 else one / 13
-            self.take(c.note(now, max(self.playing, default=0), 1 + one % 6, kind, value))
+            self.take(c.update_play(now, max(self.playing, default=0), 1 + one % 6, kind, value))
         elif what in ("line", "whole"):
-            lines = [face.NodeLine(1 + (one + i) % 6, (one + i) % 6 % 4, WEIGHTS[(two + i) % 5],
+            lines = [face.NodeEntry(1 + (one + i) % 6, (one + i) % 6 % 4, WEIGHTS[(two + i) % 5],
                                    (face.READY, face.READY, face.DRAINING, face.GONE)[(one + two + i) % 4],
                                    now if (two + i) % 3 == 0 else 0.0, 0, 0) for i in range(1 if what == "line" else 6)]
             if what == "whole":
                 self.state.clear()
             for line in lines:
                 self.state[line.node] = line.state
-            self.take(c.listed(now, lines, what == "whole"))
+            self.take(c.update_fleet(now, lines, what == "whole"))
         elif what == "wake":
             self.take(c.wake(now))
         self.take(c.decide(now))
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -4,10 +4,10 @@
 import unittest
 from unittest import mock
 
-from laddergw import interface as face, mail
+from laddergw import interface as face, peer_messages
 from laddergw.control import Controller, controller
-from laddergw.control.accounts import Fleet
-from laddergw.control.holders import LEAST_OVER, Holders
+from laddergw.control.fleet_state import Fleet
+from laddergw.control.candidates import LOWEST_RUNG_OVERLOAD, Candidates
 from laddergw import settings
 from tests.helpers import Drive, TraceTest, deployment
 
@@ -20,10 +20,10 @@
         """Seen: without notes every node showed room for a top rung, and links were asked over their size all day."""
         d = Drive(nodes=3, **BLIND)
         d.say("the first holder is asked; its report tells of no room: the lowest rung, or another holder")
-        node = d.ask(0, 1)[0].probe[0]
+        node = d.ask(0, 1)[0].probe_nodes[0]
         d.echo(20, node, report=(0.97,))
         d.say("a probe that stays out, then one that fails: the play waits 200 ms at most and goes elsewhere")
-        other = d.ask(2_000, 2)[0].probe[0]
+        other = d.ask(2_000, 2)[0].probe_nodes[0]
         d.wake(2_150)
         d.wake(2_200)
         d.echo(2_250, other, face.TIMED_OUT)
@@ -31,19 +31,19 @@
         for at, values in enumerate(((math.nan,), (math.inf,), (-1.0,), (), (1e30,))):
             d.echo(3_000 + at, 1, report=values)
         d.echo(3_010, 99, report=(0.5,))
-        self.same("probes", d)
+        self.assert_trace("probes", d)
 
     def test_a_play_that_waits_is_answered_once(self):
         d = Drive(nodes=1, **BLIND)
         d.say("its viewer leaves while the probe is out: no answer is owed")
         d.ask(0, 1)
-        d.c.left(d.base + 10, 1)
+        d.c.viewer_left(d.base + 10, 1)
         d.echo(20, 1, report=(0.2,))
         d.say("its limit is too near to wait for a probe: it is placed on what is known, and answered in time")
         d.ask(5_000, 2, wait=100.0)
         d.end(5_100, 2, 1, face.TIMED_OUT)
-        self.same("waits", d)
-        self.assertEqual((d.c.plays, d.c.holders.waiting, d.c.pending), ({}, {}, []))
+        self.assert_trace("waits", d)
+        self.assertEqual((d.c.plays, d.c.candidates.waiting, d.c.pending), ({}, {}, []))
 
     def test_no_play_waits_for_a_probe_past_its_limit(self):
         """Reviewed: a viewer that stops waiting after 100 ms got its answer after 200."""
@@ -51,36 +51,36 @@
             d = Drive(nodes=1, **BLIND)
             d.ask(0, 1, wait=float(wait))
             _, wake = d.c.wake(d.base)
-            self.assertTrue(not d.c.holders.waiting or wake <= d.base + wait / 2, wait)
+            self.assertTrue(not d.c.candidates.waiting or wake <= d.base + wait / 2, wait)
 
 
 class Peers(TraceTest):
     def test_reports_and_short_uplinks_go_to_drawn_peers(self):
         d = Drive(nodes=2, peers=True, peer_price=0.0078, **BLIND)
-        node = d.ask(0, 1)[0].probe[0]
+        node = d.ask(0, 1)[0].probe_nodes[0]
         d.echo(20, node, report=(0.3,))
         d.say("told at the next look, never to ourselves, to as many as a part of a probe's price pays for")
         told = d.wake(600)
-        self.assertNotIn(0, told[-1].tell)
+        self.assertNotIn(0, told[-1].notify_directors)
         d.say("a peer's word is taken as our own report is: no probe is needed; what makes no sense is passed over")
         d.mail(5_000, [(1, 0.3), (2, 0.2), (99, 0.1), (1, math.nan), (2, -1.0), (2, math.inf)], [(0, 0.9), (77, 0.5), (1, 0.0), (1, math.nan)])
         d.ask(5_010, 2)
-        self.same("peers", d)
+        self.assert_trace("peers", d)
         self.assertNotIn(99, d.c.fleet.nodes)
 
     def test_messages_go_both_ways_and_broken_ones_are_refused(self):
         loads, shares = [(4_000_000_000, 0.5), (7, 2.55)], [(3, 0.9)]
-        message, = mail.pack(loads, shares)
-        self.assertEqual(mail.unpack(message), (loads, shares))
-        many = mail.pack([(n, 1.0) for n in range(120)], shares)
-        self.assertTrue(all(len(m) <= mail.MOST for m in many))
-        self.assertEqual([n for m in many for n, _ in mail.unpack(m)[0]], list(range(120)))
+        message, = peer_messages.pack(loads, shares)
+        self.assertEqual(peer_messages.unpack(message), (loads, shares))
+        many = peer_messages.pack([(n, 1.0) for n in range(120)], shares)
+        self.assertTrue(all(len(m) <= peer_messages.MAX_MESSAGE_BYTES for m in many))
+        self.assertEqual([n for m in many for n, _ in peer_messages.unpack(m)[0]], list(range(120)))
         for size in range(len(message)):
             if (size - 12) % 3 or size < 12:         # cut at a whole uplink line it is a shorter message
-                with self.assertRaises(mail.Malformed):
-                    mail.unpack(message[:size])
-        with self.assertRaises(mail.Malformed):
-            mail.unpack(b"\x09" + message[1:])
+                with self.assertRaises(peer_messages.MalformedMessage):
+                    peer_messages.unpack(message[:size])
+        with self.assertRaises(peer_messages.MalformedMessage):
+            peer_messages.unpack(b"\x09" + message[1:])
 
 
 class Streams(unittest.TestCase):
@@ -96,7 +96,7 @@
         for play in 2, 3:
             d.end(200 + play, play, 1, face.SERVED, over=True)
         self.assertAlmostEqual(d.c.fleet.nodes[1].own, 0)
-        self.assertEqual(d.c.fleet.nodes[1].shared, {})
+        self.assertEqual(d.c.fleet.nodes[1].viewers, {})
 
     def test_directors_meet_at_the_same_holder(self):
         """Spread by each director's own draw, viewers of one title shared hardly a stream."""
@@ -111,43 +111,43 @@
         """Room, pace and doubt are worked out once a moment: whatever happens within it must make them new."""
         looked = []
 
-        class Checked(Holders):
-            def holding(self, now, ply):
-                super().holding(now, ply)
+        class Checked(Candidates):
+            def select_ready(self, now, ply):
+                super().select_ready(now, ply)
                 fleet = self.fleet
-                for n in ply.holders:
-                    fresh = (fleet.room(now, n), fleet.room(now, n, -LEAST_OVER), now - n.pace >= fleet.d.warm_ms or self.turn(now, n),
-                             n.links - n.known.now(now))
-                    looked.append((n.room, n.over, n.paced, n.doubt) == fresh)
+                for n in ply.candidates:
+                    fresh = (fleet.free_rate(now, n), fleet.free_rate(now, n, -LOWEST_RUNG_OVERLOAD), now - n.ramp_start >= fleet.deployment.warm_ms or self.ramp_allows(now, n),
+                             n.rate - n.known_kb.at(now))
+                    looked.append((n.free_rate, n.free_rate_overloaded, n.within_ramp, n.unreported_rate) == fresh)
 
         class Steady(Fleet):
-            crowd = property(lambda self: 0.4, lambda self, value: None)    # a change of it would hide others
+            others_share = property(lambda self: 0.4, lambda self, value: None)    # a change of it would hide others
         d, chance = Drive(nodes=6, peers=True, peer_price=0.0078, **BLIND), random.Random(5)
-        with mock.patch.object(controller, "Holders", Checked), mock.patch.object(controller, "Fleet", Steady):
-            d.c = Controller(d.c.fleet.d, 7, 0.0)
+        with mock.patch.object(controller, "Candidates", Checked), mock.patch.object(controller, "Fleet", Steady):
+            d.c = Controller(d.c.fleet.deployment, 7, 0.0)
         d.listed(0, [d.line(n) for n in range(1, 7)], True)
-        shapes = [d.c.fleet.d, d.c.fleet.d._replace(fall_multiple=5.0, directors=9), d.c.fleet.d._replace(racks=3)]
+        shapes = [d.c.fleet.deployment, d.c.fleet.deployment._replace(fall_multiple=5.0, directors=9), d.c.fleet.deployment._replace(racks=3)]
         for turn in range(4_000):
             now, node, play = d.base + turn // 12 * 40.0, chance.randrange(1, 7), chance.randrange(turn + 1)
             ply = d.c.plays.get(play)
             what = chance.randrange(10)
             if what < 3:
-                d.c.asked(now, face.Asked(turn, 0, chance.randrange(3), 0, 6, 2, None, 4000.0))
-            elif what == 3 and ply and ply.out:
+                d.c.request_play(now, face.PlayRequest(turn, 0, chance.randrange(3), 0, 6, 2, None, 4000.0))
+            elif what == 3 and ply and ply.pending_setup:
                 how = chance.choice((face.FULL, face.UNREACHABLE, face.BROKEN, face.TIMED_OUT))
-                d.c.ended(now, play, ply.sends - 1, how, ply.node.id, False, ())
-            elif what == 4 and ply and ply.out:
-                d.c.playing(now, play, ply.sends - 1, 90.0, ply.node.id)
+                d.c.allocation_ended(now, play, ply.setup_count - 1, how, ply.node.id, False, ())
+            elif what == 4 and ply and ply.pending_setup:
+                d.c.play_started(now, play, ply.setup_count - 1, 90.0, ply.node.id)
             elif what == 5:
-                d.c.probed(now, node, face.SERVED, 5.0, (chance.random(), chance.random())[:chance.randrange(1, 3)])
+                d.c.probe_ended(now, node, face.SERVED, 5.0, (chance.random(), chance.random())[:chance.randrange(1, 3)])
             elif what == 6:
-                d.c.mail(now, 1, [(node, chance.random())], [(0, chance.random())])
+                d.c.receive_peer_report(now, 1, [(node, chance.random())], [(0, chance.random())])
             elif what == 7 and node > 4:
-                d.c.listed(now, [d.line(node, chance.choice((face.READY, face.GONE)), now if chance.random() < 0.3 else 0.0)], False)
+                d.c.update_fleet(now, [d.line(node, chance.choice((face.READY, face.GONE)), now if chance.random() < 0.3 else 0.0)], False)
             elif what == 8:
-                d.c.note(now, play, node, chance.choice((face.DELIVERED, face.UPLINK_ASKED)), 0.5 + chance.random())
+                d.c.update_play(now, play, node, chance.choice((face.DELIVERED, face.UPLINK_DEMAND)), 0.5 + chance.random())
             elif chance.random() < 0.1:
-                d.c.retold(now, chance.choice(shapes))
+                d.c.update_deployment(now, chance.choice(shapes))
             d.c.wake(now)
             d.c.decide(now)
         self.assertGreater(len(looked), 1_000)
@@ -171,13 +171,13 @@
         d = Drive(nodes=4)
         for play in range(6):
             d.starts(play + 100, play, d.ask(play, play)[0].node)
-        before = [(rack.links, rack.own) for rack in d.c.fleet.racks]
-        d.c.retold(d.base + 200, self.NEW)
+        before = [(rack.rate, rack.own) for rack in d.c.fleet.racks]
+        d.c.update_deployment(d.base + 200, self.NEW)
         self.assertAlmostEqual(sum(rack.own for rack in d.c.fleet.racks), sum(n.own for n in d.c.fleet.nodes.values()))
-        self.assertAlmostEqual(sum(rack.links for rack in d.c.fleet.racks), 4 * 5000.0)
+        self.assertAlmostEqual(sum(rack.rate for rack in d.c.fleet.racks), 4 * 5000.0)
         d.ask(210, 10, product=1)
-        d.c.retold(d.base + 220, self.OLD)           # while that play waits for its probe
-        self.assertEqual([(rack.links, rack.own) for rack in d.c.fleet.racks], before)
+        d.c.update_deployment(d.base + 220, self.OLD)           # while that play waits for its probe
+        self.assertEqual([(rack.rate, rack.own) for rack in d.c.fleet.racks], before)
         placed = d.wake(410)
         self.assertEqual([v.play for v in placed if v.node], [10])
         for play in range(6):                        # on the terms that they were taken on: nothing is left over
@@ -190,7 +190,7 @@
         """Drawn: a list that names cells past those of the deployment; a switch to more of them raised, and ended the director."""
         d = Drive(nodes=6, cells=4)
         for cells in 9, 2, 6:
-            d.c.retold(d.base, deployment(cells=cells))
+            d.c.update_deployment(d.base, deployment(cells=cells))
             self.assertEqual([sorted(cell) for cell in d.c.fleet.cells],
                              [[n for n in range(1, 7) if (n - 1) % cells == cell] for cell in range(cells)])
 
@@ -200,15 +200,15 @@
         for leaving in ((1, 2, 3, 4), (4, 3, 2, 1), (3, 1, 4, 2)):
             d = Drive(nodes=1, products=LIVE, cells=1, racks=1, streams=(60.0,))
             for play in 1, 2, 3, 4:
-                d.c.retold(d.base, shared if play in (2, 3) else deployment(LIVE, cells=1, racks=1))
+                d.c.update_deployment(d.base, shared if play in (2, 3) else deployment(LIVE, cells=1, racks=1))
                 d.ask(play, play, ceiling=1)
                 d.starts(100 + play, play, 1)
             for play in leaving:
                 d.end(200 + play, play, 1, face.SERVED, over=True)
-                left = [p.rung for p in d.c.plays.values() if p.d.join == 1]
+                left = [p.rung for p in d.c.plays.values() if p.deployment.join == 1]
                 self.assertGreaterEqual(d.c.fleet.nodes[1].own + 1e-6, 200.0 * len(left))
             self.assertAlmostEqual(d.c.fleet.nodes[1].own, 0)
-            self.assertAlmostEqual(d.c.fleet.rates, 0)
+            self.assertAlmostEqual(d.c.fleet.own_rate, 0)
 
 
 class WireSettings(unittest.TestCase):
--- a/tests/test_orders_answers.py
+++ b/tests/test_orders_answers.py
@@ -15,12 +15,12 @@
     def __init__(self, test, product):
         self.town = Town(test, nodes=("a", "b"))
         self.director = self.town.director
-        self.director.controller.fleet.nodes[2].rest = 1e12
+        self.director.controller.fleet.nodes[2].backoff_until = 1e12
         self.viewer = self.town.viewer()
         self.side = self.town.side(self.viewer)
         self.viewer.write(set_up(1, product=product))
         self.line, _ = self.town.come("a")
-        self.director.controller.fleet.nodes[2].rest = 0.0
+        self.director.controller.fleet.nodes[2].backoff_until = 0.0
         self.ply, self.back, self.left = self.director.open[SESSION], self.director.open[SESSION].connection.stream, False
 
     def says(self, data):
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -105,7 +105,7 @@
             listen=before.listen, changelog=before.changelog))
         after = town.director.assignment
         self.assertEqual((after.products["guide"], after.products["paid"], after.products["live"]), (0, 1, 2))
-        rows = town.director.controller.fleet.d.products
+        rows = town.director.controller.fleet.deployment.products
         self.assertEqual([row.importance for row in rows], [1.0, 2.0, 7.0])
         self.assertEqual(dict(town.director.controller.fleet.seats), seats)
         viewer.write(set_up(3, product="live"))
@@ -127,7 +127,7 @@
         def change(*names):
             town.director.change(found(settings=terms(Grades=grades(*names)))._replace(listen=mine.listen, changelog=mine.changelog))
         change("paid")
-        self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [0.0, 2.0])
+        self.assertEqual([row.importance for row in town.director.controller.fleet.deployment.products], [0.0, 2.0])
         viewer.write(set_up(2, product="guide"))
         self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.until(viewer.hear)], [95])
         viewer.write(set_up(3, product="paid"))
@@ -135,7 +135,7 @@
         line.write(release(1, 16))
         self.assertEqual([(m.kind, m.session) for m in town.until(viewer.hear)], [(binary.RELEASE, f"{1:016x}")])
         change("guide", "paid")
-        self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [1.0, 2.0])
+        self.assertEqual([row.importance for row in town.director.controller.fleet.deployment.products], [1.0, 2.0])
 
     def test_kinds_and_zones_in_another_order(self):
         """Nodes that were listed before keep their kind and zone, though the new file counts them otherwise; unknown ones get theirs."""
@@ -147,7 +147,7 @@
         controlled = town.director.controller.fleet.nodes
 
         def seen():
-            return [(n.streams, n.zone == town.director.controller.fleet.d.zone) for n in controlled.values()]
+            return [(n.max_streams, n.zone == town.director.controller.fleet.deployment.zone) for n in controlled.values()]
         self.assertEqual(seen(), [(10, True), (10, False)])
         mine = town.director.assignment
         second = terms(Kinds=["huge", "large", "small"], Zones=["north", "west", "east"], MyZone=1,
@@ -159,7 +159,7 @@
         """Its last line called it ready; the file that names its kind anew must not bring it back while a play still stands there."""
         town = Town(self, nodes=("a", "b"))
         viewer = town.viewer()
-        town.director.controller.fleet.nodes[2].rest = 1e12
+        town.director.controller.fleet.nodes[2].backoff_until = 1e12
         viewer.write(set_up(1))
         line, message = town.come("a")
         line.write(answer(message.session))
@@ -169,7 +169,7 @@
         mine = town.director.assignment
         town.director.change(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known=[]))
         self.assertEqual([node.state for node in town.director.controller.fleet.nodes.values()], [face.GONE, face.READY])
-        town.director.controller.fleet.nodes[2].rest = 0.0
+        town.director.controller.fleet.nodes[2].backoff_until = 0.0
         viewer.write(set_up(2))
         self.assertEqual(town.come("b")[1].session, f"{2:016x}")
 
@@ -188,10 +188,10 @@
 
     def test_what_cannot_change_leaves_all_as_it_was(self):
         town = Town(self)
-        before, deployment = town.director.assignment, town.director.controller.fleet.d
+        before, deployment = town.director.assignment, town.director.controller.fleet.deployment
         with self.assertRaisesRegex(assignments.AssignmentError, "listens at"):
             town.director.change(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
-        self.assertEqual((town.director.assignment, town.director.controller.fleet.d), (before, deployment))
+        self.assertEqual((town.director.assignment, town.director.controller.fleet.deployment), (before, deployment))
 
     def test_longer_limits_of_before_hold_through_a_stop(self):
         """A play taken on a long limit is decided as ever, though the file of the stop knows only short ones."""
@@ -226,8 +226,8 @@
         Town(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
         second = Town(self, settings=terms(Grades=grades("paid")))
         self.assertEqual((second.director.assignment.products, second.director.assignment.kinds), ({"paid": 0}, {"std": 0}))
-        self.assertEqual(len(second.director.controller.fleet.d.products), 1)
-        self.assertIsInstance(second.director.controller.fleet.d, face.Deployment)
+        self.assertEqual(len(second.director.controller.fleet.deployment.products), 1)
+        self.assertIsInstance(second.director.controller.fleet.deployment, face.Deployment)
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_repeats.py
+++ b/tests/test_orders_repeats.py
@@ -26,7 +26,7 @@
         settings = json.loads(json.dumps(TREE)) | {"Rules": {"FreeResends": 0, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
         town = Town(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
         viewer, taken, sent = town.viewer(), [], []
-        town.director.controller.fleet.nodes[2].rest = 1e12              # all go to a at first
+        town.director.controller.fleet.nodes[2].backoff_until = 1e12              # all go to a at first
         for n in range(1, TAKEN + 1):
             viewer.write(set_up(n))
             line, message = town.come("a")
@@ -40,7 +40,7 @@
         viewer.write(set_up(50))
         line, message = town.come("a")
         taken.append(now[0])
-        town.director.controller.fleet.nodes[2].rest = 0.0
+        town.director.controller.fleet.nodes[2].backoff_until = 0.0
         self.late_connections(town, now[0] + 200.0)
         line.write(answer(message.session, 453, b""))
         for _ in range(40):
@@ -58,10 +58,10 @@
         settings = json.loads(json.dumps(TREE)) | {"Rules": {"FreeResends": 1, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
         town = Town(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
         viewer = town.viewer()
-        town.director.controller.fleet.nodes[2].rest = 1e12
+        town.director.controller.fleet.nodes[2].backoff_until = 1e12
         viewer.write(set_up(1))
         line, message = town.come("a")
-        town.director.controller.fleet.nodes[2].rest = 0.0
+        town.director.controller.fleet.nodes[2].backoff_until = 0.0
         self.late_connections(town, now[0] + 200.0)
         line.write(answer(message.session, 453, b""))
         for _ in range(40):
@@ -75,12 +75,12 @@
                           "spoils": lambda line: line.write(b"\xff\xff\xff")}.items():
             with self.subTest(name):
                 town = Town(self, nodes=("a", "b"))
-                town.director.controller.fleet.nodes[2].rest = 1e12
+                town.director.controller.fleet.nodes[2].backoff_until = 1e12
                 _, line = town.idle_line()
                 viewer = town.viewer()
                 town.side(viewer)
-                town.director.controller.fleet.nodes[2].rest = 0.0
-                town.director.controller.fleet.nodes[1].room = 0.0
+                town.director.controller.fleet.nodes[2].backoff_until = 0.0
+                town.director.controller.fleet.nodes[1].free_rate = 0.0
                 allocate = town.director.allocating.allocate
                 acts = [act]
                 town.director.allocating.allocate = lambda *what: (acts and acts.pop()(line), allocate(*what))   # between two lines
@@ -118,11 +118,11 @@
         now = [10_000.0]
         town = Town(self, nodes=("a", "b"), now=lambda: now[0])
         viewer = town.viewer()
-        town.director.controller.fleet.nodes[1].rest = 1e12              # b first
+        town.director.controller.fleet.nodes[1].backoff_until = 1e12              # b first
         self.late_connections(town, now[0] + 1_000.0)
         viewer.write(set_up(1, product="paid"))
         town.until(lambda: town.director.nodes.connections())
-        town.director.controller.fleet.nodes[1].rest = 0.0
+        town.director.controller.fleet.nodes[1].backoff_until = 0.0
         for _ in range(120):
             now[0] += 10.0
             town.turns(2)
--- a/tests/test_orders_scarce.py
+++ b/tests/test_orders_scarce.py
@@ -98,7 +98,7 @@
             self.town.lies_there(self.town.side(viewer), len(set_up(1)))
             self.town.turns(6)
         node = self.town.director.controller.fleet.nodes[1]
-        self.assertEqual((node.ill, node.rest), (0, 0.0))
+        self.assertEqual((node.backoff_level, node.backoff_until), (0, 0.0))
         viewer.write(set_up(2))
         line, message = self.town.come("a")
         line.write(answer(message.session))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -25,7 +25,7 @@
                 node.failed()
             lines.append(f"nine more: {node.limit:.1f}")
         self.lines = lines
-        self.same("pace", self)
+        self.assert_trace("pace", self)
 
     @settings(max_examples=80)
     @given(st.sampled_from((GRADIENT, AIMD)), st.lists(st.none() | st.floats(0.01, 1e5), max_size=200))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -37,7 +37,7 @@
         town.run(2600)
         town.log_side.tell(event(6, member("a", 1)))
         town.run(300)
-        self.same("platform_log", town)
+        self.assert_trace("platform_log", town)
 
     def test_a_list_of_1024_nodes(self):
         """Nothing is left out, half of them change in one event, and a play finds its holder among them."""
@@ -68,7 +68,7 @@
         terms["Specifics"]["SeenAfter"] = 700_000
         town.director.change(assignments.of(tree(changelog="log two:1", settings=terms)))
         town.run(200)
-        self.assertEqual(town.director.controller.fleet.d.seen_after_ms, 700.0)
+        self.assertEqual(town.director.controller.fleet.deployment.seen_after_ms, 700.0)
         self.assertEqual(sum("log gets since 1" in line for line in town.lines), 2)
         for bad in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": TREE | {"Siblings": "many"}}, {"seed": "zz"}):
             with self.subTest(bad), self.assertRaises(assignments.AssignmentError):
@@ -85,7 +85,7 @@
         viewer.stream.write(set_up(2) + binary.encode(binary.TEST, "0" * 16, (222, b"\0")))
         town.run(50)
         town.run(4600)
-        self.same("platform_stop", town)
+        self.assert_trace("platform_stop", town)
         self.assertFalse(town.hosts["director"].running)
 
     def test_releases_at_the_end_are_heard(self):
@@ -118,7 +118,7 @@
 
         def fails(*_):
             raise RuntimeError("planted")
-        town.director.controller.note = fails
+        town.director.controller.update_play = fails
         node = next(iter(town.director.standing.values())).node.id
         with self.assertLogs("laddergw.hosting", "ERROR"):
             town.sides[f"node {node}"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
@@ -150,7 +150,7 @@
     def test_requests(self):
         found = requests.read(binary.Message(1, f"{7:016x}", {180: b"paid", 183: b"1500", 192: b"7f3a9c21e0b4d655", 210: b"8200.0", 195: b"home:1;copies:3;top:2;again:1", 225: b"v"}),
                               assignments.of(tree()))
-        self.assertEqual(found.ask, face.Asked(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
+        self.assertEqual(found.ask, face.PlayRequest(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
 
     def test_imports_only_what_it_needs(self):
         """Start time and memory: nothing of other fronts, no framework, no threads of its own."""
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -32,7 +32,7 @@
             town.run(50)
             getattr(town.hosts["a"], end)()
             town.run(ms)
-        self.same("platform_ends", town)
+        self.assert_trace("platform_ends", town)
         self.assertEqual(len(town.director.standing), 0)
 
     def test_bad_nodes(self):
@@ -113,7 +113,7 @@
                 with self.subTest(act.__name__, shared=shared):
                     town = Town()
                     town.director.nodes.most = 1 if shared else 22
-                    town.director.controller.fleet.nodes[2].rest = 1e12      # node b: all go to a
+                    town.director.controller.fleet.nodes[2].backoff_until = 1e12      # node b: all go to a
                     town.viewer()
                     town.director.admission.heard(town.director_side(), message(set_up(1, product="paid")))
                     if shared:
@@ -121,7 +121,7 @@
                     town.director.turn_ends()
                     line, = town.director.nodes.by_id["a"].connections
                     self.assertEqual((line.up, len(line.plays)), (False, 1 + shared))
-                    town.director.controller.fleet.nodes[2].rest, town.director.nodes.most = 0.0, 22
+                    town.director.controller.fleet.nodes[2].backoff_until, town.director.nodes.most = 0.0, 22
                     town.hosts["director"].soon(lambda: act(town))
                     town.run(50)
                     got = [part for part in town.lines if "node a gets SETUP" in part]
@@ -143,8 +143,8 @@
             # A node says what it has to tell on an open connection, and once more on the next that opens
             came = town.hosts[name].listeners[0]
             came.accept = lambda stream, name=name, i=i: Telling(town, name, said, release(i + 1, 16))
-        most, latest, taken = 0, {}, town.director.controller.ended
-        town.director.controller.ended = lambda now, play, *more: (latest.setdefault(names[play - 1], now), taken(now, play, *more))[1]
+        most, latest, taken = 0, {}, town.director.controller.allocation_ended
+        town.director.controller.allocation_ended = lambda now, play, *more: (latest.setdefault(names[play - 1], now), taken(now, play, *more))[1]
         for _ in range(120):
             town.run(100)
             most = max(most, town.hosts["director"].open_streams)
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -40,7 +40,7 @@
         town, viewer = scene("the viewer gives up, a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
         town.sides["node a"].stream.write(answer(f"{1:016x}"))
         town.run(50)
-        self.same("platform_ways", town)
+        self.assert_trace("platform_ways", town)
         self.assertEqual((len(town.director.open), len(town.director.standing), len(town.director.controller.plays)), (0, 0, 0))
 
     def test_bad_viewers(self):
@@ -61,7 +61,7 @@
         for name, data in cases.items():
             town.viewer(name).stream.write(data)
         town.run(2500)
-        self.same("platform_bad_viewers", town)
+        self.assert_trace("platform_bad_viewers", town)
 
     def test_a_release_is_told_until_it_is_heard(self):
         """Seen on sockets: a release went on a connection that ended with it unread, and its viewer never knew."""
@@ -89,7 +89,7 @@
         town.run(100)
         town.viewer("third").stream.write(set_up(5))
         town.run(50)
-        self.same("platform_heard", town)
+        self.assert_trace("platform_heard", town)
         town.run(8500)
         self.assertEqual(len(town.director.listener.releases.pending), 0)
 
@@ -188,7 +188,7 @@
         front.stream.write(set_up(1, figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:a"))
         town.run(20)
         for controlled in town.director.controller.fleet.nodes.values():
-            controlled.rest = 1e12
+            controlled.backoff_until = 1e12
         other.stream.write(set_up(3))
         town.run(2600)
         self.assertTrue(any("other gets 12 3 cause 42" in line for line in town.lines), town.lines)
--- a/tests/test_programme.py
+++ b/tests/test_programme.py
@@ -53,7 +53,7 @@
             with self.assertRaises(Refused) as caught:
                 rules.read(GOOD.replace(old, new, 1), "tide.scm")
             Lines.lines += str(caught.exception).splitlines()
-        self.same("programme_files", Lines)
+        self.assert_trace("programme_files", Lines)
 
 
 class Index(unittest.TestCase):
@@ -119,7 +119,7 @@
         for lead, rule in ((9_000.0, "hourly"), (2_000.0, "hourly"), (2_000.0, "cued")):
             c = not_here(next(r for r in d.programme.rules if r.name == rule), "news", lead, "")
             d.lines.append(f"{lead / 1000:g} s before its splice, by {rule}: " + ("wait" if c.wait else f"{c.later_ms / 1000:g} s later" if c.later_ms else "left out"))
-        self.same("programme", d)
+        self.assert_trace("programme", d)
 
     @settings(max_examples=100)
     @given(st.lists(st.integers(0, 130), max_size=6), st.integers(6, 200), st.floats(0, 3e5))
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -2,7 +2,7 @@
 import logging
 import unittest
 
-from laddergw import mail
+from laddergw import peer_messages
 from laddergw.terms import house as houses
 from laddergw.director.carrying import LOST
 from laddergw.director.director import Director
@@ -107,10 +107,10 @@
         self.post.send_one = lambda pool, body: self.sent.append((pool.address, body))
 
     def test_signed_messages_are_read_and_others_refused(self):
-        self.post.send((0, 1, 7), mail.pack([(3, 0.5)], [(1, 0.9)]))
+        self.post.send((0, 1, 7), peer_messages.pack([(3, 0.5)], [(1, 0.9)]))
         (address, body), = self.sent                 # none to itself, none to whom the file does not name
         self.assertEqual(address, ("d0", 80))
-        with self.assertRaisesRegex(mail.Malformed, "no peer"):
+        with self.assertRaisesRegex(peer_messages.MalformedMessage, "no peer"):
             self.post.read(body)                     # its own, come back
         self.post.number = 0                         # as its peer reads it
         self.post.reach(((1, ("d1", 80)),))
@@ -119,12 +119,12 @@
             changed = body[:at] + bytes([body[at] ^ 1]) + body[at + 1:]
             try:
                 self.assertEqual(self.post.read(changed), self.post.read(body))    # unused bits of base64's last letter
-            except mail.Malformed:
+            except peer_messages.MalformedMessage:
                 pass
-            with self.assertRaises(mail.Malformed):
+            with self.assertRaises(peer_messages.MalformedMessage):
                 self.post.read(body[:at])
         self.wall += STALE_MS + 1
-        with self.assertRaisesRegex(mail.Malformed, "old"):
+        with self.assertRaisesRegex(peer_messages.MalformedMessage, "old"):
             self.post.read(body)
 
     def test_a_director_refuses_nonsense_and_goes_on(self):
