--- a/benchmarks/broken_fleets.py
+++ b/benchmarks/broken_fleets.py
@@ -13,8 +13,8 @@
 BROKEN = {
     "none": "pass",
     "no ramp": "from laddergw.control import holders; holders.Holders.turn = lambda self, now, node: True",
-    "deaf to leaving": "from laddergw.platform import admission, viewers; viewers.Viewer.closed = lambda self, stream, why: self.listener.leave(self); "
-                       "admission.Admission.given_up = lambda self, ply: None",
+    "deaf to leaving": "from laddergw.platform import admission, viewers; viewers.ViewerConnection.closed = lambda self, stream, why: self.listener.connection_closed(self); "
+                       "admission.Admission.viewer_gave_up = lambda self, ply: None",
     "sends to who drains": "from laddergw.platform import listing as d; d.STATES = dict(d.STATES, DRAINING='ready')",
     "ends at once": "from laddergw.platform import director as d; d.Director.stop = lambda self: self.loop.stop()",
     "sends paid plays again": "from laddergw.control import plays; plays.Allocations.send_back = lambda self, now, ply, node, outcome: setattr(ply, 'out', None)",
--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -48,14 +48,15 @@
         "no media node made",
     ),
     "answers twice": Broken(
-        "from laddergw.platform import admission as a; stand = a.Admission.stand; "
-        "a.Admission.stand = lambda self, ply, text: "
+        "from laddergw.platform import admission as a; stand = a.Admission.start_play; "
+        "a.Admission.start_play = lambda self, ply, text: "
         "(ply.viewer.write(9, ply.session, (225, text)), stand(self, ply, text))",
         "twice",
     ),
     "never answers": Broken(
         "from laddergw.platform import admission as a; "
-        "a.Admission.finish = lambda self, ply, *more: self.director.open.pop(ply.session, None)",
+        "a.Admission.finish = "
+        "lambda self, ply, *more: self.director.open_requests.pop(ply.session, None)",
         "lost",
     ),
     "grows": Broken(
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -22,7 +22,7 @@
 from laddergw.director.post import Post
 from laddergw.director.tries import Try
 from laddergw.machines.windows import Budgets
-from laddergw.hosting import Hosting
+from laddergw.hosting import ControllerHost
 from laddergw.http.limits import PeerLimits
 from laddergw.http.server import Exchange, Server
 from laddergw.terms.effect import deployment_with
@@ -34,7 +34,7 @@
     """The watcher of a director that nobody watches."""
 
 
-class Director(Carrying, Hosting):
+class Director(Carrying, ControllerHost):
     """See the module. `wall` is the wall clock in ms, for tokens; `watch(what, **facts)` is told of each decision."""
     controller_class = Controller
 
@@ -119,7 +119,7 @@
         if self.stopping and not self.tries and not self.broken:
             self.wind_up()
 
-    def collapse(self) -> None:
+    def fail_all_plays(self) -> None:
         self.broken = self.stopping = True
         for ply in list(self.tries.values()):
             if ply.playing:
@@ -257,7 +257,7 @@
 
     # Verdicts
 
-    def carry_out(self, verdict: face.Verdict) -> None:
+    def apply_verdict(self, verdict: face.Verdict) -> None:
         if verdict.follow:
             return self.fleet.follow()
         for node in verdict.probe:
--- a/laddergw/hosting.py
+++ b/laddergw/hosting.py
@@ -1,9 +1,8 @@
-"""Hosts one Controller on a loop: feeds it what happens, wakes it, lets it decide at each turn's
-end.
+"""Hosts one Controller on an event loop: reports events to it, wakes it, and lets it decide at the
+end of each turn.
 
-Shared by the directors of every protocol. An heir carries verdicts out (`carry_out`) and answers
-all that it holds
-if the module fails (`collapse`). Nothing is decided here.
+Shared by the directors of every protocol. A subclass carries out verdicts (`apply_verdict`) and
+answers all it holds if the controller fails (`fail_all_plays`). No decision is made here.
 """
 
 import logging
@@ -14,25 +13,25 @@
 
 # decisions of one turn take so long, then the sockets are read: who left meanwhile gets no
 # allocation.
-SLICE_MS = 20.0
+DECISION_SLICE_MS = 20.0
 # A fifth of the 100 ms after which none may begin for a viewer that has left
 
 log = logging.getLogger("laddergw.hosting")
 
 
-class Hosting:
+class ControllerHost:
     """See the module."""
 
     loop: Any
     controller: Any
     broken = False
     wake_at: float | None = None
-    waker: Any = None
+    wake_timer: Any = None
 
-    def carry_out(self, verdict: Verdict) -> None:
+    def apply_verdict(self, verdict: Verdict) -> None:
         raise NotImplementedError
 
-    def collapse(self) -> None:
+    def fail_all_plays(self) -> None:
         raise NotImplementedError
 
     def feed(self, call: Callable, *args) -> None:
@@ -47,18 +46,22 @@
         except Exception:
             log.exception("the module failed: all that is held is answered, the process ends")
             self.broken = True
-            return self.collapse()
+            return self.fail_all_plays()
         for verdict in verdicts:
-            self.carry_out(verdict)
-        self.wake_by(wake_at)
+            self.apply_verdict(verdict)
+        self.schedule_wake(wake_at)
 
-    def wake_by(self, when: float) -> None:
-        if self.waker is not None and self.waker.call is not None and self.wake_at <= when:
+    def schedule_wake(self, when: float) -> None:
+        if (
+            self.wake_timer is not None
+            and self.wake_timer.call is not None
+            and self.wake_at <= when
+        ):
             return
-        if self.waker is not None:
-            self.waker.cancel()
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
         if when < float("inf"):
-            self.wake_at, self.waker = when, self.loop.at(when, self.wake)
+            self.wake_at, self.wake_timer = when, self.loop.at(when, self.wake)
 
     def wake(self) -> None:
         self.feed(self.controller.wake, self.loop.now)
@@ -69,6 +72,6 @@
         """
         while not self.broken and self.controller.pending:
             self.feed(self.controller.decide, self.loop.now, 1)
-            if self.loop.reading() - self.loop.now >= SLICE_MS:
+            if self.loop.reading() - self.loop.now >= DECISION_SLICE_MS:
                 self.loop.after(0, lambda: None)
                 return
--- a/laddergw/lab/soak/terms.py
+++ b/laddergw/lab/soak/terms.py
@@ -71,7 +71,7 @@
 
 def products_of(tree: dict[str, Any]) -> tuple[Product, ...]:
     """Of nested settings, with the shares in which their viewers come."""
-    reader = settings.Reader(settings.flatten(tree))
+    reader = settings.SettingsReader(settings.flatten(tree))
     grades = tree["Grades"]
     shares = [*PRODUCT_SHARES[: len(grades) - 1]]
     shares += [max(0.0, 1 - sum(shares)) / (len(grades) - len(shares))] * (
--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -17,7 +17,7 @@
 
 from laddergw.loop import held
 from laddergw.loop.sockets import SocketLoop
-from laddergw.platform import assignment as assignments
+from laddergw.platform import configuration as configurations
 from laddergw.platform.director import Director
 
 EXIT_GOOD, EXIT_FAILED, EXIT_FILE = 0, 1, 2
@@ -28,15 +28,15 @@
 def read_again(path: str, director: Director) -> None:
     """At SIGHUP. A file that is refused changes nothing."""
     try:
-        found = with_descriptors(assignments.read_file(path))
-        director.change(found)
-    except assignments.AssignmentError as error:
+        found = with_descriptors(configurations.read_file(path))
+        director.apply_configuration(found)
+    except configurations.ConfigurationError as error:
         log.error("configuration refused, what is in force stays: %s", error)
     else:
         log.info("configuration read again, change log at %s", found.changelog)
 
 
-def with_descriptors(found: assignments.Assignment) -> assignments.Assignment:
+def with_descriptors(found: configurations.Configuration) -> configurations.Configuration:
     """Raises the process's limit to what the file tells, as far as it may; the parts are taken of
     what it may really hold.
     """
@@ -55,8 +55,8 @@
     )
     path = os.environ.get("PROXY_CONFIG", "")
     try:
-        found = with_descriptors(assignments.read_file(path))
-    except assignments.AssignmentError as error:
+        found = with_descriptors(configurations.read_file(path))
+    except configurations.ConfigurationError as error:
         print(error, file=sys.stderr)
         return EXIT_FILE
     loop = SocketLoop()
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -9,17 +9,19 @@
 from laddergw.platform import allocation, requests
 from laddergw.platform.causes import DECLINED, ENDED, FAILED
 from laddergw.platform.plays import Play
-from laddergw.platform.viewers import OPEN_MOST, Viewer
+from laddergw.platform.viewers import MAX_OPEN_SET_UPS, ViewerConnection
 from laddergw.signalling import binary
 
-EARLY_MS = (
+ANSWER_MARGIN_MS = (
     20.0  # answers are due so long before the viewer's time limit: its clock began before ours
 )
-GUARD_MS = 10.0  # past the module's own time-out at the limit, which it answers by the play's terms
+OVERDUE_GRACE_MS = (
+    10.0  # past the module's own time-out at the limit, which it answers by the play's terms
+)
 # what one peer says on two connections may cross for so long: the protocol's own time for a close
 # and a set-up
-CROSS_MS = 50.0
-TOLD_MOST = 40  # unusable set-ups told in the log: a flood must not fill it
+CROSSING_MS = 50.0
+MAX_LOGGED_UNUSABLE = 40  # unusable set-ups told in the log: a flood must not fill it
 
 log = logging.getLogger("laddergw.platform")
 
@@ -29,51 +31,51 @@
 
     def __init__(self, director):
         self.director, self.count = director, director.count
-        self.fresh: list[
+        self.deferred_plays: list[
             Play
             # plays that the module hears of at the turn's end: asked for, or an allocation over
         ] = []
 
-    def heard(self, viewer: Viewer, message: binary.Message) -> None:
+    def handle_message(self, viewer: ViewerConnection, message: binary.Message) -> None:
         if message.kind == binary.SET_UP:
-            self.asked(viewer, message)
+            self.handle_set_up(viewer, message)
         elif message.kind == binary.RELEASE:
-            self.viewer_ends(viewer, message.session)
+            self.handle_release(viewer, message.session)
         elif message.kind == binary.TEST:
             viewer.write(
                 binary.TESTED,
                 message.session,
-                (binary.CAUSE, bytes([self.director.stopping is None])),
+                (binary.CAUSE, bytes([self.director.stopping_since is None])),
             )
         elif message.kind == binary.HEARD:
             self.director.listener.releases.acknowledged(message.session)
         elif message.kind != binary.PROGRESS:
             viewer.close("a director's message")
 
-    def asked(self, viewer: Viewer, message: binary.Message) -> None:
+    def handle_set_up(self, viewer: ViewerConnection, message: binary.Message) -> None:
         session = message.session
-        if session in self.director.open or (
-            session in self.director.standing and not self.takes_over(message)
+        if session in self.director.open_requests or (
+            session in self.director.running_plays and not self.is_hand_over(message)
         ):
             return viewer.close("a session that is there")  # an answer on it would be the other's
         try:
-            request = requests.read(message, self.director.assignment)
-        except requests.UnusableError as error:
+            request = requests.read(message, self.director.configuration)
+        except requests.UnusableRequestError as error:
             self.director.count("unusable")
-            if self.director.counts["unusable"] <= TOLD_MOST:
+            if self.director.counts["unusable"] <= MAX_LOGGED_UNUSABLE:
                 log.info("%s: refused on %s, unusable: %s", session, viewer, error)
             return viewer.refuse(session)
-        self.director.listener.spoke(viewer)
-        if request.at:
-            return self.handed_over(viewer, session, request)
+        self.director.listener.mark_requested(viewer)
+        if request.playing_at:
+            return self.accept_hand_over(viewer, session, request)
         if (
             self.director.broken
-            or self.director.stopping is not None
-            or len(viewer.plays) >= OPEN_MOST
+            or self.director.stopping_since is not None
+            or len(viewer.plays) >= MAX_OPEN_SET_UPS
         ):
             why = (
                 "the director stops"
-                if self.director.stopping is not None
+                if self.director.stopping_since is not None
                 else "the module failed"
                 if self.director.broken
                 else "too many on its connection"
@@ -81,7 +83,9 @@
             log.debug("%s: refused on %s, %s", session, viewer, why)
             self.director.count("turned away: " + why)
             return viewer.refuse(
-                session, DECLINED, self.away(self.director.assignment.deployment.retry_max_ms)
+                session,
+                DECLINED,
+                self.retry_after(self.director.configuration.deployment.retry_max_ms),
             )
         self.director.count("asked")
         log.debug(
@@ -89,90 +93,100 @@
             session,
             request.product,
             viewer,
-            request.ask.wait_ms,
+            request.play_request.wait_ms,
+        )
+        play = self.director.open_requests[session] = viewer.plays[session] = Play(
+            request, session, viewer
+        )
+        play.deadline = self.director.loop.now + max(
+            0.0, request.play_request.wait_ms - viewer.stall_ms - ANSWER_MARGIN_MS
         )
-        play = self.director.open[session] = viewer.plays[session] = Play(request, session, viewer)
-        play.limit = self.director.loop.now + max(
-            0.0, request.ask.wait_ms - viewer.stalled - EARLY_MS
+        play.deadline_timer = self.director.loop.at(
+            play.deadline + OVERDUE_GRACE_MS, lambda: self.fail_overdue(play)
         )
-        play.guard = self.director.loop.at(play.limit + GUARD_MS, lambda: self.overdue(play))
-        return self.fresh.append(play)
+        return self.deferred_plays.append(play)
 
-    def take_in(self) -> None:
+    def process_deferred(self) -> None:
         """At a turn's end: asks for the plays that came in it, or goes on with those whose
         allocation is over. One whose connection has more
         to read waits for that: it may have been taken back there, or its viewer have left."""
-        fresh, self.fresh = self.fresh, []
+        fresh, self.deferred_plays = self.deferred_plays, []
         for play in fresh:
-            if self.director.open.get(play.session) is not play:
+            if self.director.open_requests.get(play.session) is not play:
                 continue
             if play.viewer.stream.more:
-                self.fresh.append(play)
-            elif play.untold is not None:
-                self.director.allocating.ending.tell(play)
+                self.deferred_plays.append(play)
+            elif play.pending_outcome is not None:
+                self.director.allocating.ending.report_outcome(play)
             else:
-                ask = play.request.ask._replace(
-                    wait_ms=max(0.0, play.limit - self.director.loop.now)
+                ask = play.request.play_request._replace(
+                    wait_ms=max(0.0, play.deadline - self.director.loop.now)
                 )
                 self.director.feed(self.director.controller.asked, self.director.loop.now, ask)
 
-    def takes_over(self, message: binary.Message) -> bool:
+    def is_hand_over(self, message: binary.Message) -> bool:
         return b"at:" in (message.parameters or {}).get(binary.FIGURES, b"")
 
-    def handed_over(self, viewer: Viewer, session: str, request: requests.Request) -> None:
+    def accept_hand_over(
+        self, viewer: ViewerConnection, session: str, request: requests.Request
+    ) -> None:
         """A play that stands at a node already; it may be one that is held here."""
-        node = self.director.nodes.by_id.get(request.at)
+        node = self.director.nodes.by_id.get(request.playing_at)
         if node is None or node.gone:
-            log.info("%s: handed over from %s, which is not in the list", session, request.at)
+            log.info(
+                "%s: handed over from %s, which is not in the list", session, request.playing_at
+            )
             self.director.count("handed over from nowhere")
             return viewer.refuse(session)
-        self.director.listener.prove(viewer)
-        if session not in self.director.standing:
+        self.director.listener.mark_served(viewer)
+        if session not in self.director.running_plays:
             self.director.count("handed over")
             log.debug("%s: handed over on %s, plays at node %s", session, viewer, node.id)
-            play = self.director.standing[session] = node.held[session] = Play(
+            play = self.director.running_plays[session] = node.held[session] = Play(
                 request, session, viewer
             )
-            play.node, play.number, play.stands = node, 0, True
+            play.node, play.number, play.is_running = node, 0, True
             self.director.feed(
                 self.director.controller.handed_over,
                 self.director.loop.now,
-                request.ask,
+                request.play_request,
                 node.number,
             )
             if not node.connections and self.director.nodes.room(of_held=False):
                 node.dial()  # what the node tells of it comes on any connection
         return None
 
-    def away(self, ms: float | None) -> tuple[int, bytes]:
+    def retry_after(self, ms: float | None) -> tuple[int, bytes]:
         return binary.AWAY, b"%d" % (ms or 0)
 
-    def viewer_ends(self, viewer: Viewer, session: str) -> None:
-        if play := self.director.standing.get(
+    def handle_release(self, viewer: ViewerConnection, session: str) -> None:
+        if play := self.director.running_plays.get(
             session
         ):  # it gave up as our answer left: what stood is released to it too
             log.debug("%s.%d: ended by its viewer on %s", play.session, play.number, viewer)
             self.director.allocating.release(play)
-            self.director.listener.send(
+            self.director.listener.send_until_acknowledged(
                 viewer, binary.RELEASE, session, (binary.CAUSE, bytes([ENDED]))
             )
             self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
-            self.director.allocating.ending.ended(play, allocation.HELD, allocation.GIVEN_UP)
-        elif (play := self.director.open.get(session)) and play.viewer is viewer:
-            return self.given_up(play)
+            self.director.allocating.ending.allocation_ended(
+                play, allocation.HELD, allocation.GIVEN_UP
+            )
+        elif (play := self.director.open_requests.get(session)) and play.viewer is viewer:
+            return self.viewer_gave_up(play)
         elif (
-            session not in self.director.open
+            session not in self.director.open_requests
         ):  # its hand-over may be on its way on another connection
-            self.director.loop.after(CROSS_MS, lambda: self.overtaken(viewer, session))
+            self.director.loop.after(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
         return viewer.write(binary.HEARD, session)
 
-    def overtaken(self, viewer: Viewer, session: str) -> None:
-        if (play := self.director.standing.get(session)) and play.request.at:
-            self.viewer_ends(viewer, session)
+    def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
+        if (play := self.director.running_plays.get(session)) and play.request.playing_at:
+            self.handle_release(viewer, session)
 
-    def given_up(self, play: Play) -> None:
+    def viewer_gave_up(self, play: Play) -> None:
         """The viewer waits no more: no answer is owed, and its allocation ends."""
-        if self.director.open.pop(play.session, None) is None:
+        if self.director.open_requests.pop(play.session, None) is None:
             return
         log.debug("%s: given up by its viewer", play.session)
         self.director.count("given up")
@@ -181,19 +195,19 @@
         self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
         self.director.allocating.give_up(play)
 
-    def overdue(self, play: Play) -> None:
+    def fail_overdue(self, play: Play) -> None:
         """The last guard of the one answer: whatever holds it up, it is failed in time."""
-        play.guard = None
-        if play.session in self.director.open:
+        play.deadline_timer = None
+        if play.session in self.director.open_requests:
             log.info("%s: overdue, failed by the last guard", play.session)
             self.director.count("overdue")
             self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
-            if play.session in self.director.open:
+            if play.session in self.director.open_requests:
                 self.finish(play, FAILED)
 
     def finish(self, play: Play, cause: int, *more: tuple[int, bytes]) -> None:
         """The final answer of a play that does not stand."""
-        if self.director.open.pop(play.session, None) is None:
+        if self.director.open_requests.pop(play.session, None) is None:
             return
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
@@ -208,15 +222,15 @@
         play.viewer.refuse(play.session, cause, *more)
         self.director.allocating.give_up(play)
 
-    def stand(self, play: Play, description: bytes) -> None:
+    def start_play(self, play: Play, description: bytes) -> None:
         """The play stands: its viewer gets the description that its node gave."""
-        del self.director.open[play.session]
+        del self.director.open_requests[play.session]
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
-        play.stands, play.stood_at = True, self.director.loop.now
-        self.director.standing[play.session] = play.node.held[play.session] = play
+        play.is_running, play.answered_at = True, self.director.loop.now
+        self.director.running_plays[play.session] = play.node.held[play.session] = play
         play.viewer.write(binary.ANSWER, play.session, (binary.DESCRIPTION, description))
-        self.director.listener.prove(play.viewer)
+        self.director.listener.mark_served(play.viewer)
         log.debug("%s.%d: plays, answered on %s", play.session, play.number, play.viewer)
         self.director.count("playing")
         self.director.feed(
--- a/laddergw/platform/allocating.py
+++ b/laddergw/platform/allocating.py
@@ -9,8 +9,8 @@
 from laddergw.platform.answers import Answers
 from laddergw.platform.causes import ENDED
 from laddergw.platform.connection import Connection
-from laddergw.platform.ending import Ending
 from laddergw.platform.node import Node
+from laddergw.platform.play_ending import PlayEnding
 from laddergw.platform.plays import Play
 from laddergw.signalling import rtsp
 
@@ -29,7 +29,7 @@
 
     def __init__(self, director):
         self.director, self.count = director, director.count
-        self.ending = Ending(director)
+        self.ending = PlayEnding(director)
         self.answers = Answers(director, self.ending, self.report_of)
 
     def allocate(self, play: Play, verdict: interface.Verdict) -> None:
@@ -53,7 +53,7 @@
                 if verdict.timeout_ms > 0
                 else "left no time",
             )
-            return self.ending.tell_end(play, interface.NEVER_SENT)
+            return self.ending.record_outcome(play, interface.NEVER_SENT)
         r = play.request
         node.open[play.session], play.connection = play, connection
         connection.set_up(
@@ -79,7 +79,7 @@
             play.connection,
             verdict.timeout_ms,
         )
-        play.timer = self.director.loop.after(verdict.timeout_ms, lambda: self.late(play))
+        play.timeout_timer = self.director.loop.after(verdict.timeout_ms, lambda: self.late(play))
 
     def say(self, node: Node, data: bytes, ends: str = "") -> None:
         """To a node about a play that stands, or that this `ends`, on any connection."""
@@ -97,7 +97,7 @@
 
     def report_of(self, message: rtsp.Message) -> tuple[float, ...]:
         """The load report that a message carries, or nothing."""
-        return reports.report_of(message, self.director.assignment.deployment.reports)
+        return reports.report_of(message, self.director.configuration.deployment.reports)
 
     def told(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
         """A media node speaks of a play: a note, or its release."""
@@ -116,12 +116,12 @@
                 self.count("released by its node, held by nobody")
             else:
                 self.released(play, connection, message)
-        elif message.method == "ANNOUNCE" and play is not None and play.stands:
+        elif message.method == "ANNOUNCE" and play is not None and play.is_running:
             kind, value = (
                 reports.NOTES.get(message.headers.get("x-note", "")),
                 message.headers.get("figure", ""),
             )
-            if kind is not None and requests.FIGURE.fullmatch(value):
+            if kind is not None and requests.NUMBER_PATTERN.fullmatch(value):
                 self.director.feed(
                     self.director.controller.note,
                     self.director.loop.now,
@@ -144,12 +144,12 @@
             cause[:8],
         )
         fact, report = allocation.end(int(cause) if cause.isdigit() else 0), self.report_of(message)
-        if play.stands:
-            self.ending.ended(play, allocation.HELD, fact, report)
+        if play.is_running:
+            self.ending.allocation_ended(play, allocation.HELD, fact, report)
         elif play.connection is connection and play.answer is not None:
             self.answers.ended_behind(play, fact, report)
         elif play.connection is connection:
-            self.ending.ended(play, connection.state(play.session), fact, report)
+            self.ending.allocation_ended(play, connection.state(play.session), fact, report)
         elif play.connection.state(play.session) == allocation.OUT:
             self.drop_set_up(
                 play, fact, report
@@ -157,7 +157,7 @@
 
     def late(self, play: Play) -> None:
         """The module's time-out for this allocation."""
-        play.timer = None
+        play.timeout_timer = None
         self.drop_set_up(play, allocation.LATE)
 
     def give_up(self, play: Play) -> None:
@@ -166,8 +166,8 @@
         """
         if play.connection is not None:
             self.drop_set_up(play, allocation.GIVEN_UP)
-        elif play.untold is not None:
-            self.ending.tell(play)
+        elif play.pending_outcome is not None:
+            self.ending.report_outcome(play)
 
     def drop_set_up(self, play: Play, fact: str, report: tuple = ()) -> None:
         """Gives a set-up up. Its connection ends too: what may still come on it belongs to nobody.
@@ -200,4 +200,4 @@
             connection.node.renew()
         elif state == allocation.OUT:  # others share it
             self.director.loop.after(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
-        self.ending.ended(play, state, fact, report)
+        self.ending.allocation_ended(play, state, fact, report)
--- a/laddergw/platform/answers.py
+++ b/laddergw/platform/answers.py
@@ -11,8 +11,8 @@
 from laddergw.platform import allocation
 from laddergw.platform.causes import FAILED
 from laddergw.platform.connection import Connection
-from laddergw.platform.ending import Ending
 from laddergw.platform.node import Node
+from laddergw.platform.play_ending import PlayEnding
 from laddergw.platform.plays import Play
 from laddergw.signalling import description, rtsp
 
@@ -25,7 +25,7 @@
 class Answers:
     """Answers to the director's set-ups; `report_of` reads the load report of a message."""
 
-    def __init__(self, director, ending: Ending, report_of: Callable[[rtsp.Message], tuple]):
+    def __init__(self, director, ending: PlayEnding, report_of: Callable[[rtsp.Message], tuple]):
         self.director, self.ending, self.report_of = director, ending, report_of
 
     def answered(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
@@ -62,8 +62,8 @@
             *(play.session, play.number, node.id, message.status, waited),
         )
         if fact == allocation.THERE:
-            return self.director.admission.stand(play, message.body)
-        return self.ending.ended(play, state, fact, self.report_of(message))
+            return self.director.admission.start_play(play, message.body)
+        return self.ending.allocation_ended(play, state, fact, self.report_of(message))
 
     def connection_ended(self, connection: Connection) -> None:
         """Answers that have come whole before the connection's end are taken all the same."""
@@ -90,9 +90,9 @@
         self.director.count("over behind their answer: " + fact)
         if fact == allocation.ENDED:  # it has run to its end
             self.take(play.node, play.connection, play.answer)
-            return self.ending.ended(play, allocation.HELD, fact, report)
+            return self.ending.allocation_ended(play, allocation.HELD, fact, report)
         if fact != allocation.LEFT:
-            return self.ending.ended(play, self.settle(play), fact, report)
+            return self.ending.allocation_ended(play, self.settle(play), fact, report)
         self.settle(play)
         self.director.admission.finish(play, FAILED)
-        return self.ending.tell_end(play, interface.CANCELLED, report)
+        return self.ending.record_outcome(play, interface.CANCELLED, report)
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -12,80 +12,83 @@
 
 from laddergw import interface
 from laddergw.control import Controller
-from laddergw.hosting import Hosting
+from laddergw.hosting import ControllerHost
 from laddergw.platform import allocation
 from laddergw.platform.admission import Admission
 from laddergw.platform.allocating import Allocating
-from laddergw.platform.assignment import Assignment, following
 from laddergw.platform.causes import BROKEN, DECLINED, FAILED
+from laddergw.platform.configuration import Configuration, keep_numbers
 from laddergw.platform.following import Follower
 from laddergw.platform.listing import Listing
 from laddergw.platform.nodes import Nodes
 from laddergw.platform.plays import Play
-from laddergw.platform.viewers import Listener
+from laddergw.platform.viewers import ViewerListener
 from laddergw.signalling import binary, rtsp
 
-VIEWERS_PART, NODES_PART = (
-    0.5,
-    0.35,
-)  # of the descriptors: viewers hold a third by the protocol; some are ours
-STOP_LEAST_MS = 1_000.0  # viewers come for 0.7 s after the order to stop
-STOP_AFTER_MS = (
-    350.0  # past the longest time limit all is released; the process is killed 0.7 s past it,
-)
-STOP_LIMIT_MS = 3_000.0  # a longer limit counting as this
-HEAR_MS, HEAR_LOOK_MS = (
-    250.0,
-    10.0,
-)  # its end waits so long until its releases have gone out and are heard; pace of looking
-PART_MS = 100.0  # then so long for its peers to end their sides: a few round trips
-TELL_MS = 10_000.0  # pace of the line of counts in the log
+# Shares of the process's descriptors. By the protocol viewers may hold a third of them; some are
+# needed for the process itself.
+VIEWER_SOCKET_SHARE, NODE_SOCKET_SHARE = 0.5, 0.35
+# Viewers come for 0.7 s after the order to stop.
+MIN_STOP_MS = 1_000.0
+# All plays are released this long after the longest time limit; SIGKILL comes 0.7 s after it.
+STOP_GRACE_MS = 350.0
+# For a stop a longer time limit counts as this.
+MAX_COUNTED_LIMIT_MS = 3_000.0
+# How long the exit waits for releases to be sent and acknowledged, and how often it checks.
+ACKNOWLEDGE_WAIT_MS, EXIT_POLL_MS = 250.0, 10.0
+# How long the exit then waits for peers to close their sides: a few round trips.
+CLOSE_WAIT_MS = 100.0
+COUNTS_INTERVAL_MS = 10_000.0
 
 log = logging.getLogger("laddergw.platform")
 
 
-class Director(Hosting):
+class Director(ControllerHost):
     """See the module."""
 
-    def __init__(self, loop, assignment: Assignment):
-        self.loop, self.assignment = loop, assignment
-        self.epoch = (
-            time.time() * 1000 - loop.now
-        )  # the Unix clock over the loop's, for starts told in it
+    def __init__(self, loop, configuration: Configuration):
+        self.loop, self.configuration = loop, configuration
+        # Unix clock less the loop's clock: the change log states node start times in Unix time.
+        self.clock_offset_ms = time.time() * 1000 - loop.now
         self.counts: Counter = Counter()
-        self.open: dict[str, Play] = {}  # plays that wait for their answer, by session
-        self.standing: dict[str, Play] = {}
-        self.stopping: float | None = None  # since when
-        self.leaving = False  # all is over but its connections' ends
-        self.controller = Controller(assignment.deployment, assignment.seed, loop.now)
+        self.open_requests: dict[str, Play] = {}  # plays that wait for their answer, by session
+        self.running_plays: dict[str, Play] = {}
+        self.stopping_since: float | None = None  # since when
+        self.is_exiting = False  # all is over but its connections' ends
+        self.controller = Controller(configuration.deployment, configuration.seed, loop.now)
         self.admission, self.allocating = Admission(self), Allocating(self)
         self.nodes = Nodes(
             loop,
             self.allocating,
-            int(NODES_PART * assignment.sockets),
-            assignment.connect_ms,
-            assignment.idle_ms,
+            int(NODE_SOCKET_SHARE * configuration.sockets),
+            configuration.connect_ms,
+            configuration.idle_ms,
         )
         self.listing = Listing(self)
-        for event in assignment.known:
+        for event in configuration.known_events:
             self.listing.listed(event)
-        self.listener = Listener(
-            loop, self.admission, assignment.listen, int(VIEWERS_PART * assignment.sockets)
+        self.listener = ViewerListener(
+            loop,
+            self.admission,
+            configuration.listen,
+            int(VIEWER_SOCKET_SHARE * configuration.sockets),
+        )
+        self.follower = Follower(
+            loop, configuration.changelog, configuration.last_event, self.listing.listed
         )
-        self.follower = Follower(loop, assignment.changelog, assignment.last, self.listing.listed)
-        loop.at_turn_end(self.turn_ends)
-        loop.after(TELL_MS, self.tell_counts)
+        loop.at_turn_end(self.finish_turn)
+        loop.after(COUNTS_INTERVAL_MS, self.log_counts)
         self.feed(self.controller.wake, loop.now)
 
     def count(self, what: str) -> None:
         self.counts[what] += 1
 
-    def tell_counts(self) -> None:
-        self.loop.after(TELL_MS, self.tell_counts)
+    def log_counts(self) -> None:
+        self.loop.after(COUNTS_INTERVAL_MS, self.log_counts)
         log.info(
             "open %d, standing %d, viewers %d, connections to nodes %d, lag %.0f ms; %s",
-            len(self.open),
-            len(self.standing),
+            len(self.open_requests),
+            len(self.running_plays),
             len(self.listener.viewers),
             self.nodes.connections(),
             self.loop.worst_lag,
@@ -95,33 +98,30 @@
 
     # The configuration, the list, and the process's end
 
-    def change(self, assignment: Assignment) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """The file read anew: its list, change log and bounds hold at once, its terms for plays
         that come from now on. Raises
-        AssignmentError, with nothing changed, for what cannot be taken over."""
-        before, found = self.assignment, following(self.assignment, assignment)
-        self.assignment = found
+        ConfigurationError, with nothing changed, for what cannot be taken over."""
+        before, found = self.configuration, keep_numbers(self.configuration, configuration)
+        self.configuration = found
         if found.deployment != before.deployment:
             self.feed(self.controller.retold, self.loop.now, found.deployment)
-        self.listener.bound(int(VIEWERS_PART * found.sockets))
+        self.listener.set_max_connections(int(VIEWER_SOCKET_SHARE * found.sockets))
         self.nodes.most, self.nodes.connect_ms, self.nodes.idle_ms = (
-            int(NODES_PART * found.sockets),
+            int(NODE_SOCKET_SHARE * found.sockets),
             found.connect_ms,
             found.idle_ms,
         )
-        if (found.kinds, found.zones) != (
-            before.kinds,
-            before.zones,
-        ):  # a name that was not known has its meaning now
+        # A name that was unknown before may have a number now.
+        if (found.kinds, found.zones) != (before.kinds, before.zones):
             self.feed(
                 self.controller.listed,
                 self.loop.now,
                 [self.listing.line_of(node) for node in self.nodes.by_id.values() if not node.gone],
                 False,
             )
-        for (
-            event
-        ) in found.known:  # past a gap only a whole list; what is missing the change log has
+        # After a gap only a whole list is applied; the change log has the missing events.
+        for event in found.known_events:
             if event.number > self.follower.last and (
                 event.whole or event.number == self.follower.last + 1
             ):
@@ -135,76 +135,86 @@
 
         The order may have waited while the process stood still: its time counts from then.
         """
-        if self.stopping is not None:
+        if self.stopping_since is not None:
             return
         waited = self.loop.stalled
-        self.stopping = ordered = self.loop.now - waited
+        self.stopping_since = ordered = self.loop.now - waited
         log.info(
             "stopping, ordered up to %.0f ms ago: open %d, standing %d",
             waited,
-            len(self.open),
-            len(self.standing),
+            len(self.open_requests),
+            len(self.running_plays),
+        )
+        # Open requests may have longer limits than the current configuration.
+        limits = [play.deadline - ordered for play in self.open_requests.values()]
+        longest = max([self.configuration.longest_limit_ms, *limits])
+        self.loop.after(MIN_STOP_MS - waited, lambda: None)
+        self.loop.after(
+            min(longest, MAX_COUNTED_LIMIT_MS) + STOP_GRACE_MS - waited, self.end_all_plays
         )
-        limits = [play.limit - ordered for play in self.open.values()]  # on older terms too
-        longest = max([self.assignment.longest_ms, *limits])
-        self.loop.after(STOP_LEAST_MS - waited, lambda: None)
-        self.loop.after(min(longest, STOP_LIMIT_MS) + STOP_AFTER_MS - waited, self.end_all)
 
-    def end_all(self) -> None:
-        if self.leaving:
+    def end_all_plays(self) -> None:
+        if self.is_exiting:
             return
-        for play in list(self.open.values()):
+        for play in list(self.open_requests.values()):
             self.admission.finish(play, FAILED)
-        self.release_all()
-        self.leave(self.loop.now + HEAR_MS)
+        self.release_all_plays()
+        self.exit_when_acknowledged(self.loop.now + ACKNOWLEDGE_WAIT_MS)
 
-    def release_all(self) -> None:
-        for play in list(self.standing.values()):
+    def release_all_plays(self) -> None:
+        for play in list(self.running_plays.values()):
             self.allocating.release(play)
-            self.allocating.ending.settle_standing(play)
-            self.listener.send(
+            self.allocating.ending.remove_running(play)
+            self.listener.send_until_acknowledged(
                 play.viewer, binary.RELEASE, play.session, (binary.CAUSE, bytes([BROKEN]))
             )
 
-    def leave(self, latest: float) -> None:
+    def exit_when_acknowledged(self, latest: float) -> None:
         """Ends the process once what it has said is heard: a connection that ends with something
         unread takes that along.
         """
-        self.leaving = True
+        self.is_exiting = True
         if (self.listener.releases or self.nodes.unsent()) and self.loop.now < latest:
-            self.loop.after(HEAR_LOOK_MS, lambda: self.leave(latest))
+            self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
         else:
             self.follower.stop()
             more = True
             while more:
-                more = self.listener.hear_last()
-                self.release_all()  # what was handed over just now
-                self.listener.shut()
+                more = self.listener.read_last_messages()
+                self.release_all_plays()  # what was handed over just now
+                self.listener.close_all()
             self.nodes.shut()
-            self.part(self.loop.now + PART_MS)
+            self.exit_when_closed(self.loop.now + CLOSE_WAIT_MS)
 
-    def part(self, latest: float) -> None:
+    def exit_when_closed(self, latest: float) -> None:
         """Its connections are closed; the process goes when its peers have read to their ends."""
         if (self.loop.open_streams or self.loop.lingering) and self.loop.now < latest:
-            self.loop.after(HEAR_LOOK_MS, lambda: self.part(latest))
+            self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_closed(latest))
         else:
             self.loop.stop()
 
-    def collapse(self) -> None:
-        self.end_all()
+    def fail_all_plays(self) -> None:
+        self.end_all_plays()
 
-    def turn_ends(self) -> None:
-        self.admission.take_in()
+    def finish_turn(self) -> None:
+        self.admission.process_deferred()
         self.decide()
-        idle = not (self.open or self.standing or self.listener.releases or self.leaving)
-        if self.stopping is not None and idle and self.loop.now - self.stopping >= STOP_LEAST_MS:
-            self.leave(self.loop.now + HEAR_MS)
+        idle = not (
+            self.open_requests or self.running_plays or self.listener.releases or self.is_exiting
+        )
+        if (
+            self.stopping_since is not None
+            and idle
+            and self.loop.now - self.stopping_since >= MIN_STOP_MS
+        ):
+            self.exit_when_acknowledged(self.loop.now + ACKNOWLEDGE_WAIT_MS)
 
     # Verdicts
 
-    def carry_out(self, verdict: interface.Verdict) -> None:
+    def apply_verdict(self, verdict: interface.Verdict) -> None:
         play = (
-            self.open.get(f"{verdict.play:016x}") or self.standing.get(f"{verdict.play:016x}")
+            self.open_requests.get(f"{verdict.play:016x}")
+            or self.running_plays.get(f"{verdict.play:016x}")
             if verdict.play is not None
             else None
         )
@@ -217,13 +227,13 @@
             self.admission.finish(
                 play,
                 DECLINED if declined else FAILED,
-                *([self.admission.away(verdict.retry_ms)] if declined else ()),
+                *([self.admission.retry_after(verdict.retry_ms)] if declined else ()),
             )
-        elif verdict.move and play.stands:
+        elif verdict.move and play.is_running:
             self.allocating.release(play)
-            self.listener.send(play.viewer, binary.MOVE, play.session)
-            self.allocating.ending.ended(play, allocation.HELD, allocation.GIVEN_UP)
-        elif verdict.rung is not None and play.stands:
+            self.listener.send_until_acknowledged(play.viewer, binary.MOVE, play.session)
+            self.allocating.ending.allocation_ended(play, allocation.HELD, allocation.GIVEN_UP)
+        elif verdict.rung is not None and play.is_running:
             self.count("steps")
             self.allocating.say(
                 play.node,
--- a/laddergw/platform/listing.py
+++ b/laddergw/platform/listing.py
@@ -78,8 +78,8 @@
             m.cell,
             m.weight,
             STATES[m.state],
-            m.since - self.director.epoch if m.since else 0.0,
-            self.director.assignment.kinds.get(m.kind, 0),
-            self.director.assignment.zones.get(m.zone, 0),
+            m.since - self.director.clock_offset_ms if m.since else 0.0,
+            self.director.configuration.kinds.get(m.kind, 0),
+            self.director.configuration.zones.get(m.zone, 0),
             crc32(m.id.encode()),
         )
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -30,7 +30,7 @@
         self.numbers = self.tests = 0
         self.count, self.ended, self.told, self.answered = (
             allocating.count,
-            allocating.ending.ended,
+            allocating.ending.allocation_ended,
             allocating.told,
             allocating.answers.answered,
         )
--- a/laddergw/platform/ending.py
+++ b/laddergw/platform/play_ending.py
@@ -7,29 +7,29 @@
 from laddergw.platform.plays import Play
 from laddergw.signalling import binary
 
-ANSWER_WAY_MS = 20.0  # longest way of an answer to its viewer
+ANSWER_DELIVERY_MS = 20.0  # longest way of an answer to its viewer
 
 log = logging.getLogger("laddergw.platform")
 
 
-class Ending:
+class PlayEnding:
     """Tells the ends of the director's allocations."""
 
     def __init__(self, director):
         self.director = director
 
-    def ended(self, play: Play, state: str, fact: str, report: tuple = ()) -> None:
+    def allocation_ended(self, play: Play, state: str, fact: str, report: tuple = ()) -> None:
         """An allocation has ended; the module is told, and a viewer whose play stood."""
         outcome = allocation.outcome(state, fact)
         if outcome is None:
             return
-        if play.stands:
-            self.settle_standing(play)
+        if play.is_running:
+            self.remove_running(play)
             if (
                 fact != allocation.GIVEN_UP
             ):  # who has left hears it too: the answer may be on its way
-                cause = bytes([self.cause_of(play, fact)])
-                self.director.listener.send(
+                cause = bytes([self.release_cause(play, fact)])
+                self.director.listener.send_until_acknowledged(
                     play.viewer, binary.RELEASE, play.session, (binary.CAUSE, cause)
                 )
         elif play.connection is not None:
@@ -37,9 +37,9 @@
                 play.connection.settle(play.session)
             play.connection = None
             play.node.open.pop(play.session, None)
-        self.tell_end(play, outcome, report)
+        self.record_outcome(play, outcome, report)
 
-    def cause_of(self, play: Play, fact: str) -> int:
+    def release_cause(self, play: Play, fact: str) -> int:
         """What the release of a play that stood tells its viewer.
 
         One that has left, by its node's word, while our answer was on its way to it does not take
@@ -47,23 +47,23 @@
         """
         if fact in (allocation.BROKEN_OFF, allocation.LOST):
             return BROKEN
-        on_its_way = self.director.loop.now - play.stood_at <= ANSWER_WAY_MS
+        on_its_way = self.director.loop.now - play.answered_at <= ANSWER_DELIVERY_MS
         return FAILED if fact == allocation.LEFT and on_its_way else ENDED
 
-    def settle_standing(self, play: Play) -> None:
-        self.director.standing.pop(play.session, None)
+    def remove_running(self, play: Play) -> None:
+        self.director.running_plays.pop(play.session, None)
         play.node.held.pop(play.session, None)
 
-    def tell_end(self, play: Play, outcome: str, report: tuple = ()) -> None:
-        if play.timer is not None:
-            play.timer.cancel()
-            play.timer = None
+    def record_outcome(self, play: Play, outcome: str, report: tuple = ()) -> None:
+        if play.timeout_timer is not None:
+            play.timeout_timer.cancel()
+            play.timeout_timer = None
         log.debug("%s.%d: ends, %s", play.session, play.number, outcome)
-        self.director.count(("stood: " if play.stands else "set-up: ") + outcome)
-        play.untold = outcome, report
-        if play.stands or self.director.open.get(play.session) is not play:
-            return self.tell(play)
-        self.director.admission.fresh.append(
+        self.director.count(("stood: " if play.is_running else "set-up: ") + outcome)
+        play.pending_outcome = outcome, report
+        if play.is_running or self.director.open_requests.get(play.session) is not play:
+            return self.report_outcome(play)
+        self.director.admission.deferred_plays.append(
             play
         )  # it may be tried again, once its connection has been read to its end
         self.director.loop.after(
@@ -71,9 +71,9 @@
         )  # at this turn's end, or of the next, which waits for nothing
         return None
 
-    def tell(self, play: Play) -> None:
-        (outcome, report), play.untold = play.untold, None
-        over = play.stands or self.director.open.get(play.session) is not play
+    def report_outcome(self, play: Play) -> None:
+        (outcome, report), play.pending_outcome = play.pending_outcome, None
+        over = play.is_running or self.director.open_requests.get(play.session) is not play
         self.director.feed(
             self.director.controller.ended,
             self.director.loop.now,
--- a/laddergw/platform/reports.py
+++ b/laddergw/platform/reports.py
@@ -23,7 +23,7 @@
     values = {}
     for part in message.headers.get("x-state", "").split(";"):
         name, _, text = part.partition(":")
-        if requests.FIGURE.fullmatch(text):
+        if requests.NUMBER_PATTERN.fullmatch(text):
             values[name] = float(text)
     if not values or any(name not in values for name in names):
         return ()
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -9,35 +9,37 @@
 from laddergw.signalling import binary
 
 # an unproven connection with nothing open, or half a message, is closed after this: 3 s are allowed
-SPEAK_MS = 2_000.0
-LOOK_MS = 250.0  # pace of looking for such connections
-FRESH_MS = 50.0  # a new connection is not closed for others before it can have spoken
-OPEN_MOST = 64  # open set-ups of one connection: a front's pool holds a few, a flood hundreds
-UNSENT_MOST = 256 * 1024  # bytes that wait for a peer that does not read
+REQUEST_TIMEOUT_MS = 2_000.0
+CHECK_INTERVAL_MS = 250.0  # pace of looking for such connections
+NEW_CONNECTION_MS = 50.0  # a new connection is not closed for others before it can have spoken
+MAX_OPEN_SET_UPS = (
+    64  # open set-ups of one connection: a front's pool holds a few, a flood hundreds
+)
+MAX_UNSENT_BYTES = 256 * 1024  # bytes that wait for a peer that does not read
 # of one connection at the process's end, 64 KB each: as much as its system may hold, and no peer
 # reads on for ever
-READS_LAST = 64
+MAX_LAST_READS = 64
 
 log = logging.getLogger("laddergw.platform")
 
 
-class Viewer:
+class ViewerConnection:
     """One connection from viewers. `spoke`: it asked for a play. `proven`: one stands by it, begun
     on it or handed over on it.
     A test proves nothing: fronts leave after theirs, and anyone can ask."""
 
-    def __init__(self, listener: "Listener"):
-        self.listener, self.reader, self.plays, self.spoke, self.proven = (
+    def __init__(self, listener: "ViewerListener"):
+        self.listener, self.reader, self.plays, self.has_requested, self.has_served = (
             listener,
             binary.Reader(),
             {},
             False,
             False,
         )
-        self.since = self.used = listener.loop.now
-        self.half = None  # since when a message has begun and not ended
+        self.opened_at = self.last_used = listener.loop.now
+        self.partial_since = None  # since when a message has begun and not ended
         self.closing = False
-        self.stalled = (
+        self.stall_ms = (
             listener.loop.stalled
         )  # ms for which it may have waited to be accepted, and what it said first with it
         self.name = listener.next_name()
@@ -48,31 +50,33 @@
     def opened(self, stream) -> None:
         self.stream = stream
         log.debug("%s: opened by %s", self, stream.peer)
-        self.listener.come(self)
+        self.listener.connection_opened(self)
 
     def emptied(self, stream) -> None:
         pass
 
     def got(self, stream, data: bytes) -> None:
         self.reader.feed(data)
-        self.half = self.listener.loop.now if self.half is None else self.half
-        self.stalled = max(self.stalled, self.listener.loop.stalled)
+        self.partial_since = (
+            self.listener.loop.now if self.partial_since is None else self.partial_since
+        )
+        self.stall_ms = max(self.stall_ms, self.listener.loop.stalled)
         try:
             while self.stream is not None and (message := self.reader.next()) is not None:
-                self.half = self.used = self.listener.loop.now
-                self.listener.admission.heard(self, message)
+                self.partial_since = self.last_used = self.listener.loop.now
+                self.listener.admission.handle_message(self, message)
         except binary.MalformedError as error:
             return self.close(str(error))
-        self.stalled = 0.0
+        self.stall_ms = 0.0
         if not self.reader.buffer:
-            self.half = None
+            self.partial_since = None
 
     def write(self, kind: int, session: str, *parameters: tuple[int, bytes]) -> None:
         if self.stream is None:
             return
         self.stream.write(binary.encode(kind, session, *parameters))
-        self.used = self.listener.loop.now
-        if self.stream is not None and self.stream.queued > UNSENT_MOST:
+        self.last_used = self.listener.loop.now
+        if self.stream is not None and self.stream.queued > MAX_UNSENT_BYTES:
             self.close("it does not read")
 
     def refuse(self, session: str, cause: int = UNUSABLE, *more: tuple[int, bytes]) -> None:
@@ -87,8 +91,8 @@
                 "%s: closed by us: %s; %.0f ms old, idle %.0f, %d set-ups open",
                 self,
                 why,
-                self.listener.loop.now - self.since,
-                self.listener.loop.now - self.used,
+                self.listener.loop.now - self.opened_at,
+                self.listener.loop.now - self.last_used,
                 len(self.plays),
             )
             for play in list(self.plays.values()):
@@ -98,14 +102,14 @@
             # who does not read would hold it open
             self.stream.abort() if self.stream.queued else self.stream.close()
 
-    def outstays(self, now: float) -> str | None:
+    def close_reason(self, now: float) -> str | None:
         """Why it is to be closed as of no use; never while a set-up is open on it."""
         if self.plays:
             return None
-        if self.half is not None and now - self.half >= SPEAK_MS:
+        if self.partial_since is not None and now - self.partial_since >= REQUEST_TIMEOUT_MS:
             return "half a message"
         if (
-            not self.spoke and now - self.since >= SPEAK_MS
+            not self.has_requested and now - self.opened_at >= REQUEST_TIMEOUT_MS
         ):  # who spoke has its answers, and may be speaking again
             return "nothing of use"
         return None
@@ -119,108 +123,117 @@
             len(self.plays),
         )
         self.listener.admission.count("viewers' connections ended: " + (why or "in good order"))
-        self.listener.leave(self)
+        self.listener.connection_closed(self)
         for play in list(self.plays.values()):
-            self.listener.admission.given_up(play)
+            self.listener.admission.viewer_gave_up(play)
 
 
-class Listener:
+class ViewerListener:
     """All viewers' connections."""
 
-    def __init__(self, loop, admission, address: tuple[str, int], most: int):
-        self.loop, self.admission, self.most = loop, admission, most
-        self.viewers: dict[Viewer, None] = {}  # oldest first
+    def __init__(self, loop, admission, address: tuple[str, int], max_connections: int):
+        self.loop, self.admission, self.max_connections = loop, admission, max_connections
+        self.viewers: dict[ViewerConnection, None] = {}  # oldest first
         self.releases = Releases(loop, self.viewers, admission.count)
-        self.names = 0
-        self.accepting = loop.listen(address, lambda stream: Viewer(self))
-        loop.after(LOOK_MS, self.look)
+        self.connection_count = 0
+        self.acceptor = loop.listen(address, lambda stream: ViewerConnection(self))
+        loop.after(CHECK_INTERVAL_MS, self.check_connections)
 
     def next_name(self) -> str:
         """Of a viewers' connection, for the log."""
-        self.names += 1
-        return f"viewers' connection {self.names}"
+        self.connection_count += 1
+        return f"viewers' connection {self.connection_count}"
 
-    def come(self, viewer: Viewer) -> None:
+    def connection_opened(self, viewer: ViewerConnection) -> None:
         self.viewers[viewer] = None
-        self.make_room(viewer)
+        self.close_excess(viewer)
 
-    def bound(self, most: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Another bound, at once; who has plays open keeps its connection."""
-        self.most = most
-        self.make_room()
+        self.max_connections = max_connections
+        self.close_excess()
 
-    def make_room(self, last: Viewer | None = None) -> None:
+    def close_excess(self, last: ViewerConnection | None = None) -> None:
         """Over the bound who has said nothing goes first, then who was idle longest, `last` where
         all others have plays open. What one has
         to say may lie unread: it is read before it is closed, or a set-up would be lost."""
         idle = (
             [v for v in self.viewers if not v.plays and v is not last]
-            if len(self.viewers) > self.most
+            if len(self.viewers) > self.max_connections
             else []
         )
-        idle.sort(key=lambda v: (v.proven or self.loop.now - v.since < FRESH_MS, v.used))
+        idle.sort(
+            key=lambda v: (
+                v.has_served or self.loop.now - v.opened_at < NEW_CONNECTION_MS,
+                v.last_used,
+            )
+        )
         for one in idle + [last] * (last is not None):
-            if len(self.viewers) <= self.most:
+            if len(self.viewers) <= self.max_connections:
                 return
             if one.stream is not None:
                 one.stream.read_now()
             if not one.plays:
                 one.close("too many")
 
-    def hear_last(self) -> bool:
+    def read_last_messages(self) -> bool:
         """The process's end: all who have come are accepted, and what they have said is answered.
         Whether some wait for a descriptor,
         and connections that end now make room for them. Else nobody else is let in before the first
         connection is closed: whose set-up
         crosses that comes again at once, and would be cut off a second time."""
-        starved = self.accepting.accept_waiting()
+        starved = self.acceptor.accept_waiting()
         if not starved:
-            self.accepting.close()
+            self.acceptor.close()
         for viewer in list(self.viewers):
-            for _ in range(READS_LAST):
+            for _ in range(MAX_LAST_READS):
                 if viewer.stream is not None:
                     viewer.stream.read_now()
                 if viewer.stream is None or not viewer.stream.more:
                     break
         more = starved and any(v.stream is not None and not v.stream.queued for v in self.viewers)
         if not more:
-            self.accepting.close()
+            self.acceptor.close()
         return more
 
-    def shut(self) -> None:
+    def close_all(self) -> None:
         for viewer in list(self.viewers):
             if viewer.stream is not None:
                 viewer.stream.close()
 
-    def leave(self, viewer: Viewer) -> None:
+    def connection_closed(self, viewer: ViewerConnection) -> None:
         self.viewers.pop(viewer, None)
         self.releases.connection_ended(viewer)
 
-    def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
+    def check_connections(self) -> None:
+        self.loop.after(CHECK_INTERVAL_MS, self.check_connections)
         now = self.loop.now
         for viewer in list(self.viewers):
-            if viewer.outstays(now):
+            if viewer.close_reason(now):
                 viewer.stream.read_now()  # what came meanwhile may be a set-up
-            if viewer.stream is not None and (why := viewer.outstays(now)):
+            if viewer.stream is not None and (why := viewer.close_reason(now)):
                 viewer.close(why)
-        self.releases.forget_old()
-
-    def send(
-        self, preferred: Viewer | None, kind: int, session: str, *parameters: tuple[int, bytes]
+        self.releases.drop_expired()
+
+    def send_until_acknowledged(
+        self,
+        preferred: ViewerConnection | None,
+        kind: int,
+        session: str,
+        *parameters: tuple[int, bytes],
     ) -> None:
         """What ends a play, until its viewer has acknowledged it: a connection may end with it
         unread.
         """
         self.releases.send(preferred, session, binary.encode(kind, session, *parameters))
 
-    def spoke(self, viewer: Viewer) -> None:
+    def mark_requested(self, viewer: ViewerConnection) -> None:
         """It has asked for a play."""
-        if not viewer.spoke:
-            viewer.spoke = True
-            self.releases.connection_spoke(viewer)
+        if not viewer.has_requested:
+            viewer.has_requested = True
+            self.releases.connection_requested(viewer)
 
-    def prove(self, viewer: Viewer) -> None:
+    def mark_served(self, viewer: ViewerConnection) -> None:
         """A play stands by it."""
-        viewer.spoke = viewer.proven = True
-        self.releases.connection_proven(viewer)
+        viewer.has_requested = viewer.has_served = True
+        self.releases.connection_served(viewer)
--- a/laddergw/settings.py
+++ b/laddergw/settings.py
@@ -12,8 +12,8 @@
     """A setting that is needed and missing or makes no sense; the text names its key."""
 
 
-REPEATS = {"pure": "safe", "token": "keyed", "side_effect": "paid"}
-TOLD_BY = ("answers", "probe", "none")
+RETRY_SAFETY = {"pure": "safe", "token": "keyed", "side_effect": "paid"}
+LOAD_SOURCES = ("answers", "probe", "none")
 REQUIRED = object()
 
 
@@ -49,13 +49,13 @@
     return "" if value is None else str(value).replace(" ", "_").replace(",", "_")
 
 
-class Reader:
+class SettingsReader:
     """Reads typed values out of flattened settings; raises SettingError with the key."""
 
     def __init__(self, values):
         self.values = values
 
-    def word(self, key, default=REQUIRED):
+    def text(self, key, default=REQUIRED):
         value = self.values.get(key, "").strip()
         if value:
             return value
@@ -73,7 +73,7 @@
         return number
 
     def number(self, key, default=REQUIRED, low=0.0, high=math.inf):
-        text = self.word(key, None if default is not REQUIRED else REQUIRED)
+        text = self.text(key, None if default is not REQUIRED else REQUIRED)
         return default if text is None else self.convert(key, text, low, high)
 
     def ms(self, key, default=REQUIRED):
@@ -81,26 +81,26 @@
         return value if value is default else value / 1000
 
     def flag(self, key, default):
-        text = self.word(key, default)
+        text = self.text(key, default)
         if text not in ("true", "false"):
             raise SettingError(f"setting {key}: {text!r} is neither true nor false")
         return text == "true"
 
     def flags(self, key, size, default):
-        parts = self.word(key, ",".join(["true" if default else "false"] * size)).split(",")
+        parts = self.text(key, ",".join(["true" if default else "false"] * size)).split(",")
         if len(parts) != size or set(parts) - {"true", "false"}:
             raise SettingError(
                 f"setting {key}: {','.join(parts)!r} is not {size} times true or false"
             )
         return [part == "true" for part in parts]
 
-    def among(self, key, words, default):
-        if (text := self.word(key, default)) not in words:
+    def choice(self, key, words, default):
+        if (text := self.text(key, default)) not in words:
             raise SettingError(f"setting {key}: {text!r} is not one of {', '.join(words)}")
         return text
 
-    def many(self, key, size=None, default=REQUIRED, low=0.0):
-        text = self.word(key, default)
+    def numbers(self, key, size=None, default=REQUIRED, low=0.0):
+        text = self.text(key, default)
         numbers = tuple(self.convert(key, part, low) for part in text.split(",") if part)
         if size is not None and len(numbers) != size:
             raise SettingError(f"setting {key}: {len(numbers)} values where {size} are needed")
@@ -109,13 +109,13 @@
 
 def product(read, index, floor, top, scale, seats, live):
     key = f"Grades.{index}."
-    repeat = read.word(key + "Repeat")
-    if repeat not in REPEATS:
+    repeat = read.text(key + "Repeat")
+    if repeat not in RETRY_SAFETY:
         raise SettingError(f"setting {key}Repeat: {repeat!r} is not known")
     return Product(
         read.number(key + "Points"),
-        REPEATS[repeat],
-        read.word(key + "Group", "all"),
+        RETRY_SAFETY[repeat],
+        read.text(key + "Group", "all"),
         read.ms(key + "KeyTtl", 0.0),
         int(floor),
         int(top),
@@ -126,30 +126,30 @@
 
 
 def decode(values):
-    read = Reader(values)
+    read = SettingsReader(values)
     grades = int(read.number("Grades.count", low=1))
-    ladder = read.many("Specifics.LadderKb", low=1e-9)
+    ladder = read.numbers("Specifics.LadderKb", low=1e-9)
     if not ladder:
         raise SettingError("setting Specifics.LadderKb: no rung")
     zeros, ones = ",".join(["0"] * grades), ",".join(["1"] * grades)
     tops = ",".join([str(len(ladder) - 1)] * grades)
     columns = zip(
-        read.many("Specifics.LowestRung", grades, zeros),
-        read.many("Specifics.HighestRung", grades, tops),
-        read.many("Specifics.ScaleByClass", grades, ones, 1e-9),
-        read.many("Specifics.ClassSeats", grades, zeros),
+        read.numbers("Specifics.LowestRung", grades, zeros),
+        read.numbers("Specifics.HighestRung", grades, tops),
+        read.numbers("Specifics.ScaleByClass", grades, ones, 1e-9),
+        read.numbers("Specifics.ClassSeats", grades, zeros),
         read.flags("Specifics.Live", grades, False),
         strict=True,
     )
     return Deployment(
         products=tuple(product(read, i, *row) for i, row in enumerate(columns)),
         ladder=ladder,
-        rung_worth=read.many("Specifics.WorthByRung", len(ladder)),
+        rung_worth=read.numbers("Specifics.WorthByRung", len(ladder)),
         cells=int(read.number("Specifics.Positions", low=1)),
         racks=int(read.number("Specifics.Groups", 1, low=1)),
         link_unit=read.number("Specifics.LinkUnitKb", low=1e-9),
         rack_kb=read.number("Specifics.RackKb", low=1e-9),
-        streams=read.many("Specifics.KindSlots", low=1),
+        streams=read.numbers("Specifics.KindSlots", low=1),
         step_cost_ms=read.number("Specifics.ChangeCostsS", 0.0) * 1000,
         seen_after_ms=read.ms("Specifics.SeenAfter", 0.0),
         directors=int(read.number("Siblings", low=1)),
@@ -164,10 +164,10 @@
         budget_free=read.number("Rules.FreeResends", None),
         budget_share=read.number("Rules.ExtraRatio", 0.0),
         budget_ms=read.ms("Rules.CountedOver", 0.0),
-        must_ask=read.word("Discovery", "pushed") == "on_request",
-        reports=tuple(read.word("Reporting.Names", "").split(",")),
+        must_ask=read.text("Discovery", "pushed") == "on_request",
+        reports=tuple(read.text("Reporting.Names", "").split(",")),
         probes=read.flag("Permissions.Probes", "false"),
-        told_by=read.among("Reporting.How", TOLD_BY, "answers"),
+        told_by=read.choice("Reporting.How", LOAD_SOURCES, "answers"),
         probe_price=read.number("Prices.Probe", 0.0),
         cross_price=read.number("Prices.CrossZone", 0.0),
         zone=int(read.number("MyZone", 0)),
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -88,8 +88,8 @@
 class Lowest(Director):
     """Rule 5: plays everything at the lowest rung."""
 
-    def carry_out(self, verdict):
-        super().carry_out(verdict._replace(rung=0) if verdict.node is not None else verdict)
+    def apply_verdict(self, verdict):
+        super().apply_verdict(verdict._replace(rung=0) if verdict.node is not None else verdict)
 
 
 class Seatless(Director):
--- a/tests/director_process.py
+++ b/tests/director_process.py
@@ -15,7 +15,7 @@
 import time
 
 from laddergw.signalling import binary
-from tests.platform_town import event, member, set_up
+from tests.platform_cluster import event, member, set_up
 from tests.sockets_town import Node, Peer
 from tests.test_platform_start import Running
 
--- a/tests/platform_town.py
+++ b/tests/platform_cluster.py
@@ -3,15 +3,15 @@
 
 from laddergw.lab.soak.messages import SETTINGS, answer, configuration, event, member, release, set_up
 from laddergw.loop.memory import Memory
-from laddergw.platform import assignment as assignments
+from laddergw.platform import configuration as configurations
 from laddergw.platform.director import Director
 from laddergw.signalling import binary, rtsp
 
 LISTEN, LOG = ("director", 5060), ("log", 4222)
-TREE, tree = SETTINGS, configuration
+BASE_SETTINGS, configuration_file = SETTINGS, configuration
 
 
-class Side:
+class StandInConnection:
     """A connection of a stand-in: what comes on it goes into the town's trace."""
 
     def __init__(self, town, name, reader):
@@ -29,40 +29,40 @@
             if not isinstance(m, binary.Message):
                 if m.method != "OPTIONS":
                     rung = f" at rung {m.headers['rate-step']}" if "rate-step" in m.headers else ""
-                    self.town.say(f"{self.name} gets {m.method or m.status} {int(m.session, 16)}{rung}")
+                    self.town.record(f"{self.name} gets {m.method or m.status} {int(m.session, 16)}{rung}")
                 self.town.node_got(self, m)
             else:
                 more = {222: "cause", 198: "stay away", 225: "description"}
                 words = ", ".join(f"{more[code]} {value[0] if code == 222 else value.decode()!r}" for code, value in m.parameters.items())
-                self.town.say(f"{self.name} gets {m.kind} {int(m.session, 16)} {words}".rstrip())
+                self.town.record(f"{self.name} gets {m.kind} {int(m.session, 16)} {words}".rstrip())
 
     def closed(self, stream, why):
         self.open = False
         if not self.name.startswith("node"):
-            self.town.say(f"{self.name} is closed")
+            self.town.record(f"{self.name} is closed")
 
 
-class Town:
+class PlatformCluster:
     """One director among stand-ins, all in memory. Nodes answer set-ups as `answers` tells, 200 by default."""
 
     def __init__(self, nodes=("a", "b"), **changes):
-        self.world, self.lines, self.answers, self.sides = Memory(3), [], {}, {}
+        self.world, self.lines, self.answers, self.connections = Memory(3), [], {}, {}
         self.hosts = {name: self.world.host(name) for name in ("director", "viewers", "log", *nodes)}
-        self.start, self.log_side = self.world.now, None
+        self.start, self.log_connection = self.world.now, None
         for name in nodes:
             self.hosts[name].listen((name, 1), lambda stream, name=name: self.side(f"node {name}", rtsp.Reader()))
         self.hosts["log"].listen(LOG, self.log_came)
-        self.director = Director(self.hosts["director"], assignments.of(tree(**changes)))
+        self.director = Director(self.hosts["director"], configurations.parse(configuration_file(**changes)))
 
     def side(self, name, reader):
-        side = self.sides[name] = Side(self, name, reader)
+        side = self.connections[name] = StandInConnection(self, name, reader)
         return side
 
     def log_came(self, stream):
-        self.log_side = LogSide(self)
-        return self.log_side
+        self.log_connection = ChangeLogConnection(self)
+        return self.log_connection
 
-    def say(self, text):
+    def record(self, text):
         self.lines.append(f"{self.world.now - self.start:7.0f} {text}")
 
     def run(self, ms):
@@ -90,7 +90,7 @@
         return None
 
 
-class LogSide:
+class ChangeLogConnection:
     """The change log's end of a connection."""
 
     def __init__(self, town):
@@ -103,7 +103,7 @@
         pass
 
     def got(self, stream, data):
-        self.town.say(f"log gets {data.decode().strip()}")
+        self.town.record(f"log gets {data.decode().strip()}")
 
     def tell(self, *events):
         self.stream.write(b"".join(json.dumps(e).encode() + b"\n" for e in events))
@@ -118,7 +118,7 @@
     return reader.next()
 
 
-class Telling(Side):
+class ReleasingNode(StandInConnection):
     """A node's end of a connection: tells its release when it is there to tell, on the next connection too."""
 
     def __init__(self, town, name, said, data):
@@ -136,12 +136,12 @@
             self.town.hosts[self.host].after(50, self.tell)
 
 
-class Silent(list):
+class DiscardedLines(list):
     def append(self, line):
         pass
 
 
-class Once:
+class FirstCallOnly:
     """Acts badly the first time, well ever after."""
 
     def __init__(self, act):
--- a/tests/sockets_town.py
+++ b/tests/sockets_town.py
@@ -11,10 +11,10 @@
 import time
 
 from laddergw.loop.sockets import SocketLoop, clock
-from laddergw.platform import assignment as assignments
+from laddergw.platform import configuration as configurations
 from laddergw.platform.director import Director
 from laddergw.signalling import binary, rtsp
-from tests.platform_town import answer, event, member, release, set_up, tree
+from tests.platform_cluster import answer, event, member, release, set_up, configuration_file
 
 PATIENCE_S = 20.0          # of the test, for what is to come
 QUEUE_FULL_S = 0.05        # a connection on loopback that is not up after this waits for room in its listener's queue
@@ -108,9 +108,9 @@
         known = [member(name, node.port, cell=i) | {"host_port": f"127.0.0.1:{node.port}"} for i, (name, node) in enumerate(self.nodes.items())]
         changes = {"listen": "127.0.0.1:0", "changelog": f"127.0.0.1:{self.log.getsockname()[1]}",
                    "known": {"seq": 1, "results": [event(1, *known, whole=True)]}} | changes
-        found = assignments.of(tree(**changes | {"listen": "127.0.0.1:1"}))
+        found = configurations.parse(configuration_file(**changes | {"listen": "127.0.0.1:1"}))
         self.director = Director(self.loop, found._replace(listen=("127.0.0.1", 0)))
-        self.address, self.peers = self.director.listener.accepting.address, []
+        self.address, self.peers = self.director.listener.acceptor.address, []
         test.addCleanup(self.close)
 
     def close(self):
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -7,7 +7,7 @@
 from laddergw.platform.causes import FAILED
 from laddergw.signalling import binary
 from tests.director_process import DirectorProcess, name_of
-from tests.platform_town import answer, release, set_up
+from tests.platform_cluster import answer, release, set_up
 
 # what stood and is over: its viewer's release comes so long after its node's, by the protocol page
 RELEASED_S = 1.0
--- a/tests/test_orders_answers.py
+++ b/tests/test_orders_answers.py
@@ -3,7 +3,7 @@
 import unittest
 
 from laddergw.signalling import binary, changes
-from tests.platform_town import answer, event, member, release, set_up
+from tests.platform_cluster import answer, event, member, release, set_up
 from tests.sockets_town import Town
 
 SESSION = f"{1:016x}"
@@ -21,7 +21,7 @@
         self.viewer.write(set_up(1, product=product))
         self.line, _ = self.town.come("a")
         self.director.controller.fleet.nodes[2].rest = 0.0
-        self.ply, self.back, self.left = self.director.open[SESSION], self.director.open[SESSION].connection.stream, False
+        self.ply, self.back, self.left = self.director.open_requests[SESSION], self.director.open_requests[SESSION].connection.stream, False
 
     def says(self, data):
         """The node says something: it lies there; told when its connection is read."""
@@ -48,9 +48,9 @@
             self.town.lies_there(self.back)
             return self.back.read_now
         if what == "its time-out":
-            return lambda: self.ply.timer is not None and self.ply.timer.call()
+            return lambda: self.ply.timeout_timer is not None and self.ply.timeout_timer.call()
         if what == "the last guard":
-            return lambda: self.ply.guard is not None and self.ply.guard.call()
+            return lambda: self.ply.deadline_timer is not None and self.ply.deadline_timer.call()
         if what == "the node drains":
             gone = event(2, member("a", 1, "DRAINING") | {"host_port": f"127.0.0.1:{self.town.nodes['a'].port}"})
             return lambda: self.director.listing.listed(changes.event_of(gone))
@@ -94,11 +94,11 @@
         self.assertLessEqual(len(ends), 1, heard)
         if not scene.left:
             self.assertEqual(len(finals) or len(ends), 1, heard)
-        self.assertEqual(scene.director.open, {})
+        self.assertEqual(scene.director.open_requests, {})
         known = set(scene.director.controller.plays)
-        self.assertEqual(known, {int(session, 16) for session in scene.director.standing})
+        self.assertEqual(known, {int(session, 16) for session in scene.director.running_plays})
         if played and not ends and not scene.left:
-            self.assertEqual(list(scene.director.standing), [SESSION])
+            self.assertEqual(list(scene.director.running_plays), [SESSION])
         return heard
 
     def test_pairs_in_both_orders(self):
@@ -130,12 +130,12 @@
         self.judge(scene, [scene.says(answer(SESSION))])
         scene.says(answer(SESSION))
         scene.town.turns()
-        self.assertEqual((scene.viewer.hear(), list(scene.director.standing)), ([], [SESSION]))
+        self.assertEqual((scene.viewer.hear(), list(scene.director.running_plays)), ([], [SESSION]))
 
     def test_an_answer_for_an_earlier_try_on_another_connection(self):
         """The first try timed out; its answer comes while the second is out: one answer, the second's, and the first is torn down."""
         scene = Scene(self, "guide")
-        late = scene.ply.timer.call
+        late = scene.ply.timeout_timer.call
         scene.town.loop.soon(late)
         scene.town.turn()
         scene.line.write(answer(SESSION, 200, b"the first\r\n"))
--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -12,7 +12,7 @@
 
 from laddergw.loop.lingering import READ_BYTES
 from laddergw.signalling import binary, rtsp
-from tests.platform_town import answer, event, member, set_up
+from tests.platform_cluster import answer, event, member, set_up
 from tests.sockets_town import Node, Peer, Town
 from tests.test_platform_start import PATIENCE_S, Running, held_port
 
@@ -133,7 +133,7 @@
     def test_one_that_has_spoken_among_many_that_come_at_once(self):
         """More than may be held come in one turn and say nothing; the one that has asked, and is not read yet, is not closed for them."""
         town = Town(self)
-        town.director.listener.most, good = 20, town.viewer()
+        town.director.listener.max_connections, good = 20, town.viewer()
         good.write(set_up(1))
         for _ in range(40):
             town.viewer()
--- a/tests/test_orders_ends.py
+++ b/tests/test_orders_ends.py
@@ -3,7 +3,7 @@
 import unittest
 
 from laddergw.signalling import binary, rtsp
-from tests.platform_town import answer, set_up
+from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
 END = binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10"))
@@ -54,7 +54,7 @@
         self.town.turns(6)
         self.pass_(5_000)
         fleet = self.town.director.controller.fleet
-        self.assertEqual((self.town.director.open, self.town.director.controller.plays), ({}, {}))
+        self.assertEqual((self.town.director.open_requests, self.town.director.controller.plays), ({}, {}))
         self.assertEqual([(round(node.own, 6), node.plays) for node in fleet.nodes.values()], [(0.0, {})])
 
     def test_an_end_that_overtakes_its_hand_over(self):
@@ -68,7 +68,7 @@
         first.write(hand_over)
         self.town.lies_there(sides[0], len(hand_over))
         self.pass_(1_000)
-        self.assertEqual(self.town.director.standing, {})
+        self.assertEqual(self.town.director.running_plays, {})
         self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].hear()])
 
     def stands(self):
@@ -93,7 +93,7 @@
         """The node's system had it and its process had not: it is told again on the next connection."""
         viewer, line = self.stands()
         viewer.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
-        self.town.until(lambda: not self.town.director.standing)
+        self.town.until(lambda: not self.town.director.running_plays)
         self.town.turns(3)
         line.reset()
         self.assertEqual([m.session for m in self.tears()], [f"{1:016x}"])
@@ -127,10 +127,10 @@
                 node.connections.remove(mine)
                 mine.stream.abort()
                 viewer.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
-                self.town.until(lambda: not self.town.director.standing)
+                self.town.until(lambda: not self.town.director.running_plays)
                 if leaves:
                     viewer.write(END)
-                    self.town.until(lambda: not self.town.director.open)
+                    self.town.until(lambda: not self.town.director.open_requests)
                 else:
                     self.pass_(400)
                 self.town.loop.selector.select = select
@@ -157,7 +157,7 @@
         line.write(answer(message.session))
         self.town.until(lambda: [m for m in viewer.hear() if m.kind == binary.ANSWER])
         self.pass_(200)
-        self.assertEqual((list(self.town.director.standing), viewer.hear()), ([f"{2:016x}"], []))
+        self.assertEqual((list(self.town.director.running_plays), viewer.hear()), ([f"{2:016x}"], []))
 
     # Guards against losing an answer that came whole because its connection is reset in the read that brings it.
     def test_an_answer_with_the_end_of_its_connection_behind_it(self):
@@ -181,12 +181,12 @@
         viewer = self.town.viewer()
         side = self.town.side(viewer)
         viewer.write(set_up(2))
-        self.town.until(lambda: self.town.director.open)
+        self.town.until(lambda: self.town.director.open_requests)
         self.town.turns(2)
         viewer.write(END)
         self.town.lies_there(side, len(END))
         self.town.turns(2)
-        self.assertEqual(self.town.director.open, {})
+        self.assertEqual(self.town.director.open_requests, {})
         self.pass_(2_000)
         self.assertEqual((line.stream.sock, self.town.loop.lingering), (None, {}))
 
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -6,42 +6,42 @@
 import unittest
 
 from laddergw import interface as face
-from laddergw.platform import assignment as assignments
-from laddergw.platform.director import NODES_PART, VIEWERS_PART
+from laddergw.platform import configuration as configurations
+from laddergw.platform.director import NODE_SOCKET_SHARE, VIEWER_SOCKET_SHARE
 from laddergw.signalling import binary, changes
-from tests.platform_town import TREE, answer, event, member, release, set_up, tree
+from tests.platform_cluster import BASE_SETTINGS, answer, event, member, release, set_up, configuration_file
 from tests.sites import REPEATS, SITES, settings_of
 from tests.sockets_town import Town
 
 # What the file may change while the director runs, and how: each field is here, so that a new one cannot be forgotten.
-TAKEN_OVER = {"sockets", "changelog", "known", "last", "deployment", "products", "all_products", "kinds", "zones", "longest_ms", "connect_ms", "idle_ms"}
+TAKEN_OVER = {"sockets", "changelog", "known_events", "last_event", "deployment", "products", "all_products", "kinds", "zones", "longest_limit_ms", "connect_ms", "idle_ms"}
 OF_THE_START = {"name", "listen", "seed"}    # a file with another address is refused; name and seed are a process's own
 
 
 def terms(**changes):
-    return json.loads(json.dumps(TREE)) | changes
+    return json.loads(json.dumps(BASE_SETTINGS)) | changes
 
 
 def grades(*names):
-    rows = {"guide": TREE["Grades"][0], "paid": TREE["Grades"][1],
+    rows = {"guide": BASE_SETTINGS["Grades"][0], "paid": BASE_SETTINGS["Grades"][1],
             "live": {"Name": "live", "Points": 7.0, "Repeat": "pure", "GiveUp": 9_000_000}}
     return [rows[name] for name in names]
 
 
 def found(**changes):
-    return assignments.of(tree(**{"listen": "127.0.0.1:1"} | changes))
+    return configurations.parse(configuration_file(**{"listen": "127.0.0.1:1"} | changes))
 
 
 class Files(unittest.TestCase):
     def test_each_field_is_taken_over_or_belongs_to_the_start(self):
-        self.assertEqual(set(assignments.Assignment._fields), TAKEN_OVER | OF_THE_START)
+        self.assertEqual(set(configurations.Configuration._fields), TAKEN_OVER | OF_THE_START)
 
     def test_names_are_read_as_they_are_told(self):
         """Seen on the bench: products with accents and spaces in their names were refused, all of them: names were folded into words."""
         name, zone, kind = "relevé de notes", "quai Rhône, haut", "quatre cœurs"
-        settings = terms(Grades=[TREE["Grades"][0] | {"Name": name}, TREE["Grades"][1]], Zones=["east", zone], Kinds=["std", kind])
+        settings = terms(Grades=[BASE_SETTINGS["Grades"][0] | {"Name": name}, BASE_SETTINGS["Grades"][1]], Zones=["east", zone], Kinds=["std", kind])
         town = Town(self, settings=settings)
-        self.assertEqual([(a.products[name], a.zones[zone], a.kinds[kind]) for a in (town.director.assignment,)], [(0, 1, 1)])
+        self.assertEqual([(a.products[name], a.zones[zone], a.kinds[kind]) for a in (town.director.configuration,)], [(0, 1, 1)])
         viewer = town.viewer()
         viewer.write(set_up(1, product=name))
         node = town.nodes["a"]
@@ -55,36 +55,36 @@
 
     def test_names_that_cannot_be_told_apart_are_refused(self):
         for settings in terms(Grades=grades("guide", "guide")), terms(Zones=["east", "east"]), terms(Kinds=["a\r\nb"]):
-            self.assertRaises(assignments.AssignmentError, found, settings=settings)
+            self.assertRaises(configurations.ConfigurationError, found, settings=settings)
 
     def test_a_fault_is_told_with_its_field_and_file(self):
         faults = {"listen": 7, "changelog": "x", "seed": "zz", "known": {"seq": 1, "results": [{"seq": 1, "fleet": {}}]}, "limits": {"sockets": "many"}}
         for field, value in faults.items():
-            with self.subTest(field), self.assertRaisesRegex(assignments.AssignmentError, f"^{field}"):
-                assignments.of(tree(**{field: value}))
+            with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, f"^{field}"):
+                configurations.parse(configuration_file(**{field: value}))
         for field, value in {"Grades": grades("guide", "guide"), "Zones": ["a", "a"], "Kinds": ["a\n"], "Siblings": "many"}.items():
-            with self.subTest(field), self.assertRaisesRegex(assignments.AssignmentError, f"^settings? {field}"):
+            with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, f"^settings? {field}"):
                 found(settings=terms(**{field: value}))
         for field in "listen", "known", "settings", "name":
-            with self.subTest(field), self.assertRaisesRegex(assignments.AssignmentError, field):
-                assignments.of({key: value for key, value in tree().items() if key != field})
+            with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, field):
+                configurations.parse({key: value for key, value in configuration_file().items() if key != field})
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "n0.json"
-            for text, said in ((None, "No such file"), ("{", "Expecting"), (json.dumps(tree(listen="x")), "listen: 'x'")):
+            for text, said in ((None, "No such file"), ("{", "Expecting"), (json.dumps(configuration_file(listen="x")), "listen: 'x'")):
                 if text is not None:
                     path.write_text(text)
-                with self.subTest(said), self.assertRaises(assignments.AssignmentError) as caught:
-                    assignments.read_file(str(path))
+                with self.subTest(said), self.assertRaises(configurations.ConfigurationError) as caught:
+                    configurations.read_file(str(path))
                 self.assertTrue(str(caught.exception).startswith(f"{path}: "))
                 self.assertIn(said, str(caught.exception))
                 self.assertNotIn("\n", str(caught.exception))
-        with self.assertRaisesRegex(assignments.AssignmentError, "PROXY_CONFIG"):
-            assignments.read_file("")
+        with self.assertRaisesRegex(configurations.ConfigurationError, "PROXY_CONFIG"):
+            configurations.read_file("")
 
     def test_what_a_file_may_well_say_is_taken(self):
         """Names with joiners and hard spaces, numbers with a point, no idle time: none is a reason not to start."""
         names = ["\u0646\u0645\u200c\u0627", "guide\u00a0court", "\u0e04\u0e39\u0e48\u0e21\u0e37\u0e2d"]
-        settings = terms(Grades=[TREE["Grades"][0] | {"Name": name} for name in names], Kinds=names, Zones=names)
+        settings = terms(Grades=[BASE_SETTINGS["Grades"][0] | {"Name": name} for name in names], Kinds=names, Zones=names)
         settings["Permissions"]["ConnIdle"] = 0
         read = found(settings=settings, limits={"sockets": 256.0})
         self.assertEqual((list(read.products), list(read.kinds), list(read.zones)), (names, names, names))
@@ -100,10 +100,10 @@
         town.until(viewer.hear)
         viewer.write(set_up(2, product="paid"))
         line, second = town.come("a")
-        before, seats = town.director.assignment, dict(town.director.controller.fleet.seats)
-        town.director.change(found(settings=terms(Grades=grades("live", "paid", "guide")), changelog=None)._replace(
+        before, seats = town.director.configuration, dict(town.director.controller.fleet.seats)
+        town.director.apply_configuration(found(settings=terms(Grades=grades("live", "paid", "guide")), changelog=None)._replace(
             listen=before.listen, changelog=before.changelog))
-        after = town.director.assignment
+        after = town.director.configuration
         self.assertEqual((after.products["guide"], after.products["paid"], after.products["live"]), (0, 1, 2))
         rows = town.director.controller.fleet.d.products
         self.assertEqual([row.importance for row in rows], [1.0, 2.0, 7.0])
@@ -122,10 +122,10 @@
         line, message = town.come("a")
         line.write(answer(message.session))
         town.until(viewer.hear)
-        mine = town.director.assignment
+        mine = town.director.configuration
 
         def change(*names):
-            town.director.change(found(settings=terms(Grades=grades(*names)))._replace(listen=mine.listen, changelog=mine.changelog))
+            town.director.apply_configuration(found(settings=terms(Grades=grades(*names)))._replace(listen=mine.listen, changelog=mine.changelog))
         change("paid")
         self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [0.0, 2.0])
         viewer.write(set_up(2, product="guide"))
@@ -142,17 +142,17 @@
         nodes = [member("a", 1) | {"host_port": "127.0.0.1:1", "flavor": "small", "locality": "west"},
                  member("b", 1, cell=1) | {"host_port": "127.0.0.1:1", "flavor": "huge", "locality": "north"}]
         known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": nodes}}]}
-        first = terms(Kinds=["small", "large"], Zones=["east", "west"], MyZone=1, Specifics=TREE["Specifics"] | {"KindSlots": [10, 20]})
+        first = terms(Kinds=["small", "large"], Zones=["east", "west"], MyZone=1, Specifics=BASE_SETTINGS["Specifics"] | {"KindSlots": [10, 20]})
         town = Town(self, settings=first, known=known)
         controlled = town.director.controller.fleet.nodes
 
         def seen():
             return [(n.streams, n.zone == town.director.controller.fleet.d.zone) for n in controlled.values()]
         self.assertEqual(seen(), [(10, True), (10, False)])
-        mine = town.director.assignment
+        mine = town.director.configuration
         second = terms(Kinds=["huge", "large", "small"], Zones=["north", "west", "east"], MyZone=1,
-                       Specifics=TREE["Specifics"] | {"KindSlots": [40, 21, 11]})
-        town.director.change(found(settings=second, known=known)._replace(listen=mine.listen, changelog=mine.changelog))
+                       Specifics=BASE_SETTINGS["Specifics"] | {"KindSlots": [40, 21, 11]})
+        town.director.apply_configuration(found(settings=second, known=known)._replace(listen=mine.listen, changelog=mine.changelog))
         self.assertEqual(seen(), [(11, True), (40, False)])
 
     def test_a_node_that_a_whole_list_left_out_stays_gone(self):
@@ -166,8 +166,8 @@
         town.until(viewer.hear)
         b = member("b", 1, cell=1) | {"host_port": f"127.0.0.1:{town.nodes['b'].port}"}
         town.director.listing.listed(changes.event_of(event(2, b, whole=True)))
-        mine = town.director.assignment
-        town.director.change(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known=[]))
+        mine = town.director.configuration
+        town.director.apply_configuration(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known_events=[]))
         self.assertEqual([node.state for node in town.director.controller.fleet.nodes.values()], [face.GONE, face.READY])
         town.director.controller.fleet.nodes[2].rest = 0.0
         viewer.write(set_up(2))
@@ -180,18 +180,18 @@
         town.turns()
         viewers[0].write(set_up(1))
         town.come("a")
-        mine = town.director.assignment
-        town.director.change(mine._replace(sockets=64, connect_ms=123.0))
-        self.assertEqual((len(town.director.listener.viewers), town.director.nodes.most), (int(VIEWERS_PART * 64), int(NODES_PART * 64)))
-        self.assertEqual((town.director.nodes.connect_ms, len(town.director.open)), (123.0, 1))
+        mine = town.director.configuration
+        town.director.apply_configuration(mine._replace(sockets=64, connect_ms=123.0))
+        self.assertEqual((len(town.director.listener.viewers), town.director.nodes.most), (int(VIEWER_SOCKET_SHARE * 64), int(NODE_SOCKET_SHARE * 64)))
+        self.assertEqual((town.director.nodes.connect_ms, len(town.director.open_requests)), (123.0, 1))
         self.assertIsNone(viewers[0].hear() or viewers[0].ended)
 
     def test_what_cannot_change_leaves_all_as_it_was(self):
         town = Town(self)
-        before, deployment = town.director.assignment, town.director.controller.fleet.d
-        with self.assertRaisesRegex(assignments.AssignmentError, "listens at"):
-            town.director.change(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
-        self.assertEqual((town.director.assignment, town.director.controller.fleet.d), (before, deployment))
+        before, deployment = town.director.configuration, town.director.controller.fleet.d
+        with self.assertRaisesRegex(configurations.ConfigurationError, "listens at"):
+            town.director.apply_configuration(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
+        self.assertEqual((town.director.configuration, town.director.controller.fleet.d), (before, deployment))
 
     def test_longer_limits_of_before_hold_through_a_stop(self):
         """A play taken on a long limit is decided as ever, though the file of the stop knows only short ones."""
@@ -200,13 +200,13 @@
         viewer = town.viewer()
         viewer.write(set_up(1, product="paid", patience="2900"))
         town.come("a")
-        mine = town.director.assignment
-        town.director.change(found(settings=terms(Grades=[TREE["Grades"][0] | {"GiveUp": 500_000}]))._replace(
+        mine = town.director.configuration
+        town.director.apply_configuration(found(settings=terms(Grades=[BASE_SETTINGS["Grades"][0] | {"GiveUp": 500_000}]))._replace(
             listen=mine.listen, changelog=mine.changelog))
         town.director.stop()
         now[0] += 1_500.0
         town.turns(3)
-        self.assertEqual(len(town.director.open), 1)
+        self.assertEqual(len(town.director.open_requests), 1)
 
     def test_every_deployment_in_the_repository_is_read(self):
         """Its names, limits and terms as a director's file tells them."""
@@ -225,7 +225,7 @@
         """Two directors of two deployments in one process: the second knows nothing of the first."""
         Town(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
         second = Town(self, settings=terms(Grades=grades("paid")))
-        self.assertEqual((second.director.assignment.products, second.director.assignment.kinds), ({"paid": 0}, {"std": 0}))
+        self.assertEqual((second.director.configuration.products, second.director.configuration.kinds), ({"paid": 0}, {"std": 0}))
         self.assertEqual(len(second.director.controller.fleet.d.products), 1)
         self.assertIsInstance(second.director.controller.fleet.d, face.Deployment)
 
--- a/tests/test_orders_last_close.py
+++ b/tests/test_orders_last_close.py
@@ -20,7 +20,7 @@
     # Guards against a connection that comes up between a stopping director's last accept and its
     # listener's close, and is reset.
     def test_no_connection_comes_up_between_the_last_accept_and_the_close(self):
-        listener = self.town.director.listener.accepting
+        listener = self.town.director.listener.acceptor
         early, late = socket.create_connection(self.town.address), socket.socket()
         self.addCleanup(early.close)
         self.addCleanup(late.close)
@@ -39,7 +39,7 @@
         self.town.viewer()
         self.town.turns(3)
         listener, seen = self.town.director.listener, []
-        shut = listener.shut
+        shut = listener.close_all
 
         def shut_and_come_again():
             shut()
@@ -49,7 +49,7 @@
             except ConnectionRefusedError:
                 seen.append("refused")
 
-        listener.shut = shut_and_come_again
+        listener.close_all = shut_and_come_again
         self.town.director.stop()
         self.town.to_the_end(self.now)
         self.assertEqual(seen, ["refused"])
--- a/tests/test_orders_leaving.py
+++ b/tests/test_orders_leaving.py
@@ -4,10 +4,10 @@
 import socket
 import unittest
 
-from laddergw.hosting import SLICE_MS
+from laddergw.hosting import DECISION_SLICE_MS
 from laddergw.platform import allocation as life
 from laddergw.signalling import binary, rtsp
-from tests.platform_town import answer, set_up
+from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
 SET_UP_NAMED = 80          # bytes of a set-up as a node gets it, to the end of its session's name
@@ -41,7 +41,7 @@
                 leaves(town, viewer, way, len(set_up(2)))
                 town.turns()
                 self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
-                self.assertEqual((len(town.director.open), len(town.director.controller.plays)), (0, 0))
+                self.assertEqual((len(town.director.open_requests), len(town.director.controller.plays)), (0, 0))
 
     def test_left_behind_more_than_one_read(self):
         """Hundreds of set-ups and the viewer's end behind them: the first of them were read turns before that end."""
@@ -58,7 +58,7 @@
                 leaves(town, viewer, way)
                 town.turns(40)
                 self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
-                self.assertEqual((len(town.director.open), len(town.director.controller.plays)), (0, 0))
+                self.assertEqual((len(town.director.open_requests), len(town.director.controller.plays)), (0, 0))
 
     def test_left_as_the_connection_to_the_node_comes_up(self):
         """Both are told in one turn, the connection first: the set-up that waited on it may not leave before the end is read."""
@@ -74,7 +74,7 @@
                 town.test.assertTrue(select.select([], [line.stream.sock], [], 20)[1])   # it has come up
                 town.turns()
                 self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
-                self.assertEqual(len(town.director.open), 0)
+                self.assertEqual(len(town.director.open_requests), 0)
 
     def test_left_while_others_are_decided(self):
         """Each decision takes 30 ms of this clock; viewers leave while the others' are made. Reading has its turn between them."""
@@ -118,7 +118,7 @@
                 viewer = town.viewer()
                 town.side(viewer)
                 viewer.write(set_up(2))
-                ply = town.until(lambda: town.director.open.get(f"{2:016x}"))
+                ply = town.until(lambda: town.director.open_requests.get(f"{2:016x}"))
                 town.turns()
                 while ply.connection.state(ply.session) != life.OUT:
                     line.sock.recv(4096)
@@ -134,10 +134,10 @@
                 now[0] += out_ms
                 leaves(town, viewer, "closed")
                 town.turns()
-                now[0] += GONE_MS - SLICE_MS             # what the viewer did may have lain unread for a turn
+                now[0] += GONE_MS - DECISION_SLICE_MS             # what the viewer did may have lain unread for a turn
                 town.turns(3)
-                self.assertEqual((set(town.director.open) - {f"{3:016x}"}, set(town.director.controller.plays) - {3}), (set(), set()))
-                self.assertTrue(shared or not town.director.open)
+                self.assertEqual((set(town.director.open_requests) - {f"{3:016x}"}, set(town.director.controller.plays) - {3}), (set(), set()))
+                self.assertTrue(shared or not town.director.open_requests)
                 data = b""
                 with contextlib.suppress(BlockingIOError, ConnectionError):
                     while part := line.sock.recv(1 << 20):
@@ -170,7 +170,7 @@
                 leaves(town, viewer, way)
                 town.turns()
                 self.assertEqual([m.method for _, m in town.nodes["b" if node == "a" else "a"].hear()], [])
-                self.assertEqual(len(town.director.open), 0)
+                self.assertEqual(len(town.director.open_requests), 0)
 
     def test_left_behind_more_than_one_read_with_a_further_try_due(self):
         """The node refuses; the viewer's end lies behind hundreds of its other messages: it is read before anybody else is asked."""
@@ -187,13 +187,13 @@
                 viewer.write(set_up(2))
                 name, line = town.until(lambda: next(((name, found[0][0]) for name in town.nodes if (found := town.nodes[name].hear())), None))
                 line.write(answer(f"{2:016x}", 453, b""))
-                town.lies_there(town.director.open[f"{2:016x}"].connection.stream, len(answer(f"{2:016x}", 453, b"")))
+                town.lies_there(town.director.open_requests[f"{2:016x}"].connection.stream, len(answer(f"{2:016x}", 453, b"")))
                 viewer.sock.setblocking(True)
                 viewer.write(binary.encode(binary.TEST, "0" * 16, (222, b"\0")) * 9_000)
                 leaves(town, viewer, way)
                 town.turns(40)
                 self.assertEqual([m.method for _, m in town.nodes["b" if name == "a" else "a"].hear()], [])
-                self.assertEqual((len(town.director.open), len(town.director.controller.plays)), (0, 0))
+                self.assertEqual((len(town.director.open_requests), len(town.director.controller.plays)), (0, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -3,9 +3,9 @@
 import socket
 import unittest
 
-from laddergw.platform import assignment as assignments
+from laddergw.platform import configuration as configurations
 from laddergw.signalling import binary
-from tests.platform_town import answer, event, member, set_up
+from tests.platform_cluster import answer, event, member, set_up
 from tests.sockets_town import Town
 
 TOLD_AFTER_BREAK_MS, TOLD_AFTER_SILENCE_MS = 2_000.0, 4_000.0   # by then it counts as told: the platform's terms
@@ -120,7 +120,7 @@
         self.addCleanup(two.close)
         old.sendall(lines(self.event(2)))
         self.town.lies_there(self.town.director.follower.stream, len(lines(self.event(2))))
-        self.town.director.change(self.town.director.assignment._replace(changelog=two.getsockname()))
+        self.town.director.apply_configuration(self.town.director.configuration._replace(changelog=two.getsockname()))
         self.town.turns(3)
         self.assertEqual(self.told, [])
         old_log, self.town.log = self.town.log, two
@@ -142,11 +142,11 @@
         """What the file knows and was not heard yet is told once; a gap is left to the change log."""
         _, log = self.come(200)
         self.say(log, lines(self.event(2)))
-        mine = self.town.director.assignment
+        mine = self.town.director.configuration
 
         def known(*events):
             tree = {"seq": events[-1]["seq"], "results": list(events)}
-            self.town.director.change(mine._replace(known=assignments.changes.known(tree), last=tree["seq"]))
+            self.town.director.apply_configuration(mine._replace(known_events=configurations.changes.known(tree), last_event=tree["seq"]))
         known(self.event(1))
         self.assertEqual(self.told, [2])
         known(self.event(2), self.event(3))
@@ -170,7 +170,7 @@
         self.say(log, lines(self.event(2, phase="DELETED"), event(3, member("a", 1, since=1) | {"host_port": f"127.0.0.1:{port}"}),
                             event(4, member("b", 1, phase="DELETED"))))
         self.town.until(viewer.hear)
-        self.assertEqual(self.town.director.standing, {})
+        self.assertEqual(self.town.director.running_plays, {})
         self.pass_(2_000)                                          # (a rest after what it broke)
         viewer.write(set_up(2))
         self.assertEqual(self.town.come("b")[1].session, f"{2:016x}")       # node a, at the address that was b's
@@ -187,7 +187,7 @@
         line.close()                                               # its listener is the successor's from here on
         self.town.until(lambda: self.town.nodes["a"].hear() or len(self.town.nodes["a"].connections) > 1)
         self.say(log, lines(self.event(2, phase="DELETED"), event(3, member("c", 1, since=1) | {"host_port": f"127.0.0.1:{self.town.nodes['a'].port}"})))
-        self.assertEqual(self.town.director.standing, {})
+        self.assertEqual(self.town.director.running_plays, {})
         self.assertEqual([m.kind for m in self.town.until(viewer.hear)], [binary.RELEASE])
 
     def test_one_that_drips(self):
--- a/tests/test_orders_repeats.py
+++ b/tests/test_orders_repeats.py
@@ -3,7 +3,7 @@
 import unittest
 
 from laddergw.signalling import binary
-from tests.platform_town import TREE, answer, release, set_up
+from tests.platform_cluster import BASE_SETTINGS, answer, release, set_up
 from tests.sockets_town import Town
 
 WINDOW_MS, SHARE, TAKEN = 1_000.0, 0.1, 20
@@ -23,7 +23,7 @@
         """A short window: 20 plays taken at its start earn two further tries. One that is decided at its end, and leaves on a connection
         that comes up late, leaves when those plays are out of the window."""
         now = [10_000.0]
-        settings = json.loads(json.dumps(TREE)) | {"Rules": {"FreeResends": 0, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
+        settings = json.loads(json.dumps(BASE_SETTINGS)) | {"Rules": {"FreeResends": 0, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
         town = Town(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
         viewer, taken, sent = town.viewer(), [], []
         town.director.controller.fleet.nodes[2].rest = 1e12              # all go to a at first
@@ -33,7 +33,7 @@
             line.write(answer(message.session))
             town.until(viewer.hear)
             line.write(release(n, 16))
-            town.until(lambda: not town.director.standing)
+            town.until(lambda: not town.director.running_plays)
             taken.append(now[0])
         now[0] += WINDOW_MS - 30.0
         town.turns(3)
@@ -55,7 +55,7 @@
     def test_a_further_try_well_within_its_window_goes_out(self):
         """The same, decided early: it is sent, though its connection comes up late."""
         now = [10_000.0]
-        settings = json.loads(json.dumps(TREE)) | {"Rules": {"FreeResends": 1, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
+        settings = json.loads(json.dumps(BASE_SETTINGS)) | {"Rules": {"FreeResends": 1, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
         town = Town(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
         viewer = town.viewer()
         town.director.controller.fleet.nodes[2].rest = 1e12
@@ -93,7 +93,7 @@
 
     def test_a_connection_about_to_be_closed_as_idle_is_not_used(self):
         """The node closes idle connections after a stated time, and does so as a paid set-up is written: it would have failed."""
-        settings = json.loads(json.dumps(TREE))
+        settings = json.loads(json.dumps(BASE_SETTINGS))
         settings["Permissions"]["ConnIdle"] = 10_000_000
         for idle_ms, fresh in (9_000.0, False), (9_900.0, True):
             with self.subTest(idle_ms):
--- a/tests/test_orders_scarce.py
+++ b/tests/test_orders_scarce.py
@@ -6,7 +6,7 @@
 import unittest
 
 from laddergw.signalling import binary
-from tests.platform_town import answer, set_up
+from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
 AWAY, TEST = 42, binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -2,9 +2,9 @@
 import socket
 import unittest
 
-from laddergw.platform.director import HEAR_MS, PART_MS, STOP_LEAST_MS
+from laddergw.platform.director import ACKNOWLEDGE_WAIT_MS, CLOSE_WAIT_MS, MIN_STOP_MS
 from laddergw.signalling import binary
-from tests.platform_town import answer, set_up
+from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
 TEST = binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
@@ -24,13 +24,13 @@
 
     def in_the_last_turn(self, act):
         """Does something when all of the last turn's reading is over."""
-        leave, done = self.town.director.leave, []
+        leave, done = self.town.director.exit_when_acknowledged, []
 
         def last(latest):
             if not done:
                 done.append(act())
             return leave(latest)
-        self.town.director.leave = last
+        self.town.director.exit_when_acknowledged = last
 
     def causes(self, viewer, digits=1):
         return [(m.session[-digits:], m.parameters[binary.CAUSE][0]) for m in viewer.hear() if m.kind == binary.RELEASE]
@@ -46,7 +46,7 @@
             for _ in range(300):
                 late.append(self.town.viewer())
                 late[-1].write(set_up(3))
-        self.town.director.listener.most = 1000
+        self.town.director.listener.max_connections = 1000
         self.in_the_last_turn(act)
         self.town.director.stop()
         self.to_the_end()
@@ -90,8 +90,8 @@
         self.town.director.stop()
         viewer.write(set_up(2))
         self.town.turns(3)
-        part = self.town.director.part
-        self.town.director.part = lambda latest: (viewer.write(TEST * 5), part(latest))
+        part = self.town.director.exit_when_closed
+        self.town.director.exit_when_closed = lambda latest: (viewer.write(TEST * 5), part(latest))
         self.to_the_end()
         self.assertEqual((self.causes(viewer), viewer.ended), ([("2", AWAY)], "end"))
 
@@ -126,7 +126,7 @@
         while not stream.queued:
             stream.write(b"\0\x09\x06" + b"\0" * 8)      # progress, which means nothing
         self.town.director.stop()
-        self.assertLess(self.to_the_end(), 3_000 + 350 + HEAR_MS + PART_MS + 50)
+        self.assertLess(self.to_the_end(), 3_000 + 350 + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
         self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].hear()])
 
     def test_a_set_up_half_read_as_the_order_comes(self):
@@ -141,7 +141,7 @@
         self.town.turns(2)
         viewer.write(data[40:])
         self.assertEqual(self.town.until(lambda: self.causes(viewer)), [("2", AWAY)])
-        self.assertLess(self.to_the_end(), STOP_LEAST_MS + HEAR_MS + PART_MS + 50)
+        self.assertLess(self.to_the_end(), MIN_STOP_MS + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
         self.assertEqual((viewer.hear(), viewer.ended, other.hear(), other.ended), ([], "end", [], "end"))
 
     # Guards against a stop that begins to count when a process that stood still hears of it, and is killed before its end.
@@ -167,11 +167,11 @@
                 self.setUp()
                 director = self.town.director
                 for order in orders:
-                    director.stop() if order == "stop" else director.change(director.assignment._replace(changelog=("127.0.0.1", 9)))
+                    director.stop() if order == "stop" else director.apply_configuration(director.configuration._replace(changelog=("127.0.0.1", 9)))
                     self.now[0] += 100.0
                     self.town.turns(2)
                 took = self.to_the_end()
-                self.assertLess(abs(took - (STOP_LEAST_MS - 100.0 * sum(1 for _ in orders[orders.index("stop"):]))), PART_MS + 50)
+                self.assertLess(abs(took - (MIN_STOP_MS - 100.0 * sum(1 for _ in orders[orders.index("stop"):]))), CLOSE_WAIT_MS + 50)
 
     def test_a_node_that_answers_as_its_set_up_is_given_up(self):
         """Its answer lies unread as we give the set-up up: it is told so, and no reset takes that from it."""
@@ -198,7 +198,7 @@
         town = Town(self)
         viewer = town.viewer()
         viewer.write(set_up(2, product="none") + b"\xff" * 50)
-        town.director.listener.admission.heard, heard = lambda *what: (heard(*what), viewer.write(b"\xff" * 50)), town.director.listener.admission.heard
+        town.director.listener.admission.handle_message, heard = lambda *what: (heard(*what), viewer.write(b"\xff" * 50)), town.director.listener.admission.handle_message
         town.turns()
         found = viewer.hear()
         self.assertEqual(([m.parameters[binary.CAUSE][0] for m in found], viewer.ended), ([95], "end"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,27 +6,27 @@
 
 from laddergw import interface as face, settings
 from laddergw.platform import allocation as life
-from laddergw.platform import assignment as assignments
+from laddergw.platform import configuration as configurations
 from laddergw.platform import requests
 from laddergw.signalling import binary
 from laddergw.signalling import rtsp
 from tests.helpers import TraceTest
-from tests.platform_town import TREE, member, event, tree, set_up, Town
+from tests.platform_cluster import BASE_SETTINGS, member, event, configuration_file, set_up, PlatformCluster
 
 
 class Directing(TraceTest):
     def test_change_log(self):
-        town = Town(nodes=("a", "b", "c"))
+        town = PlatformCluster(nodes=("a", "b", "c"))
         town.run(20)
         c = member("c", 1, cell=2)
         town.lines.append("# told twice, cut in the middle, silent: begun again from the last event, each taken once")
-        town.log_side.tell(event(2, c), event(2, c), {"seq": 2})
+        town.log_connection.tell(event(2, c), event(2, c), {"seq": 2})
         town.run(20)
-        town.log_side.stream.write(b'{"seq":3,"fleet":{"rev')
+        town.log_connection.stream.write(b'{"seq":3,"fleet":{"rev')
         town.run(1)
-        town.log_side.stream.abort()
+        town.log_connection.stream.abort()
         town.run(300)
-        town.log_side.tell(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
+        town.log_connection.tell(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
         town.run(20)
         self.assertEqual({n.id: (n.gone) for n in town.director.nodes.by_id.values()}, {"a": False, "b": True, "c": False})
         town.lines.append("# all go to the one that is left")
@@ -35,20 +35,20 @@
         town.run(50)
         town.lines.append("# silence, then a gap")
         town.run(2600)
-        town.log_side.tell(event(6, member("a", 1)))
+        town.log_connection.tell(event(6, member("a", 1)))
         town.run(300)
         self.same("platform_log", town)
 
     def test_a_list_of_1024_nodes(self):
         """Nothing is left out, half of them change in one event, and a play finds its holder among them."""
         names = [f"n{i:04}" for i in range(1024)]
-        terms = json.loads(json.dumps(TREE))
+        terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"] |= {"Positions": 1024, "RackKb": 9e6}
         terms["Siblings"] = 1024
-        town = Town(nodes=("n0007",), settings=terms, known={"seq": 1, "results": [event(1, *(member(n, 1, cell=i) for i, n in enumerate(names)), whole=True)]})
+        town = PlatformCluster(nodes=("n0007",), settings=terms, known={"seq": 1, "results": [event(1, *(member(n, 1, cell=i) for i, n in enumerate(names)), whole=True)]})
         self.assertEqual(sum(node.state == face.READY for node in town.director.controller.fleet.nodes.values()), 1024)
         town.run(20)
-        town.log_side.tell(event(2, *(member(n, 1, "DELETED", cell=i) for i, n in enumerate(names) if i % 2 == 0),
+        town.log_connection.tell(event(2, *(member(n, 1, "DELETED", cell=i) for i, n in enumerate(names) if i % 2 == 0),
                                  *(member(f"s{i:04}", 1, cell=i, since=1) for i in range(0, 1024, 2))))
         town.run(20)
         self.assertEqual(sum(node.state == face.READY for node in town.director.controller.fleet.nodes.values()), 1024)
@@ -60,24 +60,24 @@
 
     def test_new_configuration(self):
         """Another change log and other terms hold from then on; a bad file is refused whole."""
-        town = Town()
+        town = PlatformCluster()
         town.hosts["log two"] = town.world.host("log two")
         town.hosts["log two"].listen(("log two", 1), town.log_came)
         town.run(20)
-        terms = json.loads(json.dumps(TREE))
+        terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"]["SeenAfter"] = 700_000
-        town.director.change(assignments.of(tree(changelog="log two:1", settings=terms)))
+        town.director.apply_configuration(configurations.parse(configuration_file(changelog="log two:1", settings=terms)))
         town.run(200)
         self.assertEqual(town.director.controller.fleet.d.seen_after_ms, 700.0)
         self.assertEqual(sum("log gets since 1" in line for line in town.lines), 2)
-        for bad in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": TREE | {"Siblings": "many"}}, {"seed": "zz"}):
-            with self.subTest(bad), self.assertRaises(assignments.AssignmentError):
-                assignments.of(tree(**bad))
-        self.assertRaises(assignments.AssignmentError, assignments.of, [])
+        for bad in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": BASE_SETTINGS | {"Siblings": "many"}}, {"seed": "zz"}):
+            with self.subTest(bad), self.assertRaises(configurations.ConfigurationError):
+                configurations.parse(configuration_file(**bad))
+        self.assertRaises(configurations.ConfigurationError, configurations.parse, [])
 
     def test_stop(self):
         """Takes nothing new, answers what is open, ends when nothing stands, or past the longest time limit."""
-        town = Town()
+        town = PlatformCluster()
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
         town.run(50)
@@ -91,7 +91,7 @@
     def test_releases_at_the_end_are_heard(self):
         """Seen on sockets: the process ended with what viewers had said unread, and the resets took 60 releases along."""
         for hears in True, False:
-            town = Town()
+            town = PlatformCluster()
             viewer = town.viewer()
             viewer.stream.write(set_up(1))
             town.run(50)
@@ -108,7 +108,7 @@
 
     def test_module_fails(self):
         """All that is open is answered, and all that stands is released."""
-        town = Town()
+        town = PlatformCluster()
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
         town.run(50)
@@ -119,9 +119,9 @@
         def fails(*_):
             raise RuntimeError("planted")
         town.director.controller.note = fails
-        node = next(iter(town.director.standing.values())).node.id
+        node = next(iter(town.director.running_plays.values())).node.id
         with self.assertLogs("laddergw.hosting", "ERROR"):
-            town.sides[f"node {node}"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
+            town.connections[f"node {node}"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
             town.run(50)
         self.assertTrue(any("viewer gets 12 2 cause 41" in line for line in town.lines), town.lines)
         self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines), town.lines)
@@ -141,7 +141,7 @@
         self.assertEqual([life.answer(s) for s in (200, 453, 599)], [life.THERE, life.FULL, life.ERROR])
 
     def test_one_decoder_for_both_ways(self):
-        values = settings.flatten(TREE)
+        values = settings.flatten(BASE_SETTINGS)
         self.assertEqual((values["Grades.count"], values["Grades.1.Name"], values["Specifics.LadderKb"], values["Permissions.Probes"], values["Zones"]),
                          ("2", "paid", "100.0,200.0,400.0", "false", "east,west_wing"))
         lines = "\n".join(f"{key}={value}" for key, value in values.items())
@@ -149,8 +149,8 @@
 
     def test_requests(self):
         found = requests.read(binary.Message(1, f"{7:016x}", {180: b"paid", 183: b"1500", 192: b"7f3a9c21e0b4d655", 210: b"8200.0", 195: b"home:1;copies:3;top:2;again:1", 225: b"v"}),
-                              assignments.of(tree()))
-        self.assertEqual(found.ask, face.Asked(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
+                              configurations.parse(configuration_file()))
+        self.assertEqual(found.play_request, face.Asked(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
 
     def test_imports_only_what_it_needs(self):
         """Start time and memory: nothing of other fronts, no framework, no threads of its own."""
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -7,25 +7,25 @@
 from laddergw.signalling import binary
 from laddergw.signalling import changes
 from tests.helpers import TraceTest
-from tests.platform_town import member, event, set_up, Town, message, answer, release, Telling, Silent, Once
+from tests.platform_cluster import member, event, set_up, PlatformCluster, message, answer, release, ReleasingNode, DiscardedLines, FirstCallOnly
 
 
 class MediaNodes(TraceTest):
     def test_ends_of_nodes(self):
-        town = Town()
+        town = PlatformCluster()
         town.lines.append("# handed over before the list's nodes have said a word, whatever patience it names; refused from nowhere")
         viewer = town.viewer()
         viewer.stream.write(set_up(1, patience="4294967", figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:z"))
         town.run(20)
         town.lines.append("# its connections are reset, the node lives: the play stands, and its release comes on another")
-        town.sides["node a"].stream.abort()
+        town.connections["node a"].stream.abort()
         town.run(700)
-        town.sides["node a"].stream.write(release(1, 41))
+        town.connections["node a"].stream.write(release(1, 41))
         town.run(20)
         told = town.lines
         for number, said, end, ms in ((3, "the process dies: its port refuses, its plays are over", "kill", 100),
                                       (4, "the machine vanishes: tests and connections are not answered", "vanish", 5000)):
-            town = Town()
+            town = PlatformCluster()
             told.append("# " + said)
             town.lines, viewer = told, town.viewer()
             viewer.stream.write(set_up(number))
@@ -33,7 +33,7 @@
             getattr(town.hosts["a"], end)()
             town.run(ms)
         self.same("platform_ends", town)
-        self.assertEqual(len(town.director.standing), 0)
+        self.assertEqual(len(town.director.running_plays), 0)
 
     def test_bad_nodes(self):
         """Spoilt answers end their allocation and their connection; a paid play then fails, another goes on elsewhere."""
@@ -43,10 +43,10 @@
         for product, wanted in (("guide", "gets 9 1"), ("paid", "gets 12 1 cause 41")):
             for name, act in spoilt.items():
                 with self.subTest(name, product=product):
-                    town = Town()
+                    town = PlatformCluster()
                     town.answers = {"a": act}
                     if product == "guide":               # the one that is tried first answers badly
-                        town.answers = {"a": Once(act), "b": 200}
+                        town.answers = {"a": FirstCallOnly(act), "b": 200}
                     viewer = town.viewer()
                     viewer.stream.write(set_up(1, product=product))
                     town.run(1600)
@@ -56,7 +56,7 @@
 
     def test_more_than_belongs(self):
         """An answer under an unknown session ahead, and a second copy: one answer goes to the viewer."""
-        town = Town()
+        town = PlatformCluster()
         town.answers["a"] = lambda s, m: s.stream.write(answer("f" * 16) + 2 * answer(m.session))
         town.answers["b"] = town.answers["a"]
         town.viewer().stream.write(set_up(1))
@@ -65,32 +65,32 @@
 
     def test_what_we_close_is_opened_again_while_plays_stand(self):
         """A node's release may be on its way on a connection that we close: it comes again on the next one that opens."""
-        town = Town(nodes=("a",))
+        town = PlatformCluster(nodes=("a",))
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
         town.run(50)
         town.answers = {"a": 0}
         viewer.stream.write(set_up(2, product="paid", patience="300"))
-        before = town.sides["node a"]
+        before = town.connections["node a"]
         town.run(290)
-        town.sides["node a"].stream.write(release(1, 16))       # crosses the close at the time-out, or comes on the new one
+        town.connections["node a"].stream.write(release(1, 16))       # crosses the close at the time-out, or comes on the new one
         town.run(100)
-        self.assertIsNot(town.sides["node a"], before)
+        self.assertIsNot(town.connections["node a"], before)
         self.assertFalse(before.open)
-        town.sides["node a"].stream.write(release(1, 16))
+        town.connections["node a"].stream.write(release(1, 16))
         town.run(50)
         self.assertEqual(sum("viewer gets 12 1 cause 16" in line for line in town.lines), 1)
 
     def test_drain_takes_back_what_has_not_left(self):
         """A set-up that waits for its connection when its node drains goes elsewhere: not a byte of it reaches the node."""
-        town = Town()
+        town = PlatformCluster()
         town.hosts["a"].silent = town.hosts["b"].silent = True     # connections do not come up
         town.viewer().stream.write(set_up(1))
         town.run(5)
-        first = next(iter(town.director.open.values())).node.id
+        first = next(iter(town.director.open_requests.values())).node.id
         other = "b" if first == "a" else "a"
         town.hosts[other].silent = False
-        town.log_side.tell(event(2, member(first, 1, "DRAINING", cell="ab".index(first))))
+        town.log_connection.tell(event(2, member(first, 1, "DRAINING", cell="ab".index(first))))
         town.run(50)
         self.assertTrue(any(f"node {other} gets SETUP 1" in line for line in town.lines), town.lines)
         self.assertFalse(any(f"node {first} gets" in line for line in town.lines))
@@ -101,24 +101,24 @@
             town.director.listing.listed(changes.event_of(event(2, member("a", 1, "DRAINING"))))
 
         def late(town):
-            town.director.allocating.late(town.director.open[f"{1:016x}"])
+            town.director.allocating.late(town.director.open_requests[f"{1:016x}"])
 
         def leave(town):
-            town.director.admission.viewer_ends(town.director_side(), f"{1:016x}")
+            town.director.admission.handle_release(town.director_side(), f"{1:016x}")
 
         def stop(town):
-            town.director.end_all()
+            town.director.end_all_plays()
         for act in drain, late, leave, stop:
             for shared in False, True:
                 with self.subTest(act.__name__, shared=shared):
-                    town = Town()
+                    town = PlatformCluster()
                     town.director.nodes.most = 1 if shared else 22
                     town.director.controller.fleet.nodes[2].rest = 1e12      # node b: all go to a
                     town.viewer()
-                    town.director.admission.heard(town.director_side(), message(set_up(1, product="paid")))
+                    town.director.admission.handle_message(town.director_side(), message(set_up(1, product="paid")))
                     if shared:
-                        town.director.admission.heard(town.director_side(), message(set_up(2, product="paid")))
-                    town.director.turn_ends()
+                        town.director.admission.handle_message(town.director_side(), message(set_up(2, product="paid")))
+                    town.director.finish_turn()
                     line, = town.director.nodes.by_id["a"].connections
                     self.assertEqual((line.up, len(line.plays)), (False, 1 + shared))
                     town.director.controller.fleet.nodes[2].rest, town.director.nodes.most = 0.0, 22
@@ -133,28 +133,28 @@
     def test_few_descriptors_and_many_nodes(self):
         """400 nodes hold a play each at a director with 256 descriptors: connections take turns, each node is heard in time."""
         names = [f"n{i:03}" for i in range(400)]
-        town = Town(nodes=names, limits={"sockets": 256}, known={"seq": 1, "results": [event(1, *(member(name, 1, cell=i % 3) for i, name in enumerate(names)), whole=True)]})
+        town = PlatformCluster(nodes=names, limits={"sockets": 256}, known={"seq": 1, "results": [event(1, *(member(name, 1, cell=i % 3) for i, name in enumerate(names)), whole=True)]})
         town.answers, said = dict.fromkeys("0123456789", 200), {}
         front = town.viewer()
-        town.lines = Silent()
+        town.lines = DiscardedLines()
         for i, name in enumerate(names):
-            town.director.admission.heard(town.director_side(), message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
+            town.director.admission.handle_message(town.director_side(), message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
             town.hosts[name].at(town.world.now + 3000, lambda name=name: said.setdefault(name, town.world.now))
             # A node says what it has to tell on an open connection, and once more on the next that opens
             came = town.hosts[name].listeners[0]
-            came.accept = lambda stream, name=name, i=i: Telling(town, name, said, release(i + 1, 16))
+            came.accept = lambda stream, name=name, i=i: ReleasingNode(town, name, said, release(i + 1, 16))
         most, latest, taken = 0, {}, town.director.controller.ended
         town.director.controller.ended = lambda now, play, *more: (latest.setdefault(names[play - 1], now), taken(now, play, *more))[1]
         for _ in range(120):
             town.run(100)
             most = max(most, town.hosts["director"].open_streams)
         self.assertLessEqual(most, 256)
-        self.assertEqual(len(town.director.standing), 0)
+        self.assertEqual(len(town.director.running_plays), 0)
         self.assertLess(max(latest[name] - said[name] for name in names), 8000 - 1000)
         self.assertTrue(front.open)
 
     def test_no_descriptor_tells_nothing_of_a_node(self):
-        town = Town(nodes=("a",))
+        town = PlatformCluster(nodes=("a",))
         town.viewer().stream.write(set_up(1))
         town.run(50)
         node = town.director.nodes.by_id["a"]
@@ -162,15 +162,15 @@
             node.dial()
             line = node.connections[-1]
             line.closed(line.stream, SHORT)
-        self.assertEqual((node.silent, len(town.director.standing)), (0, 1))
+        self.assertEqual((node.silent, len(town.director.running_plays)), (0, 1))
 
     def test_what_has_left_in_part_is_cut_off(self):
-        town = Town(nodes=("a",))
+        town = PlatformCluster(nodes=("a",))
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
         town.run(50)
         line, = town.director.nodes.by_id["a"].connections
-        town.sides["node a"].stream.pause()
+        town.connections["node a"].stream.pause()
         line.stream.write(b"x" * (WINDOW - 100))
         viewer.stream.write(set_up(2, product="paid"))
         town.run(20)
@@ -178,12 +178,12 @@
         viewer.stream.write(binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10")))
         town.run(20)
         self.assertEqual((line.stream.alive, len(town.director.nodes.by_id["a"].connections)), (False, 1))
-        self.assertEqual(len(town.director.standing), 1)
+        self.assertEqual(len(town.director.running_plays), 1)
 
     def test_an_answer_to_what_has_not_left(self):
         """It is no answer: taken as one, the rest of the set-up would leave after its end was told."""
         for said in answer(f"{1:016x}", 453), release(1, 41):
-            town = Town(nodes=("a",))
+            town = PlatformCluster(nodes=("a",))
             town.hosts["a"].silent = True
             town.viewer().stream.write(set_up(1, product="paid"))
             town.run(20)
@@ -194,19 +194,19 @@
 
     def test_new_node_at_an_old_address(self):
         """Connections belong to ids: nothing of the one that has gone goes to its successor."""
-        town = Town()
+        town = PlatformCluster()
         town.viewer().stream.write(set_up(1))
         town.run(50)
-        old = next(iter(town.director.standing.values())).node
+        old = next(iter(town.director.running_plays.values())).node
         successor = member("new", 1) | {"host_port": f"{old.id}:1"}
-        town.log_side.tell(event(2, member(old.id, 1, "DELETED"), successor))
+        town.log_connection.tell(event(2, member(old.id, 1, "DELETED"), successor))
         town.run(50)
         new = town.director.nodes.by_id["new"]
         self.assertNotEqual(new.number, old.number)
         self.assertEqual(len(new.connections), 0)
-        town.sides[f"node {old.id}"].stream.abort()
+        town.connections[f"node {old.id}"].stream.abort()
         town.run(600)
-        self.assertEqual(len(town.director.standing), 0)
+        self.assertEqual(len(town.director.running_plays), 0)
         self.assertNotIn(old.id, town.director.nodes.by_id)
 
 if __name__ == "__main__":
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -13,7 +13,7 @@
 import unittest
 
 from laddergw.lab.soak.ports import held_port
-from tests.platform_town import tree
+from tests.platform_cluster import configuration_file
 
 ROOT = pathlib.Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
@@ -52,7 +52,7 @@
     def write(self, log_port, **changes):
         """A new file in place of the old one, whole at once."""
         beside = self.path.with_suffix(".new")
-        beside.write_text(json.dumps(tree(name=self.name, listen=f"127.0.0.1:{self.port}", changelog=f"127.0.0.1:{log_port}",
+        beside.write_text(json.dumps(configuration_file(name=self.name, listen=f"127.0.0.1:{self.port}", changelog=f"127.0.0.1:{log_port}",
                                           known={"seq": 1, "results": []}) | changes))
         beside.rename(self.path)
 
@@ -147,7 +147,7 @@
             self.assertEqual(running.process.returncode, 0, running.log)
 
     def test_a_file_with_a_fault(self):
-        bad = {"settings": tree()["settings"] | {"Siblings": "many"}}
+        bad = {"settings": configuration_file()["settings"] | {"Siblings": "many"}}
         wrong = self.start("wrong")
         wrong.process.kill()
         wrong.process.wait()
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -5,7 +5,7 @@
 from laddergw.signalling import changes
 from laddergw.signalling import rtsp
 from tests.helpers import TraceTest
-from tests.platform_town import LISTEN, set_up, Town, answer, release, Silent
+from tests.platform_cluster import LISTEN, set_up, PlatformCluster, answer, release, DiscardedLines
 
 
 class Viewers(TraceTest):
@@ -13,7 +13,7 @@
         told = []
 
         def scene(text, *asked, wait=50.0, **answers):
-            town, told[len(told):] = Town(), ["# " + text]
+            town, told[len(told):] = PlatformCluster(), ["# " + text]
             town.lines, town.answers = told, answers
             viewer = town.viewer()
             for data in asked:
@@ -22,30 +22,30 @@
             return town, viewer
         town, viewer = scene("a test, then a play to its end; the node's description goes through",
                              binary.encode(binary.TEST, "0" * 16, (222, b"\0")) + set_up(1))
-        town.sides["node a"].stream.write(release(1, 16))
+        town.connections["node a"].stream.write(release(1, 16))
         town.run(50)
         scene("the node is full, the other takes it", set_up(1), a=453)
         town, viewer = scene("notes on a short link step it down; then the viewer leaves", set_up(1))
         for kind, figure in ("level", "2"), ("port", "9.5"), ("got", "0.5"), ("other", "1"), ("port", "nan"):
-            town.sides["node a"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", kind), ("Figure", figure))))
+            town.connections["node a"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", kind), ("Figure", figure))))
             town.run(100)
         viewer.stream.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
         town.run(50)
         town, viewer = scene("its end as left by its viewer is told to it all the same: our answer may still be on its way", set_up(1))
-        town.sides["node a"].stream.write(release(1, 31))
+        town.connections["node a"].stream.write(release(1, 31))
         town.run(50)
         scene("no answer: given up at the module's time-out, then elsewhere", set_up(1, patience="3000"), wait=1200, a=0)
         scene("a paid play without an answer is not sent again; it fails in time", set_up(1, product="paid", patience="700"), wait=1200, a=0)
         scene("nothing answers: declined when there is no other node, with a time to come back", set_up(1, patience="3000"), wait=2500, a=0, b=0)
         town, viewer = scene("the viewer gives up, a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
-        town.sides["node a"].stream.write(answer(f"{1:016x}"))
+        town.connections["node a"].stream.write(answer(f"{1:016x}"))
         town.run(50)
         self.same("platform_ways", town)
-        self.assertEqual((len(town.director.open), len(town.director.standing), len(town.director.controller.plays)), (0, 0, 0))
+        self.assertEqual((len(town.director.open_requests), len(town.director.running_plays), len(town.director.controller.plays)), (0, 0, 0))
 
     def test_bad_viewers(self):
         """Each has its refusal or its close within 3 s; the usual viewer's play beside them is not touched."""
-        town = Town()
+        town = PlatformCluster()
         good = town.viewer("good")
         good.stream.write(set_up(1))
         town.run(30)
@@ -65,23 +65,23 @@
 
     def test_a_release_is_told_until_it_is_heard(self):
         """Seen on sockets: a release went on a connection that ended with it unread, and its viewer never knew."""
-        town = Town()
+        town = PlatformCluster()
         first = town.viewer("first")
         first.stream.write(set_up(1) + set_up(2) + set_up(3))
         town.run(50)
         town.viewer("second").stream.write(set_up(4))
         town.run(50)
         town.lines.append("# both go on the first; one is heard; then it ends: the other goes again, on a proven one")
-        side = next(iter(town.sides[name] for name in ("node a", "node b") if name in town.sides))
+        side = next(iter(town.connections[name] for name in ("node a", "node b") if name in town.connections))
         for session in 1, 2:
-            town.sides[f"node {town.director.standing[f'{session:016x}'].node.id}"].stream.write(release(session, 16))
+            town.connections[f"node {town.director.running_plays[f'{session:016x}'].node.id}"].stream.write(release(session, 16))
         town.run(10)
         first.stream.write(binary.encode(binary.HEARD, f"{2:016x}"))
         town.run(10)
         first.stream.abort()
         town.run(10)
         town.lines.append("# no connection is left: it waits for the next that asks for a play, not for one that says nothing")
-        town.sides["second"].stream.abort()
+        town.connections["second"].stream.abort()
         town.run(10)
         side.stream.write(release(3, 16))
         town.run(10)
@@ -95,8 +95,8 @@
 
     def test_floods(self):
         """Hundreds of silent connections, and hundreds of set-ups on one: bounded, and others are served."""
-        town = Town()
-        town.lines = Silent()
+        town = PlatformCluster()
+        town.lines = DiscardedLines()
         for n in range(300):
             town.viewer(f"silent {n}")
         self.assertLessEqual(len(town.director.listener.viewers), 32)
@@ -104,7 +104,7 @@
         town.answers = {"a": 0, "b": 0}
         flood.stream.write(b"".join(set_up(1000 + n) for n in range(300)))
         town.run(20)
-        self.assertLessEqual(len(town.director.open), 64)
+        self.assertLessEqual(len(town.director.open_requests), 64)
         town.answers = {}
         town.lines = []
         town.viewer("good").stream.write(set_up(5))
@@ -114,13 +114,13 @@
 
     def test_a_new_connection_is_not_closed_for_others(self):
         """Seen on sockets: of two that came together the first was closed for the second, its set-up unread."""
-        town = Town()
+        town = PlatformCluster()
         for n in range(32):
             viewer = town.viewer(f"stayed {n}")
             viewer.stream.write(set_up(100 + n, title=f"{n:016x}", hint="100.0"))
             town.run(10)
-            node = town.director.standing[f"{100 + n:016x}"].node.id
-            town.sides[f"node {node}"].stream.write(release(100 + n, 16))
+            node = town.director.running_plays[f"{100 + n:016x}"].node.id
+            town.connections[f"node {node}"].stream.write(release(100 + n, 16))
             town.run(50)
         town.lines.clear()
         ones = [town.side(name, binary.Reader()) for name in ("one", "two", "three")]
@@ -132,41 +132,41 @@
 
     # Guards against passing on the answer of a session that its node calls left in the same breath: no client takes it for a final one.
     def test_a_play_that_is_left_as_it_begins_is_over_for_its_viewer(self):
-        town = Town(nodes=("a",))
+        town = PlatformCluster(nodes=("a",))
         town.answers["a"] = lambda s, m: s.stream.write(answer(m.session) + release(int(m.session, 16), 31))
         town.viewer().stream.write(set_up(1))
         town.run(50)
         self.assertEqual([line.split(maxsplit=1)[1] for line in town.lines if "viewer gets" in line],
                          ["viewer gets 12 1 cause 41"])
-        self.assertEqual((len(town.director.standing), town.director.controller.plays), (0, {}))
+        self.assertEqual((len(town.director.running_plays), town.director.controller.plays), (0, {}))
         self.assertFalse(any(node.plays for node in town.director.controller.fleet.nodes.values()))
 
     # Guards against ending, with a cause that is no final answer, what its viewer left while our answer was on its way.
     def test_a_play_that_is_left_while_its_answer_is_on_its_way_ends_with_a_final_answer(self):
         for after_ms, cause in (1, 41), (18, 41), (40, 16), (300, 16):
             with self.subTest(after_ms=after_ms):
-                town = Town(nodes=("a",))
+                town = PlatformCluster(nodes=("a",))
                 town.viewer().stream.write(set_up(1))
                 town.run(20)
-                stood_at = town.director.standing[f"{1:016x}"].stood_at
+                stood_at = town.director.running_plays[f"{1:016x}"].answered_at
                 town.run(stood_at + after_ms - town.world.now)
-                town.sides["node a"].stream.write(release(1, 31))
+                town.connections["node a"].stream.write(release(1, 31))
                 town.run(20)
                 gets = [line.split(maxsplit=1)[1] for line in town.lines if "viewer gets" in line]
                 self.assertEqual(gets[1:], [f"viewer gets 12 1 cause {cause}"])
 
     def test_a_play_that_ends_as_it_begins_is_played_and_over_for_its_viewer(self):
-        town = Town(nodes=("a",))
+        town = PlatformCluster(nodes=("a",))
         town.answers["a"] = lambda s, m: s.stream.write(answer(m.session) + release(int(m.session, 16), 16))
         town.viewer().stream.write(set_up(1))
         town.run(50)
         self.assertEqual([line.split(maxsplit=1)[1] for line in town.lines if "viewer gets" in line],
                          ["viewer gets 9 1 description 'v=0\\r\\n'", "viewer gets 12 1 cause 16"])
-        self.assertEqual(len(town.director.standing), 0)
+        self.assertEqual(len(town.director.running_plays), 0)
 
     def test_a_tester_is_no_way_to_viewers(self):
         """Seen on sockets: a release went on the connection of a front's test, where nobody heard it."""
-        town = Town()
+        town = PlatformCluster()
         first, second = town.viewer("first"), town.viewer("second")
         for side, session in (first, 1), (second, 2):
             side.stream.write(set_up(session))
@@ -175,15 +175,15 @@
         town.run(20)
         first.stream.abort()
         town.run(20)
-        node = town.director.standing[f"{1:016x}"].node.id
-        town.sides[f"node {node}"].stream.write(release(1, 16))
+        node = town.director.running_plays[f"{1:016x}"].node.id
+        town.connections[f"node {node}"].stream.write(release(1, 16))
         town.run(20)
         self.assertEqual([line.split()[1] for line in town.lines if "gets 12 1" in line], ["second"])
 
     def test_who_asked_is_not_closed_as_of_no_use(self):
         """Seen on sockets: connections that had handed plays over were closed 2 s later, all at once; a set-up that came just then
         was lost, and so was a release at a director that was left without a connection."""
-        town = Town()
+        town = PlatformCluster()
         front, other = town.viewer("front"), town.viewer("other")
         front.stream.write(set_up(1, figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:a"))
         town.run(20)
@@ -193,12 +193,12 @@
         town.run(2600)
         self.assertTrue(any("other gets 12 3 cause 42" in line for line in town.lines), town.lines)
         self.assertFalse(any("closed" in line for line in town.lines), town.lines)
-        side = town.sides["node a"]
+        side = town.connections["node a"]
         side.stream.write(release(1, 16))
         town.run(20)
         front.stream.abort()
         town.run(20)
-        town.sides["node a"].stream.write(release(2, 16))
+        town.connections["node a"].stream.write(release(2, 16))
         town.run(20)
         self.assertEqual([line.split(maxsplit=1)[1] for line in town.lines if " 12 1 " in line or " 12 2 " in line],
                          ["front gets 12 1 cause 16", "other gets 12 1 cause 16", "other gets 12 2 cause 16"])
