--- a/benchmarks/broken_fleets.py
+++ b/benchmarks/broken_fleets.py
@@ -15,7 +15,7 @@
     "no ramp": "from laddergw.control import holders; holders.Holders.turn = lambda self, now, node: True",
     "deaf to leaving": "from laddergw.platform import admission, viewers; viewers.Viewer.closed = lambda self, stream, why: self.listener.leave(self); "
                        "admission.Admission.given_up = lambda self, ply: None",
-    "sends to who drains": "from laddergw.platform import listing as d; d.STATES = dict(d.STATES, DRAINING='ready')",
+    "sends to who drains": "from laddergw.platform import fleet_list as d; d.STATES = dict(d.STATES, DRAINING='ready')",
     "ends at once": "from laddergw.platform import director as d; d.Director.stop = lambda self: self.loop.stop()",
     "sends paid plays again": "from laddergw.control import plays; plays.Allocations.send_back = lambda self, now, ply, node, outcome: setattr(ply, 'out', None)",
     "does not end": "from laddergw.platform import director as d; d.Director.stop = lambda self: None",
--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -72,7 +72,8 @@
         "budget",
     ),
     "fails in its calls": Broken(
-        "from laddergw.platform import following as f; f.Follower.take = lambda *args: 1 / 0",
+        "from laddergw.platform import change_log as f; "
+        "f.ChangeLogClient.handle_event = lambda *args: 1 / 0",
         "crash",
     ),
 }
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -109,7 +109,7 @@
             if play.viewer.stream.more:
                 self.fresh.append(play)
             elif play.untold is not None:
-                self.director.allocating.ending.tell(play)
+                self.director.allocator.ending.tell(play)
             else:
                 ask = play.request.ask._replace(
                     wait_ms=max(0.0, play.limit - self.director.loop.now)
@@ -130,7 +130,7 @@
         if session not in self.director.standing:
             self.director.count("handed over")
             log.debug("%s: handed over on %s, plays at node %s", session, viewer, node.id)
-            play = self.director.standing[session] = node.held[session] = Play(
+            play = self.director.standing[session] = node.running_plays[session] = Play(
                 request, session, viewer
             )
             play.node, play.number, play.stands = node, 0, True
@@ -140,7 +140,7 @@
                 request.ask,
                 node.number,
             )
-            if not node.connections and self.director.nodes.room(of_held=False):
+            if not node.connections and self.director.nodes.make_room(include_serving=False):
                 node.dial()  # what the node tells of it comes on any connection
         return None
 
@@ -152,12 +152,12 @@
             session
         ):  # it gave up as our answer left: what stood is released to it too
             log.debug("%s.%d: ended by its viewer on %s", play.session, play.number, viewer)
-            self.director.allocating.release(play)
+            self.director.allocator.release(play)
             self.director.listener.send(
                 viewer, binary.RELEASE, session, (binary.CAUSE, bytes([ENDED]))
             )
             self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
-            self.director.allocating.ending.ended(play, allocation.HELD, allocation.GIVEN_UP)
+            self.director.allocator.ending.ended(play, allocation.RUNNING, allocation.CANCELLED)
         elif (play := self.director.open.get(session)) and play.viewer is viewer:
             return self.given_up(play)
         elif (
@@ -179,7 +179,7 @@
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
         self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
-        self.director.allocating.give_up(play)
+        self.director.allocator.cancel(play)
 
     def overdue(self, play: Play) -> None:
         """The last guard of the one answer: whatever holds it up, it is failed in time."""
@@ -206,7 +206,7 @@
         )
         self.director.count("declined" if cause == DECLINED else "failed")
         play.viewer.refuse(play.session, cause, *more)
-        self.director.allocating.give_up(play)
+        self.director.allocator.cancel(play)
 
     def stand(self, play: Play, description: bytes) -> None:
         """The play stands: its viewer gets the description that its node gave."""
@@ -214,7 +214,7 @@
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
         play.stands, play.stood_at = True, self.director.loop.now
-        self.director.standing[play.session] = play.node.held[play.session] = play
+        self.director.standing[play.session] = play.node.running_plays[play.session] = play
         play.viewer.write(binary.ANSWER, play.session, (binary.DESCRIPTION, description))
         self.director.listener.prove(play.viewer)
         log.debug("%s.%d: plays, answered on %s", play.session, play.number, play.viewer)
--- a/laddergw/platform/allocation.py
+++ b/laddergw/platform/allocation.py
@@ -1,30 +1,30 @@
 """An allocation's life on the platform: a table from what is seen on the sockets to its outcome. No
 I/O.
 
-UNSENT: not all bytes of its set-up have left, so a node can make nothing of it. OUT: all have.
-HELD: it stands.
+UNSENT: not all bytes of its set-up have left, so a node can make nothing of it. SENT: all have.
+RUNNING: it stands.
 """
 
 from laddergw import interface
 
-UNSENT, OUT, HELD = "unsent", "out", "held"
+UNSENT, SENT, RUNNING = "unsent", "out", "held"
 # What is seen: answers to the set-up, ends told by the node, and what becomes of its connection or
 # its wait.
 (
-    THERE,
+    ACCEPTED,
     FULL,
     ERROR,
-    MOOT,
+    SESSION_UNKNOWN,
     RESET,
     ENDED,
-    LEFT,
-    BROKEN_OFF,
-    CUT,
-    SPOILT,
-    LATE,
-    TAKEN_BACK,
-    GIVEN_UP,
-    LOST,
+    VIEWER_LEFT,
+    INTERRUPTED,
+    CONNECTION_LOST,
+    MALFORMED,
+    TIMED_OUT,
+    WITHDRAWN,
+    CANCELLED,
+    NODE_LOST,
 ) = (
     "there",
     "full",
@@ -42,53 +42,53 @@
     "lost",
 )
 
-ANSWERS = {200: THERE, 453: FULL, 500: ERROR, 454: MOOT, 504: RESET}
-CAUSES = {16: ENDED, 31: LEFT}  # of a release by the node; every other tells a cut
+ANSWERS = {200: ACCEPTED, 453: FULL, 500: ERROR, 454: SESSION_UNKNOWN, 504: RESET}
+CAUSES = {16: ENDED, 31: VIEWER_LEFT}  # of a release by the node; every other tells a cut
 
 SAID = {
     FULL: interface.FULL,
     ERROR: interface.ERROR,
-    MOOT: interface.NEVER_SENT,
+    SESSION_UNKNOWN: interface.NEVER_SENT,
     RESET: interface.BROKEN,
     ENDED: interface.BROKEN,
-    LEFT: interface.BROKEN,
-    BROKEN_OFF: interface.BROKEN,
-    GIVEN_UP: interface.CANCELLED,
+    VIEWER_LEFT: interface.BROKEN,
+    INTERRUPTED: interface.BROKEN,
+    CANCELLED: interface.CANCELLED,
 }
 LIFE = {
     # A set-up of which the node has not every byte runs nothing, whatever became of its connection
     UNSENT: SAID
     | {
-        CUT: interface.UNREACHABLE,
-        SPOILT: interface.UNREACHABLE,
-        LATE: interface.UNREACHABLE,
-        LOST: interface.UNREACHABLE,
-        TAKEN_BACK: interface.NEVER_SENT,
+        CONNECTION_LOST: interface.UNREACHABLE,
+        MALFORMED: interface.UNREACHABLE,
+        TIMED_OUT: interface.UNREACHABLE,
+        NODE_LOST: interface.UNREACHABLE,
+        WITHDRAWN: interface.NEVER_SENT,
     },
-    OUT: SAID
+    SENT: SAID
     | {
-        CUT: interface.BROKEN,
-        SPOILT: interface.ERROR,
-        LATE: interface.TIMED_OUT,
-        LOST: interface.BROKEN,
+        CONNECTION_LOST: interface.BROKEN,
+        MALFORMED: interface.ERROR,
+        TIMED_OUT: interface.TIMED_OUT,
+        NODE_LOST: interface.BROKEN,
     },
     # Connections come and go while a play stands: only its node's word, or its node's end, ends it
-    HELD: {
+    RUNNING: {
         ENDED: interface.SERVED,
-        LEFT: interface.CANCELLED,
-        BROKEN_OFF: interface.BROKEN,
-        LOST: interface.BROKEN,
-        GIVEN_UP: interface.CANCELLED,
+        VIEWER_LEFT: interface.CANCELLED,
+        INTERRUPTED: interface.BROKEN,
+        NODE_LOST: interface.BROKEN,
+        CANCELLED: interface.CANCELLED,
     },
 }
 
 
-def answer(status: int) -> str:
+def event_of_status(status: int) -> str:
     return ANSWERS.get(status, ERROR)
 
 
-def end(cause: int) -> str:
-    return CAUSES.get(cause, BROKEN_OFF)
+def event_of_cause(cause: int) -> str:
+    return CAUSES.get(cause, INTERRUPTED)
 
 
 def outcome(state: str, fact: str) -> str | None:
--- a/laddergw/platform/allocating.py
+++ b/laddergw/platform/allocator.py
@@ -24,7 +24,7 @@
 log = logging.getLogger("laddergw.platform")
 
 
-class Allocating:
+class Allocator:
     """Carries out allocations of the director's plays at media nodes."""
 
     def __init__(self, director):
@@ -55,7 +55,7 @@
             )
             return self.ending.tell_end(play, interface.NEVER_SENT)
         r = play.request
-        node.open[play.session], play.connection = play, connection
+        node.open_set_ups[play.session], play.connection = play, connection
         connection.set_up(
             play,
             rtsp.request(
@@ -79,15 +79,17 @@
             play.connection,
             verdict.timeout_ms,
         )
-        play.timer = self.director.loop.after(verdict.timeout_ms, lambda: self.late(play))
+        play.timer = self.director.loop.after(
+            verdict.timeout_ms, lambda: self.set_up_timed_out(play)
+        )
 
-    def say(self, node: Node, data: bytes, ends: str = "") -> None:
+    def send_to_node(self, node: Node, data: bytes, ends: str = "") -> None:
         """To a node about a play that stands, or that this `ends`, on any connection."""
         self.director.nodes.say(node, data, ends)
 
     def release(self, play: Play) -> None:
         log.debug("%s.%d: release to node %s", play.session, play.number, play.node.id)
-        self.say(
+        self.send_to_node(
             play.node,
             rtsp.request(
                 "TEARDOWN", play.request.title, play.session, (("Reason", f"cause={ENDED}"),)
@@ -101,7 +103,7 @@
 
     def told(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
         """A media node speaks of a play: a note, or its release."""
-        play = node.held.get(message.session) or node.open.get(message.session)
+        play = node.running_plays.get(message.session) or node.open_set_ups.get(message.session)
         if message.method == "TEARDOWN":
             connection.stream.write(
                 rtsp.answer(200, "OK", message.sequence or "2", message.session)
@@ -143,29 +145,32 @@
             connection,
             cause[:8],
         )
-        fact, report = allocation.end(int(cause) if cause.isdigit() else 0), self.report_of(message)
+        fact, report = (
+            allocation.event_of_cause(int(cause) if cause.isdigit() else 0),
+            self.report_of(message),
+        )
         if play.stands:
-            self.ending.ended(play, allocation.HELD, fact, report)
+            self.ending.ended(play, allocation.RUNNING, fact, report)
         elif play.connection is connection and play.answer is not None:
             self.answers.ended_behind(play, fact, report)
         elif play.connection is connection:
             self.ending.ended(play, connection.state(play.session), fact, report)
-        elif play.connection.state(play.session) == allocation.OUT:
+        elif play.connection.state(play.session) == allocation.SENT:
             self.drop_set_up(
                 play, fact, report
             )  # an answer that is still on its way belongs to nobody
 
-    def late(self, play: Play) -> None:
+    def set_up_timed_out(self, play: Play) -> None:
         """The module's time-out for this allocation."""
         play.timer = None
-        self.drop_set_up(play, allocation.LATE)
+        self.drop_set_up(play, allocation.TIMED_OUT)
 
-    def give_up(self, play: Play) -> None:
+    def cancel(self, play: Play) -> None:
         """Nobody waits for it any more: what is out ends, and the module hears of what has ended,
         before its name can come again.
         """
         if play.connection is not None:
-            self.drop_set_up(play, allocation.GIVEN_UP)
+            self.drop_set_up(play, allocation.CANCELLED)
         elif play.untold is not None:
             self.ending.tell(play)
 
@@ -188,16 +193,16 @@
         state = connection.give_up(play.session)
         late = self.director.loop.now - play.sent_at >= ARRIVE_MS
         away = (
-            state == allocation.OUT
+            state == allocation.SENT
             and not connection.plays
             and late
             and not connection.arrived(end)
         )
-        if state == allocation.OUT and not away:
+        if state == allocation.SENT and not away:
             connection.stream.write(rtsp.request("TEARDOWN", play.request.title, play.session))
         if not connection.plays and connection in connection.node.connections:
-            connection.end(allocation.CUT) if away else connection.close(ARRIVE_MS)
+            connection.end(allocation.CONNECTION_LOST) if away else connection.close(ARRIVE_MS)
             connection.node.renew()
-        elif state == allocation.OUT:  # others share it
+        elif state == allocation.SENT:  # others share it
             self.director.loop.after(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
         self.ending.ended(play, state, fact, report)
--- a/laddergw/platform/answers.py
+++ b/laddergw/platform/answers.py
@@ -33,7 +33,7 @@
         play = connection.plays[message.session]
         if play.answer is not None:  # the first of several counts
             return None
-        if allocation.answer(message.status) != allocation.THERE or not message.body:
+        if allocation.event_of_status(message.status) != allocation.ACCEPTED or not message.body:
             return self.take(node, connection, message)
 
         def take_later() -> None:
@@ -51,17 +51,17 @@
     def take(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
         """Settles a set-up by its answer."""
         play = connection.plays[message.session]
-        fact = allocation.answer(message.status)
-        if fact == allocation.THERE and not message.body:  # nothing that could be passed on
-            connection.end(allocation.SPOILT)
+        fact = allocation.event_of_status(message.status)
+        if fact == allocation.ACCEPTED and not message.body:  # nothing that could be passed on
+            connection.end(allocation.MALFORMED)
             return node.renew()
-        state = self.settle(play)
+        state = self.close_set_up(play)
         waited = self.director.loop.now - play.sent_at
         log.debug(
             "%s.%d: node %s answers %d after %.0f ms",
             *(play.session, play.number, node.id, message.status, waited),
         )
-        if fact == allocation.THERE:
+        if fact == allocation.ACCEPTED:
             return self.director.admission.stand(play, message.body)
         return self.ending.ended(play, state, fact, self.report_of(message))
 
@@ -73,11 +73,11 @@
             if not description.may_be_cut(play.answer.body, play.request.description):
                 self.take(play.node, connection, play.answer)
 
-    def settle(self, play: Play) -> str:
+    def close_set_up(self, play: Play) -> str:
         """Its set-up is open no more; says whether all of it had left."""
-        state = play.connection.settle(play.session)
+        state = play.connection.close_set_up(play.session)
         play.connection, play.answer = None, None
-        play.node.open.pop(play.session, None)
+        play.node.open_set_ups.pop(play.session, None)
         return state
 
     def ended_behind(self, play: Play, fact: str, report: tuple) -> None:
@@ -90,9 +90,9 @@
         self.director.count("over behind their answer: " + fact)
         if fact == allocation.ENDED:  # it has run to its end
             self.take(play.node, play.connection, play.answer)
-            return self.ending.ended(play, allocation.HELD, fact, report)
-        if fact != allocation.LEFT:
-            return self.ending.ended(play, self.settle(play), fact, report)
-        self.settle(play)
+            return self.ending.ended(play, allocation.RUNNING, fact, report)
+        if fact != allocation.VIEWER_LEFT:
+            return self.ending.ended(play, self.close_set_up(play), fact, report)
+        self.close_set_up(play)
         self.director.admission.finish(play, FAILED)
         return self.ending.tell_end(play, interface.CANCELLED, report)
--- a/laddergw/platform/following.py
+++ b/laddergw/platform/change_log.py
@@ -20,17 +20,22 @@
 log = logging.getLogger("laddergw.platform")
 
 
-class Follower:
-    """`told(event)` is called with each event once, in order."""
+class ChangeLogClient:
+    """`on_event(event)` is called with each event once, in order."""
 
     def __init__(
         self,
         loop,
         address: tuple[str, int] | None,
-        last: int,
-        told: Callable[[changes.Event], None],
+        last_number: int,
+        on_event: Callable[[changes.Event], None],
     ):
-        self.loop, self.address, self.last, self.told = loop, address, last, told
+        self.loop, self.address, self.last_number, self.on_event = (
+            loop,
+            address,
+            last_number,
+            on_event,
+        )
         self.stream, self.reader, self.pause, self.timer = None, changes.Reader(), AGAIN_MS[0], None
         if address is not None:
             self.dial()
@@ -44,31 +49,31 @@
     def listen_out(self, wait_ms: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.after(wait_ms, lambda: self.again("silent"))
+        self.timer = self.loop.after(wait_ms, lambda: self.reconnect("silent"))
 
-    def switch(self, address: tuple[str, int] | None) -> None:
+    def switch_address(self, address: tuple[str, int] | None) -> None:
         """Goes over to another address; the numbers go on."""
         self.address, self.pause = address, AGAIN_MS[0]
-        self.again("another address")
+        self.reconnect("another address")
 
     def stop(self) -> None:
         self.address = None
-        self.again("the director ends")
+        self.reconnect("the director ends")
 
-    def again(self, why: str) -> None:
+    def reconnect(self, why: str) -> None:
         """Ends the connection, if there is one, and begins another after a pause."""
         stream, self.stream = self.stream, None
         if self.timer is not None:
             self.timer.cancel()
         if stream is not None:
             stream.abort()
-        log.info("change log: %s; again from %d in %.0f ms", why, self.last, self.pause)
+        log.info("change log: %s; again from %d in %.0f ms", why, self.last_number, self.pause)
         if self.address is not None:
             self.timer = self.loop.after(self.pause, self.dial)
             self.pause = min(2 * self.pause, AGAIN_MS[1])
 
     def opened(self, stream) -> None:
-        stream.write(changes.since(self.last))
+        stream.write(changes.since(self.last_number))
 
     def emptied(self, stream) -> None:
         pass
@@ -81,22 +86,24 @@
         try:
             while stream is self.stream and (event := self.reader.next()) is not None:
                 self.part = LEAST_BYTES
-                self.take(event)
+                self.handle_event(event)
             if stream is self.stream and self.part >= LEAST_BYTES:
                 self.part = 0
                 self.listen_out(SILENT_MS)
         except changes.MalformedError as error:
-            self.again(str(error))
+            self.reconnect(str(error))
 
-    def take(self, event: changes.Event) -> None:
-        if event.number > self.last + (event.members is not None):
-            return self.again(f"{event.number} after {self.last}")
+    def handle_event(self, event: changes.Event) -> None:
+        if event.number > self.last_number + (event.members is not None):
+            return self.reconnect(f"{event.number} after {self.last_number}")
         self.pause = AGAIN_MS[0]
-        if event.members is not None and event.number == self.last + 1:  # else it is written twice
-            self.last = event.number
-            self.told(event)
+        if (
+            event.members is not None and event.number == self.last_number + 1
+        ):  # else it is written twice
+            self.last_number = event.number
+            self.on_event(event)
 
     def closed(self, stream, why: str | None) -> None:
         if stream is self.stream:
             self.stream = None
-            self.again(why or "closed")
+            self.reconnect(why or "closed")
--- a/laddergw/platform/connection.py
+++ b/laddergw/platform/connection.py
@@ -45,7 +45,7 @@
             "node %s: %s opened after %.0f ms", self.node.id, self, self.loop.now - self.since
         )
         self.speaks()
-        words, self.node.words = self.node.words, []
+        words, self.node.queued_messages = self.node.queued_messages, []
         for word in words:
             self.say(*word)
         if words:
@@ -64,15 +64,15 @@
     def leave(self) -> None:
         """It is none of its node's any more: what waits to be told there waits for the next one."""
         self.node.connections.remove(self)
-        if self.node.words and not self.node.connections:
-            self.node.fleet.waiting[self.node] = None
+        if self.node.queued_messages and not self.node.connections:
+            self.node.fleet.awaiting_connection[self.node] = None
 
     def emptied(self, stream) -> None:
         if not (stream.queued or self.plays):
             self.node.fleet.give_way(self)
 
     def speaks(self) -> None:
-        self.node.silent, self.node.heard = 0, self.loop.now
+        self.node.unanswered_dials, self.node.heard = 0, self.loop.now
         self.used = self.loop.now
 
     def got(self, stream, data: bytes) -> None:
@@ -84,18 +84,18 @@
         except rtsp.MalformedError as error:
             self.node.fleet.count("spoilt")
             log.info("node %s: %s", self.node.id, error)
-            self.end(allocation.SPOILT)
+            self.end(allocation.MALFORMED)
             self.node.renew()
 
     def state(self, session: str) -> str:
-        return allocation.OUT if self.stream.taken >= self.ends[session] else allocation.UNSENT
+        return allocation.SENT if self.stream.taken >= self.ends[session] else allocation.UNSENT
 
     def set_up(self, play, data: bytes) -> None:
         self.plays[play.session], self.set_ups[play.session], self.used = play, data, self.loop.now
         self.stream.write(data)
         self.ends[play.session] = self.stream.asked
 
-    def settle(self, session: str) -> str:
+    def close_set_up(self, session: str) -> str:
         """Its set-up is open no more; says whether all of it had left."""
         state = self.state(session)
         del self.plays[session], self.ends[session], self.set_ups[session]
@@ -107,11 +107,11 @@
         `close` would still write it out.
         """
         data, end = self.set_ups[session], self.ends[session]
-        state = self.settle(session)
+        state = self.close_set_up(session)
         if state == allocation.UNSENT and self.stream.take_back(data):
             self.ends = {other: at - len(data) * (at > end) for other, at in self.ends.items()}
         elif state == allocation.UNSENT:  # a part of it has left: what is open beside it ends too
-            self.end(allocation.CUT)
+            self.end(allocation.CONNECTION_LOST)
             self.node.renew()
         return state
 
@@ -124,7 +124,7 @@
         connection ends with it.
         """
         if self in self.node.connections and not self.arrived(end):
-            self.end(allocation.CUT)
+            self.end(allocation.CONNECTION_LOST)
             self.node.renew()
 
     def close(self, deliver_ms: float | None = None) -> None:
@@ -145,7 +145,9 @@
             )
             self.node.fleet.count("connections to nodes ended: " + fact)
             self.leave()
-            plays = [(play, self.settle(session)) for session, play in list(self.plays.items())]
+            plays = [
+                (play, self.close_set_up(session)) for session, play in list(self.plays.items())
+            ]
             self.stream.abort()
             for ends, (
                 data,
@@ -161,6 +163,6 @@
             log.debug("node %s: %s: %s", self.node.id, self, why or "closed by its node")
             self.node.fleet.answers.connection_ended(self)
             self.end(
-                allocation.TAKEN_BACK if why == SHORT else allocation.CUT
+                allocation.WITHDRAWN if why == SHORT else allocation.CONNECTION_LOST
             )  # without a descriptor its node has heard nothing, and has no part in it
             self.node.connection_ended(self, why)
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -2,7 +2,7 @@
 
 Order within a turn as in every director: what was read is told, then timers, then `decide`. Viewers
 are answered at the admission (admission.py),
-allocations are carried out in allocating.py; here are the configuration, the list, verdicts, and
+allocations are carried out in allocator.py; here are the configuration, the list, verdicts, and
 the process's end.
 """
 
@@ -15,11 +15,11 @@
 from laddergw.hosting import Hosting
 from laddergw.platform import allocation
 from laddergw.platform.admission import Admission
-from laddergw.platform.allocating import Allocating
+from laddergw.platform.allocator import Allocator
 from laddergw.platform.assignment import Assignment, following
 from laddergw.platform.causes import BROKEN, DECLINED, FAILED
-from laddergw.platform.following import Follower
-from laddergw.platform.listing import Listing
+from laddergw.platform.change_log import ChangeLogClient
+from laddergw.platform.fleet_list import FleetList
 from laddergw.platform.nodes import Nodes
 from laddergw.platform.plays import Play
 from laddergw.platform.viewers import Listener
@@ -58,21 +58,23 @@
         self.stopping: float | None = None  # since when
         self.leaving = False  # all is over but its connections' ends
         self.controller = Controller(assignment.deployment, assignment.seed, loop.now)
-        self.admission, self.allocating = Admission(self), Allocating(self)
+        self.admission, self.allocator = Admission(self), Allocator(self)
         self.nodes = Nodes(
             loop,
-            self.allocating,
+            self.allocator,
             int(NODES_PART * assignment.sockets),
             assignment.connect_ms,
             assignment.idle_ms,
         )
-        self.listing = Listing(self)
+        self.fleet_list = FleetList(self)
         for event in assignment.known:
-            self.listing.listed(event)
+            self.fleet_list.apply_event(event)
         self.listener = Listener(
             loop, self.admission, assignment.listen, int(VIEWERS_PART * assignment.sockets)
         )
-        self.follower = Follower(loop, assignment.changelog, assignment.last, self.listing.listed)
+        self.change_log = ChangeLogClient(
+            loop, assignment.changelog, assignment.last, self.fleet_list.apply_event
+        )
         loop.at_turn_end(self.turn_ends)
         loop.after(TELL_MS, self.tell_counts)
         self.feed(self.controller.wake, loop.now)
@@ -104,7 +106,7 @@
         if found.deployment != before.deployment:
             self.feed(self.controller.retold, self.loop.now, found.deployment)
         self.listener.bound(int(VIEWERS_PART * found.sockets))
-        self.nodes.most, self.nodes.connect_ms, self.nodes.idle_ms = (
+        self.nodes.max_connections, self.nodes.connect_ms, self.nodes.idle_ms = (
             int(NODES_PART * found.sockets),
             found.connect_ms,
             found.idle_ms,
@@ -116,19 +118,23 @@
             self.feed(
                 self.controller.listed,
                 self.loop.now,
-                [self.listing.line_of(node) for node in self.nodes.by_id.values() if not node.gone],
+                [
+                    self.fleet_list.entry_of(node)
+                    for node in self.nodes.by_id.values()
+                    if not node.gone
+                ],
                 False,
             )
         for (
             event
         ) in found.known:  # past a gap only a whole list; what is missing the change log has
-            if event.number > self.follower.last and (
-                event.whole or event.number == self.follower.last + 1
+            if event.number > self.change_log.last_number and (
+                event.whole or event.number == self.change_log.last_number + 1
             ):
-                self.follower.last = event.number
-                self.listing.listed(event)
+                self.change_log.last_number = event.number
+                self.fleet_list.apply_event(event)
         if found.changelog != before.changelog:
-            self.follower.switch(found.changelog)
+            self.change_log.switch_address(found.changelog)
 
     def stop(self) -> None:
         """Takes nothing new; what stands goes on while it may.
@@ -160,8 +166,8 @@
 
     def release_all(self) -> None:
         for play in list(self.standing.values()):
-            self.allocating.release(play)
-            self.allocating.ending.settle_standing(play)
+            self.allocator.release(play)
+            self.allocator.ending.settle_standing(play)
             self.listener.send(
                 play.viewer, binary.RELEASE, play.session, (binary.CAUSE, bytes([BROKEN]))
             )
@@ -171,16 +177,16 @@
         unread takes that along.
         """
         self.leaving = True
-        if (self.listener.releases or self.nodes.unsent()) and self.loop.now < latest:
+        if (self.listener.releases or self.nodes.has_unsent()) and self.loop.now < latest:
             self.loop.after(HEAR_LOOK_MS, lambda: self.leave(latest))
         else:
-            self.follower.stop()
+            self.change_log.stop()
             more = True
             while more:
                 more = self.listener.hear_last()
                 self.release_all()  # what was handed over just now
                 self.listener.shut()
-            self.nodes.shut()
+            self.nodes.shut_down()
             self.part(self.loop.now + PART_MS)
 
     def part(self, latest: float) -> None:
@@ -211,7 +217,7 @@
         if play is None:
             return
         if verdict.node is not None:
-            self.allocating.allocate(play, verdict)
+            self.allocator.allocate(play, verdict)
         elif verdict.answer is not None:
             declined = verdict.answer == interface.DECLINED
             self.admission.finish(
@@ -220,12 +226,12 @@
                 *([self.admission.away(verdict.retry_ms)] if declined else ()),
             )
         elif verdict.move and play.stands:
-            self.allocating.release(play)
+            self.allocator.release(play)
             self.listener.send(play.viewer, binary.MOVE, play.session)
-            self.allocating.ending.ended(play, allocation.HELD, allocation.GIVEN_UP)
+            self.allocator.ending.ended(play, allocation.RUNNING, allocation.CANCELLED)
         elif verdict.rung is not None and play.stands:
             self.count("steps")
-            self.allocating.say(
+            self.allocator.send_to_node(
                 play.node,
                 rtsp.request(
                     "SET_PARAMETER",
--- a/laddergw/platform/ending.py
+++ b/laddergw/platform/ending.py
@@ -26,7 +26,7 @@
         if play.stands:
             self.settle_standing(play)
             if (
-                fact != allocation.GIVEN_UP
+                fact != allocation.CANCELLED
             ):  # who has left hears it too: the answer may be on its way
                 cause = bytes([self.cause_of(play, fact)])
                 self.director.listener.send(
@@ -34,9 +34,9 @@
                 )
         elif play.connection is not None:
             if play.session in play.connection.plays:
-                play.connection.settle(play.session)
+                play.connection.close_set_up(play.session)
             play.connection = None
-            play.node.open.pop(play.session, None)
+            play.node.open_set_ups.pop(play.session, None)
         self.tell_end(play, outcome, report)
 
     def cause_of(self, play: Play, fact: str) -> int:
@@ -45,14 +45,14 @@
         One that has left, by its node's word, while our answer was on its way to it does not take
         that answer for one: the release is its final answer, and has to be one.
         """
-        if fact in (allocation.BROKEN_OFF, allocation.LOST):
+        if fact in (allocation.INTERRUPTED, allocation.NODE_LOST):
             return BROKEN
         on_its_way = self.director.loop.now - play.stood_at <= ANSWER_WAY_MS
-        return FAILED if fact == allocation.LEFT and on_its_way else ENDED
+        return FAILED if fact == allocation.VIEWER_LEFT and on_its_way else ENDED
 
     def settle_standing(self, play: Play) -> None:
         self.director.standing.pop(play.session, None)
-        play.node.held.pop(play.session, None)
+        play.node.running_plays.pop(play.session, None)
 
     def tell_end(self, play: Play, outcome: str, report: tuple = ()) -> None:
         if play.timer is not None:
--- a/laddergw/platform/listing.py
+++ b/laddergw/platform/fleet_list.py
@@ -13,13 +13,13 @@
 log = logging.getLogger("laddergw.platform")
 
 
-class Listing:
+class FleetList:
     """The list of media nodes as the change log tells it."""
 
     def __init__(self, director):
         self.director = director
 
-    def listed(self, event: changes.Event) -> None:
+    def apply_event(self, event: changes.Event) -> None:
         """Takes up one event, tells the module, takes back what has not left for who stopped."""
         stopped = self.unnamed(event) if event.whole else []
         lines = []
@@ -29,7 +29,7 @@
             node = self.take(member, event.number)
             if member.state != "SERVING":
                 stopped.append(node)
-            lines.append(self.line_of(node))
+            lines.append(self.entry_of(node))
         self.director.feed(
             self.director.controller.listed, self.director.loop.now, lines, event.whole
         )
@@ -60,14 +60,14 @@
 
     def take_back(self, node: Node) -> None:
         """Set-ups that have not left yet do not go there any more."""
-        for play in list(node.open.values()):
+        for play in list(node.open_set_ups.values()):
             if (
                 play.connection is not None
                 and play.connection.state(play.session) == allocation.UNSENT
             ):
-                self.director.allocating.drop_set_up(play, allocation.TAKEN_BACK)
+                self.director.allocator.drop_set_up(play, allocation.WITHDRAWN)
 
-    def line_of(self, node: Node) -> interface.NodeLine:
+    def entry_of(self, node: Node) -> interface.NodeLine:
         """The module's line of a node, by the names in force.
 
         `mark`: by its id, which every director hears alike.
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -45,7 +45,7 @@
             member.id,
             (member.host, member.port),
         )
-        self.member, self.since, self.gone, self.silent, self.connections = (
+        self.member, self.since, self.gone, self.unanswered_dials, self.connections = (
             member,
             member.since,
             False,
@@ -53,9 +53,9 @@
             [],
         )
         self.heard = fleet.loop.now
-        self.held: dict[str, Any] = {}  # plays that stand there
-        self.open: dict[str, Any] = {}  # plays whose set-up is open there
-        self.words: list[
+        self.running_plays: dict[str, Any] = {}  # plays that stand there
+        self.open_set_ups: dict[str, Any] = {}  # plays whose set-up is open there
+        self.queued_messages: list[
             tuple[bytes, str, float]
         ] = []  # what waits for a connection to be said (Connection.say)
         # one has ended that may have taken along what the node said: it says that again on a new
@@ -71,9 +71,13 @@
         """Opens the connection that is owed, unless one is coming up or none may be opened: then
         the next look does.
         """
-        self.owes_connection = self.owes_connection and bool(self.held) and not self.gone
+        self.owes_connection = self.owes_connection and bool(self.running_plays) and not self.gone
         coming_up = any(not connection.up for connection in self.connections)
-        if self.owes_connection and not coming_up and self.fleet.connections() < self.fleet.most:
+        if (
+            self.owes_connection
+            and not coming_up
+            and self.fleet.connections() < self.fleet.max_connections
+        ):
             self.dial()
 
     def free_connection(self) -> Connection | None:
@@ -90,12 +94,15 @@
         ]
         if up:
             return up[0]
-        if self.fleet.room(of_held=not self.connections):
+        if self.fleet.make_room(include_serving=not self.connections):
             return self.dial(self.fleet.connect_ms)
         return min(self.connections, key=lambda connection: len(connection.plays), default=None)
 
     def soon_up(self, connection: Connection) -> bool:
-        return self.silent == 0 and connection.loop.now - connection.since < self.fleet.connect_ms
+        return (
+            self.unanswered_dials == 0
+            and connection.loop.now - connection.since < self.fleet.connect_ms
+        )
 
     def said(self, connection: Connection, message: rtsp.Message) -> None:
         if (
@@ -128,10 +135,10 @@
             return
         self.fleet.let_speak(1)
         if not connection.up:
-            self.silent += why != REFUSED
-            if why == REFUSED or (self.silent >= SILENCES and not self.connections):
+            self.unanswered_dials += why != REFUSED
+            if why == REFUSED or (self.unanswered_dials >= SILENCES and not self.connections):
                 return self.lose(why)
-        if self.held and not self.connections:
+        if self.running_plays and not self.connections:
             self.dial() if not self.gone else self.lose("gone from the list")
         elif connection.up and why is not None:  # not in good order
             self.renew()
@@ -146,11 +153,11 @@
         self.dial_owed()
 
     def lose(self, why: str | None) -> None:
-        self.words = []
-        if self.held:
-            log.info("node %s: %d plays lost: %s", self.id, len(self.held), why)
-        for play in list(self.held.values()):
-            self.fleet.ended(play, allocation.HELD, allocation.LOST)
+        self.queued_messages = []
+        if self.running_plays:
+            log.info("node %s: %d plays lost: %s", self.id, len(self.running_plays), why)
+        for play in list(self.running_plays.values()):
+            self.fleet.ended(play, allocation.RUNNING, allocation.NODE_LOST)
 
     def look(self, now: float) -> None:
         """Whether its machine still answers, while plays stand there."""
@@ -160,7 +167,7 @@
             if connection.test is not None and now - connection.tested >= TEST_MS
         ]:
             log.info("node %s: a test was not answered", self.id)
-            connection.end(allocation.CUT)
+            connection.end(allocation.CONNECTION_LOST)
             self.renew()
         up = [connection for connection in self.connections if connection.up]
         if up and up[0].test is None and now - self.heard >= QUIET_MS:
@@ -168,6 +175,6 @@
             up[0].stream.write(rtsp.request("OPTIONS", "ping", up[0].test))
         elif not self.connections and self.gone:
             self.lose("gone from the list")
-        elif not self.connections and self.fleet.room(of_held=True):
+        elif not self.connections and self.fleet.make_room(include_serving=True):
             self.dial()
         self.dial_owed()
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -17,41 +17,46 @@
 
 
 class Nodes:
-    """All nodes of the list. `allocating` carries out what comes of them."""
-
-    def __init__(self, loop, allocating, most: int, connect_ms: float, idle_ms: float):
-        self.loop, self.most, self.connect_ms, self.idle_ms = loop, most, connect_ms, idle_ms
+    """All nodes of the list. `allocator` carries out what comes of them."""
+
+    def __init__(self, loop, allocator, max_connections: int, connect_ms: float, idle_ms: float):
+        self.loop, self.max_connections, self.connect_ms, self.idle_ms = (
+            loop,
+            max_connections,
+            connect_ms,
+            idle_ms,
+        )
         self.by_id: dict[str, Node] = {}
         self.by_number: dict[int, Node] = {}
-        self.waiting: dict[
+        self.awaiting_connection: dict[
             Node, None
         ] = {}  # that have something to be told and no connection; in this order they get one
         self.by_address: dict[tuple[str, int], Node] = {}  # the one that the list named there last
         self.numbers = self.tests = 0
         self.count, self.ended, self.told, self.answered = (
-            allocating.count,
-            allocating.ending.ended,
-            allocating.told,
-            allocating.answers.answered,
+            allocator.count,
+            allocator.ending.ended,
+            allocator.told,
+            allocator.answers.answered,
         )
-        self.answers = allocating.answers
+        self.answers = allocator.answers
         loop.after(LOOK_MS, self.look)
 
     def connections(self) -> int:
         return sum(len(node.connections) for node in self.by_number.values())
 
-    def room(self, of_held: bool) -> bool:
+    def make_room(self, include_serving: bool) -> bool:
         """Whether one more may be opened. Over the bound the oldest idle one makes room, first
-        where nothing stands. `of_held`: also
+        where nothing stands. `include_serving`: also
         where plays stand: what their node has to tell comes on the next connection, and each of
         them has its turn.
         """
-        if self.connections() < self.most:
+        if self.connections() < self.max_connections:
             return True
         idle = [
             connection
             for node in self.by_number.values()
-            if of_held or not node.held
+            if include_serving or not node.running_plays
             for connection in node.connections
             if connection.up
             and not connection.plays
@@ -60,7 +65,9 @@
         ]
         if not idle:
             return False
-        oldest = min(idle, key=lambda connection: (bool(connection.node.held), connection.since))
+        oldest = min(
+            idle, key=lambda connection: (bool(connection.node.running_plays), connection.since)
+        )
         self.count("closed for room")
         oldest.close()
         return True
@@ -77,8 +84,8 @@
         if connection is not None:
             connection.say(*word)
         elif not node.gone:
-            node.words.append(word)
-            self.waiting[node] = None
+            node.queued_messages.append(word)
+            self.awaiting_connection[node] = None
             self.let_speak(1)
 
     def let_speak(self, most: int) -> None:
@@ -86,33 +93,35 @@
 
         Who finds no descriptor waits on, until another connection gives way.
         """
-        for node in list(self.waiting)[:most]:
-            del self.waiting[node]
-            if node.words and not node.connections and not node.gone:
-                self.room(of_held=True)
+        for node in list(self.awaiting_connection)[:most]:
+            del self.awaiting_connection[node]
+            if node.queued_messages and not node.connections and not node.gone:
+                self.make_room(include_serving=True)
                 node.dial()
 
     def give_way(self, connection: Connection) -> None:
         """It has said all, and nothing is open on it: one of those who wait gets its descriptor."""
-        if self.waiting and connection in connection.node.connections:
+        if self.awaiting_connection and connection in connection.node.connections:
             connection.close()
             self.let_speak(1)
 
-    def unsent(self) -> bool:
+    def has_unsent(self) -> bool:
         nodes = self.by_number.values()
-        return any(node.words and not node.gone for node in nodes) or any(
+        return any(node.queued_messages and not node.gone for node in nodes) or any(
             connection.stream.queued for node in nodes for connection in node.connections
         )
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """The process's end: what was said to nodes goes out, then every connection ends in good
         order.
         """
-        self.let_speak(len(self.waiting))
+        self.let_speak(len(self.awaiting_connection))
         for node in self.by_number.values():
             connections, node.connections = node.connections, []
             for connection in connections:
-                words, node.words = ([], node.words) if connection.up else (node.words, [])
+                words, node.queued_messages = (
+                    ([], node.queued_messages) if connection.up else (node.queued_messages, [])
+                )
                 for data, *_ in words:
                     connection.stream.write(data)
                 connection.stream.close()
@@ -147,14 +156,18 @@
 
     def close(self, node: Node) -> None:
         for connection in list(node.connections):
-            connection.end(allocation.CUT)
+            connection.end(allocation.CONNECTION_LOST)
         node.lose("another address")
-        self.waiting.pop(node, None)
+        self.awaiting_connection.pop(node, None)
 
     def forget_gone(self) -> None:
-        for node in [n for n in self.by_number.values() if n.gone and not n.held and not n.open]:
+        for node in [
+            n
+            for n in self.by_number.values()
+            if n.gone and not n.running_plays and not n.open_set_ups
+        ]:
             for connection in list(node.connections):
-                connection.end(allocation.CUT)
+                connection.end(allocation.CONNECTION_LOST)
             del self.by_number[node.number]
             if self.by_address.get(node.address) is node:
                 del self.by_address[node.address]
@@ -163,9 +176,9 @@
 
     def look(self) -> None:
         self.loop.after(LOOK_MS, self.look)
-        self.let_speak(len(self.waiting))
+        self.let_speak(len(self.awaiting_connection))
         for node in sorted(
-            (n for n in self.by_number.values() if n.held), key=lambda n: n.heard
+            (n for n in self.by_number.values() if n.running_plays), key=lambda n: n.heard
         ):  # who had no turn for longest first
             node.look(self.loop.now)
         self.forget_gone()
--- a/tests/director_process.py
+++ b/tests/director_process.py
@@ -16,7 +16,7 @@
 
 from laddergw.signalling import binary
 from tests.platform_town import event, member, set_up
-from tests.sockets_town import Node, Peer
+from tests.socket_harness import Node, Peer
 from tests.test_platform_start import Running
 
 PATIENCE_S = 20.0  # of the test, for any one message
@@ -75,7 +75,7 @@
         for node in self.nodes.values():
             node.accept()
         for peer in self.every_peer():
-            peer.heard = [*getattr(peer, "heard", ()), *peer.hear()]
+            peer.heard = [*getattr(peer, "heard", ()), *peer.receive()]
         with contextlib.suppress(BlockingIOError):
             self.running.log += os.read(self.running.process.stderr.fileno(), 1 << 16).decode()
 
--- a/tests/sockets_town.py
+++ b/tests/socket_harness.py
@@ -1,6 +1,6 @@
 """One real director on real sockets, turned by hand: peers are plain sockets that act between its turns, so that every order can be forced.
 
-What a peer did before a turn must be there to be read in it: `lies_there` waits for that, by the kernel's own word.
+What a peer did before a turn must be there to be read in it: `wait_for_unread` waits for that, by the kernel's own word.
 """
 import contextlib
 import fcntl
@@ -33,7 +33,7 @@
         for part in data:
             self.sock.sendall(part)
 
-    def hear(self):
+    def receive(self):
         """Messages that have come; `ended` tells "end" or "reset" once the connection is over."""
         found = []
         while self.ended is None:
@@ -92,13 +92,13 @@
         self.sock.listen(128)
         self.accept()
 
-    def hear(self):
+    def receive(self):
         """(line, message) of what came, requests and answers."""
         self.accept()
-        return [(line, message) for line in self.connections for message in line.hear()]
+        return [(line, message) for line in self.connections for message in line.receive()]
 
 
-class Town:
+class SocketHarness:
     """A director among such peers. `changes` go into its file; `now` may hand in a clock."""
 
     def __init__(self, test, nodes=("a",), now=clock, **changes):
@@ -133,13 +133,13 @@
         for _ in range(number):
             self.turn()
 
-    def passes(self, now, ms):
+    def advance_clock(self, now, ms):
         """So long of the clock that was handed in, `now` its list of one, a turn each 10 ms."""
         for _ in range(int(ms / 10)):
             now[0] += 10.0
             self.turn()
 
-    def to_the_end(self, now):
+    def run_to_end(self, now):
         """Turns of 10 ms of the handed-in clock until the director has ended, then what its process does last; the time it took, ms."""
         began = now[0]
         while self.loop.running:
@@ -149,12 +149,12 @@
         self.loop.close()
         return now[0] - began
 
-    def connections_first(self):
+    def report_connects_first(self):
         """Of the events of one turn, connections that come up and queues that move on are told before what was read."""
         select = self.loop.selector.select
         self.loop.selector.select = lambda wait: sorted(select(wait), key=lambda found: -found[1])
 
-    def until(self, done):
+    def run_until(self, done):
         """Turns until something has come; what it found."""
         latest = time.monotonic() + PATIENCE_S
         while not (found := done()):
@@ -163,12 +163,12 @@
             self.turn()
         return found
 
-    def side(self, viewer):
+    def director_stream(self, viewer):
         """The director's end of a viewer's connection, once it is accepted."""
         mine = viewer.sock.getsockname()
-        return self.until(lambda: next((v.stream for v in self.director.listener.viewers if v.stream.peer == mine), None))
+        return self.run_until(lambda: next((v.stream for v in self.director.listener.viewers if v.stream.peer == mine), None))
 
-    def lies_there(self, stream, size=None):
+    def wait_for_unread(self, stream, size=None):
         """Waits until so many bytes lie unread at the director's end of a connection, or, where no number is told, its peer's end."""
         if size is None:
             poll = select.poll()
@@ -179,20 +179,20 @@
             self.test.assertLess(time.monotonic(), latest)
         return None
 
-    def come(self, node):
+    def wait_for_set_up(self, node):
         """Turns until a set-up has come to a node: (line, message)."""
-        return self.until(lambda: next((found for found in self.nodes[node].hear() if found[1].method == "SETUP"), None))
+        return self.run_until(lambda: next((found for found in self.nodes[node].receive() if found[1].method == "SETUP"), None))
 
-    def idle_line(self, session=1, node="a"):
+    def idle_connection(self, session=1, node="a"):
         """A play has come and gone: an open connection to the node stays, with nothing on it."""
         viewer = self.viewer()
         viewer.write(set_up(session))
-        line, message = self.come(node)
+        line, message = self.wait_for_set_up(node)
         line.write(answer(message.session))
-        self.until(viewer.hear)
+        self.run_until(viewer.receive)
         line.write(release(session, 16))
-        self.until(lambda: [m for m in viewer.hear() if m.kind == binary.RELEASE])
+        self.run_until(lambda: [m for m in viewer.receive() if m.kind == binary.RELEASE])
         viewer.write(binary.encode(binary.HEARD, f"{session:016x}"))
         self.turns(3)
-        line.hear()
+        line.receive()
         return viewer, line
--- a/tests/test_orders_answers.py
+++ b/tests/test_orders_answers.py
@@ -4,7 +4,7 @@
 
 from laddergw.signalling import binary, changes
 from tests.platform_town import answer, event, member, release, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 SESSION = f"{1:016x}"
 
@@ -13,20 +13,20 @@
     """A play whose set-up is out at node a; what comes next is put into place first, and told when the test says so."""
 
     def __init__(self, test, product):
-        self.town = Town(test, nodes=("a", "b"))
+        self.town = SocketHarness(test, nodes=("a", "b"))
         self.director = self.town.director
         self.director.controller.fleet.nodes[2].rest = 1e12
         self.viewer = self.town.viewer()
-        self.side = self.town.side(self.viewer)
+        self.side = self.town.director_stream(self.viewer)
         self.viewer.write(set_up(1, product=product))
-        self.line, _ = self.town.come("a")
+        self.line, _ = self.town.wait_for_set_up("a")
         self.director.controller.fleet.nodes[2].rest = 0.0
         self.ply, self.back, self.left = self.director.open[SESSION], self.director.open[SESSION].connection.stream, False
 
     def says(self, data):
         """The node says something: it lies there; told when its connection is read."""
         self.line.write(data)
-        self.town.lies_there(self.back, len(data))
+        self.town.wait_for_unread(self.back, len(data))
         return self.back.read_now
 
     def ready(self, what):
@@ -45,7 +45,7 @@
             return self.says(release(1, 41))
         if what == "the node's connection ends":
             self.line.close()
-            self.town.lies_there(self.back)
+            self.town.wait_for_unread(self.back)
             return self.back.read_now
         if what == "its time-out":
             return lambda: self.ply.timer is not None and self.ply.timer.call()
@@ -53,15 +53,15 @@
             return lambda: self.ply.guard is not None and self.ply.guard.call()
         if what == "the node drains":
             gone = event(2, member("a", 1, "DRAINING") | {"host_port": f"127.0.0.1:{self.town.nodes['a'].port}"})
-            return lambda: self.director.listing.listed(changes.event_of(gone))
+            return lambda: self.director.fleet_list.apply_event(changes.event_of(gone))
         self.left = True
         if what == "the viewer cancels":
             data = binary.encode(binary.RELEASE, SESSION, (222, b"\x10"))
             self.viewer.write(data)
-            self.town.lies_there(self.side, len(data))
+            self.town.wait_for_unread(self.side, len(data))
         else:
             self.viewer.sock.shutdown(1)
-            self.town.lies_there(self.side)
+            self.town.wait_for_unread(self.side)
         return self.side.read_now
 
 
@@ -82,8 +82,8 @@
             town.turn()
             for _ in range(20):                          # what comes after: a further try at b is answered well
                 town.turn()
-                heard += scene.viewer.hear()
-                for line, message in town.nodes["b"].hear():
+                heard += scene.viewer.receive()
+                for line, message in town.nodes["b"].receive():
                     if message.method == "SETUP":
                         line.write(answer(message.session))
         finals = [m for m in heard if m.kind == binary.ANSWER or (m.kind == binary.RELEASE and m.parameters[binary.CAUSE][0] in (34, 42, 102))]
@@ -130,7 +130,7 @@
         self.judge(scene, [scene.says(answer(SESSION))])
         scene.says(answer(SESSION))
         scene.town.turns()
-        self.assertEqual((scene.viewer.hear(), list(scene.director.standing)), ([], [SESSION]))
+        self.assertEqual((scene.viewer.receive(), list(scene.director.standing)), ([], [SESSION]))
 
     def test_an_answer_for_an_earlier_try_on_another_connection(self):
         """The first try timed out; its answer comes while the second is out: one answer, the second's, and the first is torn down."""
@@ -139,12 +139,12 @@
         scene.town.loop.soon(late)
         scene.town.turn()
         scene.line.write(answer(SESSION, 200, b"the first\r\n"))
-        line, message = scene.town.come("b")
+        line, message = scene.town.wait_for_set_up("b")
         scene.town.turns(3)
         line.write(answer(SESSION, 200, b"the second\r\n"))
-        heard = scene.town.until(scene.viewer.hear)
+        heard = scene.town.run_until(scene.viewer.receive)
         self.assertEqual([(m.kind, m.parameters[binary.DESCRIPTION]) for m in heard], [(binary.ANSWER, b"the second\r\n")])
-        self.assertEqual([m.method for m in scene.line.hear()], ["TEARDOWN"])
+        self.assertEqual([m.method for m in scene.line.receive()], ["TEARDOWN"])
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -13,7 +13,7 @@
 from laddergw.loop.lingering import READ_BYTES
 from laddergw.signalling import binary, rtsp
 from tests.platform_town import answer, event, member, set_up
-from tests.sockets_town import Node, Peer, Town
+from tests.socket_harness import Node, Peer, SocketHarness
 from tests.test_platform_start import PATIENCE_S, Running, held_port
 
 SOCKETS, IDLE = 64, 150      # of the descriptors 22 are for connections to nodes
@@ -63,7 +63,7 @@
             with contextlib.suppress(ConnectionError):       # it may have been closed for another already
                 one.write(set_up(n, title=f"{n:016x}", figures=f"home:{n % 3};copies:1;top:2") if n % 3 else TEST)
             for node in self.nodes:
-                for line, message in node.hear():
+                for line, message in node.receive():
                     line.write(b"RTSP/1.0 453 X\r\nCSeq: 1\r\nSession: " + message.session.encode() + b"\r\nContent-Length: 0\r\n\r\n")
         self.assertLessEqual(self.descriptors(), SOCKETS)
         self.log.listen(16)
@@ -86,12 +86,12 @@
 
         def hear():
             for node in self.nodes:
-                for line, message in node.hear():
+                for line, message in node.receive():
                     if message.method == "TEARDOWN":
                         told[node.name] = message.session
                     if message.method in ("TEARDOWN", "OPTIONS"):
                         line.write(rtsp.answer(200, "OK", message.sequence, message.session))
-            for message in viewer.hear():
+            for message in viewer.receive():
                 if message.kind == binary.RELEASE:
                     viewer.write(binary.encode(binary.HEARD, message.session))
                 elif message.kind == binary.TESTED:
@@ -108,9 +108,9 @@
 class Floods(unittest.TestCase):
     def test_thousands_of_set_ups_on_one_connection(self):
         """Each has its refusal or stays one of the bounded open ones; a viewer beside them is served in the turn that it asks in."""
-        town = Town(self)
+        town = SocketHarness(self)
         flood, good = town.viewer(), town.viewer()
-        town.side(flood), town.side(good)
+        town.director_stream(flood), town.director_stream(good)
         flood.sock.setblocking(False)
         data, heard = memoryview(b"".join(set_up(n, product="none") for n in range(1, 5001))), []
         served = []
@@ -120,32 +120,32 @@
             except BlockingIOError:
                 pass
             town.turn()
-            heard += flood.hear()
+            heard += flood.receive()
             if len(heard) > 1000 and not served:
                 served.append(good.write(set_up(9000)))
-                town.lies_there(town.side(good), len(set_up(9000)))
+                town.wait_for_unread(town.director_stream(good), len(set_up(9000)))
                 town.turns(2)
                 self.assertEqual(len(town.director.controller.plays), 1)
-        town.until(lambda: heard.extend(flood.hear()) or len(heard) >= 5000)
+        town.run_until(lambda: heard.extend(flood.receive()) or len(heard) >= 5000)
         self.assertEqual({m.parameters[binary.CAUSE][0] for m in heard}, {95})
         self.assertEqual(len({m.session for m in heard}), 5000)
 
     def test_one_that_has_spoken_among_many_that_come_at_once(self):
         """More than may be held come in one turn and say nothing; the one that has asked, and is not read yet, is not closed for them."""
-        town = Town(self)
+        town = SocketHarness(self)
         town.director.listener.most, good = 20, town.viewer()
         good.write(set_up(1))
         for _ in range(40):
             town.viewer()
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.assertEqual([m.kind for m in town.until(good.hear)], [binary.ANSWER])
+        self.assertEqual([m.kind for m in town.run_until(good.receive)], [binary.ANSWER])
 
     def test_a_read_that_ends_just_where_what_has_come_ends(self):
         """As much lies there as one read takes, to the byte: nothing more is waited for before the last of it is taken up."""
-        town = Town(self)
+        town = SocketHarness(self)
         viewer = town.viewer()
-        side = town.side(viewer)
+        side = town.director_stream(viewer)
         side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         last = set_up(1)
         fill = READ_BYTES - len(last)
@@ -153,14 +153,14 @@
         rest = fill - len(TEST) * len(tests)
         tests.append(binary.encode(binary.TEST, "0" * 16, (222, b"\0" * (1 + rest - len(TEST)))))
         viewer.write(b"".join([*tests, last]))
-        town.lies_there(side, READ_BYTES)
+        town.wait_for_unread(side, READ_BYTES)
         town.turns(3)
         self.assertEqual(len(town.director.controller.plays), 1)
 
     def test_refusals_reach_a_peer_that_reads_slowly(self):
-        town = Town(self)
+        town = SocketHarness(self)
         viewer = town.viewer()
-        side = town.side(viewer)
+        side = town.director_stream(viewer)
         viewer.write(b"".join(set_up(n, product="none") for n in range(1, 301)))
         side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
         viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
@@ -175,7 +175,7 @@
             while (message := viewer.reader.next()) is not None:
                 heard.append(message.session)
             return len(heard) == 300
-        town.until(read)
+        town.run_until(read)
         self.assertEqual(len(set(heard)), 300)
 
 
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -11,7 +11,7 @@
 from laddergw.signalling import binary, changes
 from tests.platform_town import TREE, answer, event, member, release, set_up, tree
 from tests.sites import REPEATS, SITES, settings_of
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 # What the file may change while the director runs, and how: each field is here, so that a new one cannot be forgotten.
 TAKEN_OVER = {"sockets", "changelog", "known", "last", "deployment", "products", "all_products", "kinds", "zones", "longest_ms", "connect_ms", "idle_ms"}
@@ -40,17 +40,17 @@
         """Seen on the bench: products with accents and spaces in their names were refused, all of them: names were folded into words."""
         name, zone, kind = "relevé de notes", "quai Rhône, haut", "quatre cœurs"
         settings = terms(Grades=[TREE["Grades"][0] | {"Name": name}, TREE["Grades"][1]], Zones=["east", zone], Kinds=["std", kind])
-        town = Town(self, settings=settings)
+        town = SocketHarness(self, settings=settings)
         self.assertEqual([(a.products[name], a.zones[zone], a.kinds[kind]) for a in (town.director.assignment,)], [(0, 1, 1)])
         viewer = town.viewer()
         viewer.write(set_up(1, product=name))
         node = town.nodes["a"]
-        town.until(lambda: node.accept() or node.connections)
+        town.run_until(lambda: node.accept() or node.connections)
         town.turns(3)
         self.assertIn(f"Subject: {name}\r\n".encode(), node.connections[0].sock.recv(4096))
         viewer.write(binary.encode(binary.SET_UP, f"{2:016x}", (180, b"\xff\xfe"), (183, b"1500"), (192, b"7f3a9c21e0b4d655"),
                                    (195, b"home:0;copies:3;top:2"), (225, b"v=0")))
-        refused, = town.until(viewer.hear)
+        refused, = town.run_until(viewer.receive)
         self.assertEqual(refused.parameters[binary.CAUSE][0], 95)
 
     def test_names_that_cannot_be_told_apart_are_refused(self):
@@ -92,14 +92,14 @@
 
     def test_products_in_another_order(self):
         """Open, standing and asked-for plays keep their terms; what comes then has the new ones. Numbers keep their meaning."""
-        town = Town(self, settings=terms(Grades=grades("guide", "paid")))
+        town = SocketHarness(self, settings=terms(Grades=grades("guide", "paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="paid"))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        town.until(viewer.hear)
+        town.run_until(viewer.receive)
         viewer.write(set_up(2, product="paid"))
-        line, second = town.come("a")
+        line, second = town.wait_for_set_up("a")
         before, seats = town.director.assignment, dict(town.director.controller.fleet.seats)
         town.director.change(found(settings=terms(Grades=grades("live", "paid", "guide")), changelog=None)._replace(
             listen=before.listen, changelog=before.changelog))
@@ -109,19 +109,19 @@
         self.assertEqual([row.importance for row in rows], [1.0, 2.0, 7.0])
         self.assertEqual(dict(town.director.controller.fleet.seats), seats)
         viewer.write(set_up(3, product="live"))
-        self.assertEqual(town.come("a")[1].session, f"{3:016x}")
+        self.assertEqual(town.wait_for_set_up("a")[1].session, f"{3:016x}")
         self.assertEqual(town.director.controller.plays[3].product.importance, 7.0)
         line.write(answer(second.session, 500, b""))             # a paid play that may have run is not sent again, under any file
-        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.until(viewer.hear)], [41])
+        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.run_until(viewer.receive)], [41])
 
     def test_a_product_that_is_there_no_more(self):
         """What stands goes on to its end; nobody is let in under it; it weighs nothing in the decisions, and comes back as it was."""
-        town = Town(self, settings=terms(Grades=grades("guide", "paid")))
+        town = SocketHarness(self, settings=terms(Grades=grades("guide", "paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="guide"))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        town.until(viewer.hear)
+        town.run_until(viewer.receive)
         mine = town.director.assignment
 
         def change(*names):
@@ -129,11 +129,11 @@
         change("paid")
         self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [0.0, 2.0])
         viewer.write(set_up(2, product="guide"))
-        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.until(viewer.hear)], [95])
+        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.run_until(viewer.receive)], [95])
         viewer.write(set_up(3, product="paid"))
-        self.assertEqual(town.come("a")[1].session, f"{3:016x}")
+        self.assertEqual(town.wait_for_set_up("a")[1].session, f"{3:016x}")
         line.write(release(1, 16))
-        self.assertEqual([(m.kind, m.session) for m in town.until(viewer.hear)], [(binary.RELEASE, f"{1:016x}")])
+        self.assertEqual([(m.kind, m.session) for m in town.run_until(viewer.receive)], [(binary.RELEASE, f"{1:016x}")])
         change("guide", "paid")
         self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [1.0, 2.0])
 
@@ -143,7 +143,7 @@
                  member("b", 1, cell=1) | {"host_port": "127.0.0.1:1", "flavor": "huge", "locality": "north"}]
         known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": nodes}}]}
         first = terms(Kinds=["small", "large"], Zones=["east", "west"], MyZone=1, Specifics=TREE["Specifics"] | {"KindSlots": [10, 20]})
-        town = Town(self, settings=first, known=known)
+        town = SocketHarness(self, settings=first, known=known)
         controlled = town.director.controller.fleet.nodes
 
         def seen():
@@ -157,37 +157,37 @@
 
     def test_a_node_that_a_whole_list_left_out_stays_gone(self):
         """Its last line called it ready; the file that names its kind anew must not bring it back while a play still stands there."""
-        town = Town(self, nodes=("a", "b"))
+        town = SocketHarness(self, nodes=("a", "b"))
         viewer = town.viewer()
         town.director.controller.fleet.nodes[2].rest = 1e12
         viewer.write(set_up(1))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        town.until(viewer.hear)
+        town.run_until(viewer.receive)
         b = member("b", 1, cell=1) | {"host_port": f"127.0.0.1:{town.nodes['b'].port}"}
-        town.director.listing.listed(changes.event_of(event(2, b, whole=True)))
+        town.director.fleet_list.apply_event(changes.event_of(event(2, b, whole=True)))
         mine = town.director.assignment
         town.director.change(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known=[]))
         self.assertEqual([node.state for node in town.director.controller.fleet.nodes.values()], [face.GONE, face.READY])
         town.director.controller.fleet.nodes[2].rest = 0.0
         viewer.write(set_up(2))
-        self.assertEqual(town.come("b")[1].session, f"{2:016x}")
+        self.assertEqual(town.wait_for_set_up("b")[1].session, f"{2:016x}")
 
     def test_bounds(self):
         """Descriptors and the time of a connection hold at once; who has plays open keeps its connection."""
-        town = Town(self, limits={"sockets": 200})
+        town = SocketHarness(self, limits={"sockets": 200})
         viewers = [town.viewer() for _ in range(90)]
         town.turns()
         viewers[0].write(set_up(1))
-        town.come("a")
+        town.wait_for_set_up("a")
         mine = town.director.assignment
         town.director.change(mine._replace(sockets=64, connect_ms=123.0))
-        self.assertEqual((len(town.director.listener.viewers), town.director.nodes.most), (int(VIEWERS_PART * 64), int(NODES_PART * 64)))
+        self.assertEqual((len(town.director.listener.viewers), town.director.nodes.max_connections), (int(VIEWERS_PART * 64), int(NODES_PART * 64)))
         self.assertEqual((town.director.nodes.connect_ms, len(town.director.open)), (123.0, 1))
-        self.assertIsNone(viewers[0].hear() or viewers[0].ended)
+        self.assertIsNone(viewers[0].receive() or viewers[0].ended)
 
     def test_what_cannot_change_leaves_all_as_it_was(self):
-        town = Town(self)
+        town = SocketHarness(self)
         before, deployment = town.director.assignment, town.director.controller.fleet.d
         with self.assertRaisesRegex(assignments.AssignmentError, "listens at"):
             town.director.change(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
@@ -196,10 +196,10 @@
     def test_longer_limits_of_before_hold_through_a_stop(self):
         """A play taken on a long limit is decided as ever, though the file of the stop knows only short ones."""
         now = [0.0]
-        town = Town(self, now=lambda: now[0], settings=terms(Grades=grades("paid")))
+        town = SocketHarness(self, now=lambda: now[0], settings=terms(Grades=grades("paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="paid", patience="2900"))
-        town.come("a")
+        town.wait_for_set_up("a")
         mine = town.director.assignment
         town.director.change(found(settings=terms(Grades=[TREE["Grades"][0] | {"GiveUp": 500_000}]))._replace(
             listen=mine.listen, changelog=mine.changelog))
@@ -223,8 +223,8 @@
 
     def test_nothing_is_kept_between_directors(self):
         """Two directors of two deployments in one process: the second knows nothing of the first."""
-        Town(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
-        second = Town(self, settings=terms(Grades=grades("paid")))
+        SocketHarness(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
+        second = SocketHarness(self, settings=terms(Grades=grades("paid")))
         self.assertEqual((second.director.assignment.products, second.director.assignment.kinds), ({"paid": 0}, {"std": 0}))
         self.assertEqual(len(second.director.controller.fleet.d.products), 1)
         self.assertIsInstance(second.director.controller.fleet.d, face.Deployment)
--- a/tests/test_orders_last_close.py
+++ b/tests/test_orders_last_close.py
@@ -7,7 +7,7 @@
 import socket
 import unittest
 
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 
 class LastClose(unittest.TestCase):
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.now = [0.0]
-        self.town = Town(self, now=lambda: self.now[0])
+        self.town = SocketHarness(self, now=lambda: self.now[0])
 
     # Guards against a connection that comes up between a stopping director's last accept and its
     # listener's close, and is reset.
@@ -51,7 +51,7 @@
 
         listener.shut = shut_and_come_again
         self.town.director.stop()
-        self.town.to_the_end(self.now)
+        self.town.run_to_end(self.now)
         self.assertEqual(seen, ["refused"])
 
 
--- a/tests/test_orders_leaving.py
+++ b/tests/test_orders_leaving.py
@@ -8,7 +8,7 @@
 from laddergw.platform import allocation as life
 from laddergw.signalling import binary, rtsp
 from tests.platform_town import answer, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 SET_UP_NAMED = 80          # bytes of a set-up as a node gets it, to the end of its session's name
 GONE_MS = 100.0            # after this no attempt may begin for who has left: the users' term
@@ -23,9 +23,9 @@
 
 def leaves(town, viewer, way, unread=0):
     """Leaves, and sees to it that this lies there to be read behind `unread` bytes."""
-    side = town.side(viewer)
+    side = town.director_stream(viewer)
     WAYS[way](viewer)
-    town.lies_there(side, unread + len(RELEASE) if way == "cancelled" else None)
+    town.wait_for_unread(side, unread + len(RELEASE) if way == "cancelled" else None)
 
 
 class Leaving(unittest.TestCase):
@@ -33,58 +33,58 @@
         """The set-up and the viewer's end lie there together; the node has an open connection: nothing may go out on it."""
         for way in WAYS:
             with self.subTest(way):
-                town = Town(self)
-                _, line = town.idle_line()
+                town = SocketHarness(self)
+                _, line = town.idle_connection()
                 viewer = town.viewer()
-                town.side(viewer)
+                town.director_stream(viewer)
                 viewer.write(set_up(2))
                 leaves(town, viewer, way, len(set_up(2)))
                 town.turns()
-                self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
+                self.assertEqual([m.method for _, m in town.nodes["a"].receive()], [])
                 self.assertEqual((len(town.director.open), len(town.director.controller.plays)), (0, 0))
 
     def test_left_behind_more_than_one_read(self):
         """Hundreds of set-ups and the viewer's end behind them: the first of them were read turns before that end."""
         for way in "closed", "half closed":
             with self.subTest(way):
-                town = Town(self)
-                town.idle_line()
+                town = SocketHarness(self)
+                town.idle_connection()
                 viewer = town.viewer()
-                side = town.side(viewer)
+                side = town.director_stream(viewer)
                 viewer.sock.setblocking(True)
                 viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
                 side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
                 viewer.write(b"".join(set_up(n) for n in range(2, 900)))
                 leaves(town, viewer, way)
                 town.turns(40)
-                self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
+                self.assertEqual([m.method for _, m in town.nodes["a"].receive()], [])
                 self.assertEqual((len(town.director.open), len(town.director.controller.plays)), (0, 0))
 
     def test_left_as_the_connection_to_the_node_comes_up(self):
         """Both are told in one turn, the connection first: the set-up that waited on it may not leave before the end is read."""
         for way in WAYS:
             with self.subTest(way):
-                town = Town(self)
-                town.connections_first()
+                town = SocketHarness(self)
+                town.report_connects_first()
                 viewer = town.viewer()
                 viewer.write(set_up(2))
-                town.until(lambda: town.director.nodes.connections())
+                town.run_until(lambda: town.director.nodes.connections())
                 leaves(town, viewer, way)
                 line, = town.director.nodes.by_id["a"].connections
                 town.test.assertTrue(select.select([], [line.stream.sock], [], 20)[1])   # it has come up
                 town.turns()
-                self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
+                self.assertEqual([m.method for _, m in town.nodes["a"].receive()], [])
                 self.assertEqual(len(town.director.open), 0)
 
     def test_left_while_others_are_decided(self):
         """Each decision takes 30 ms of this clock; viewers leave while the others' are made. Reading has its turn between them."""
         now, begun, left = [0.0], {}, {}
-        town = Town(self, now=lambda: now[0])
+        town = SocketHarness(self, now=lambda: now[0])
         viewers = {n: town.viewer() for n in range(1, 31)}
         town.turns(3)
         for n, viewer in viewers.items():
             viewer.write(set_up(n))
-        decide, allocate = town.director.controller.decide, town.director.allocating.allocate
+        decide, allocate = town.director.controller.decide, town.director.allocator.allocate
 
         def slow(*args):
             plays = len(town.director.controller.pending) if len(args) < 2 else 1
@@ -97,7 +97,7 @@
         def allocated(ply, verdict):
             begun[int(ply.session, 16)] = now[0]
             return allocate(ply, verdict)
-        town.director.controller.decide, town.director.allocating.allocate = slow, allocated
+        town.director.controller.decide, town.director.allocator.allocate = slow, allocated
         town.turns(60)
         self.assertGreater(len(begun), 5)
         self.assertEqual({n: begun[n] - left[n] for n in left if begun.get(n, 0) - left[n] > GONE_MS}, {})
@@ -109,28 +109,28 @@
         for out_ms, behind, shared in (1.0, False, False), (500.0, False, False), (1.0, True, False), (1.0, False, True), (1.0, True, True):
             with self.subTest(out_ms, behind=behind, shared=shared):
                 now = [10_000.0]
-                town = Town(self, now=lambda: now[0])
-                _, line = town.idle_line()
+                town = SocketHarness(self, now=lambda: now[0])
+                _, line = town.idle_connection()
                 stream, = [line.stream for line in town.director.nodes.by_id["a"].connections]
                 while not stream.queued:                 # to the brim; then as much is read as lets our system take the set-up, no more
                     stream.write(rtsp.request("OPTIONS", "ping", "0" * 16) * 20)
                 stream.take_back(stream.out[0])
                 viewer = town.viewer()
-                town.side(viewer)
+                town.director_stream(viewer)
                 viewer.write(set_up(2))
-                ply = town.until(lambda: town.director.open.get(f"{2:016x}"))
+                ply = town.run_until(lambda: town.director.open.get(f"{2:016x}"))
                 town.turns()
-                while ply.connection.state(ply.session) != life.OUT:
+                while ply.connection.state(ply.session) != life.SENT:
                     line.sock.recv(4096)
                     town.turns(2)
                 while behind and not stream.queued:
                     stream.write(rtsp.request("OPTIONS", "ping", "0" * 16) * 20)
                 if shared:                               # another viewer's set-up goes on the same connection
-                    town.director.nodes.most = 1
+                    town.director.nodes.max_connections = 1
                     other = town.viewer()
-                    town.side(other)
+                    town.director_stream(other)
                     other.write(set_up(3))
-                    town.until(lambda: len(ply.connection.plays) == 2)
+                    town.run_until(lambda: len(ply.connection.plays) == 2)
                 now[0] += out_ms
                 leaves(town, viewer, "closed")
                 town.turns()
@@ -149,50 +149,50 @@
     # Guards against a set-up for a viewer whose wait ran out while its connection waited to be accepted by a process that stood still.
     def test_a_wait_that_ran_out_before_its_connection_was_accepted(self):
         now = [10_000.0]
-        town = Town(self, now=lambda: now[0])
+        town = SocketHarness(self, now=lambda: now[0])
         town.turns(3)
         viewer = town.viewer()
         viewer.write(set_up(2, patience="150"))
         now[0] += 800.0
         town.turns(6)
-        self.assertEqual([m.kind for m in viewer.hear()], [binary.RELEASE])
-        self.assertEqual(town.nodes["a"].hear(), [])
+        self.assertEqual([m.kind for m in viewer.receive()], [binary.RELEASE])
+        self.assertEqual(town.nodes["a"].receive(), [])
 
     def test_left_while_its_next_try_is_due(self):
         """The node is full; the end of the viewer comes in the same turn as that answer: nobody is asked a second time."""
         for way in WAYS:
             with self.subTest(way):
-                town = Town(self, nodes=("a", "b"))
+                town = SocketHarness(self, nodes=("a", "b"))
                 viewer = town.viewer()
                 viewer.write(set_up(2))
-                node = town.until(lambda: next((name for name in town.nodes if (heard := town.nodes[name].hear()) and
+                node = town.run_until(lambda: next((name for name in town.nodes if (heard := town.nodes[name].receive()) and
                                                 heard[0][0].write(answer(heard[0][1].session, 453, b"")) is None), None))
                 leaves(town, viewer, way)
                 town.turns()
-                self.assertEqual([m.method for _, m in town.nodes["b" if node == "a" else "a"].hear()], [])
+                self.assertEqual([m.method for _, m in town.nodes["b" if node == "a" else "a"].receive()], [])
                 self.assertEqual(len(town.director.open), 0)
 
     def test_left_behind_more_than_one_read_with_a_further_try_due(self):
         """The node refuses; the viewer's end lies behind hundreds of its other messages: it is read before anybody else is asked."""
         for way in "closed", "half closed":
             with self.subTest(way):
-                town = Town(self, nodes=("a", "b"))
+                town = SocketHarness(self, nodes=("a", "b"))
                 for name in "a", "b":
                     town.director.nodes.by_id[name].dial()       # up, so that nothing waits
-                town.until(lambda: all(line.up for node in town.director.nodes.by_id.values() for line in node.connections))
+                town.run_until(lambda: all(line.up for node in town.director.nodes.by_id.values() for line in node.connections))
                 viewer = town.viewer()
-                side = town.side(viewer)
+                side = town.director_stream(viewer)
                 viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
                 side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
                 viewer.write(set_up(2))
-                name, line = town.until(lambda: next(((name, found[0][0]) for name in town.nodes if (found := town.nodes[name].hear())), None))
+                name, line = town.run_until(lambda: next(((name, found[0][0]) for name in town.nodes if (found := town.nodes[name].receive())), None))
                 line.write(answer(f"{2:016x}", 453, b""))
-                town.lies_there(town.director.open[f"{2:016x}"].connection.stream, len(answer(f"{2:016x}", 453, b"")))
+                town.wait_for_unread(town.director.open[f"{2:016x}"].connection.stream, len(answer(f"{2:016x}", 453, b"")))
                 viewer.sock.setblocking(True)
                 viewer.write(binary.encode(binary.TEST, "0" * 16, (222, b"\0")) * 9_000)
                 leaves(town, viewer, way)
                 town.turns(40)
-                self.assertEqual([m.method for _, m in town.nodes["b" if name == "a" else "a"].hear()], [])
+                self.assertEqual([m.method for _, m in town.nodes["b" if name == "a" else "a"].receive()], [])
                 self.assertEqual((len(town.director.open), len(town.director.controller.plays)), (0, 0))
 
 
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -6,7 +6,7 @@
 from laddergw.platform import assignment as assignments
 from laddergw.signalling import binary
 from tests.platform_town import answer, event, member, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 TOLD_AFTER_BREAK_MS, TOLD_AFTER_SILENCE_MS = 2_000.0, 4_000.0   # by then it counts as told: the platform's terms
 
@@ -18,14 +18,14 @@
 class Lists(unittest.TestCase):
     def setUp(self):
         self.now = [10_000.0]
-        self.town = Town(self, nodes=("a", "b"), now=lambda: self.now[0])
-        self.told, listed = [], self.town.director.listing.listed
-        self.town.director.follower.told = lambda one: (self.told.append(one.number), listed(one))
+        self.town = SocketHarness(self, nodes=("a", "b"), now=lambda: self.now[0])
+        self.told, listed = [], self.town.director.fleet_list.apply_event
+        self.town.director.change_log.on_event = lambda one: (self.told.append(one.number), listed(one))
         self.town.log.setblocking(False)
         self.ends = []
 
     def pass_(self, ms):
-        self.town.passes(self.now, ms)
+        self.town.advance_clock(self.now, ms)
 
     def come(self, most_ms):
         """The next connection at the change log within that time: what it asked for, and the socket."""
@@ -60,8 +60,8 @@
     def say(self, sock, data):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.sendall(data)
-        stream = self.town.director.follower.stream
-        self.town.lies_there(stream, len(data))
+        stream = self.town.director.change_log.stream
+        self.town.wait_for_unread(stream, len(data))
         self.town.turns(2)
 
     def event(self, number, **changes):
@@ -99,9 +99,9 @@
     def test_one_that_never_comes_up_at_the_start(self):
         """Its connection stays on its way: it is begun again and again, in time each time, and what was said meanwhile is asked for."""
         select = self.town.loop.selector.select
-        self.town.loop.selector.select = lambda wait: [(key, mask) for key, mask in select(wait) if key.data is not self.town.director.follower.stream]
-        dials, dial = [], self.town.director.follower.dial
-        self.town.director.follower.dial = lambda: (dials.append(self.now[0]), dial())
+        self.town.loop.selector.select = lambda wait: [(key, mask) for key, mask in select(wait) if key.data is not self.town.director.change_log.stream]
+        dials, dial = [], self.town.director.change_log.dial
+        self.town.director.change_log.dial = lambda: (dials.append(self.now[0]), dial())
         since = self.now[0]
         self.pass_(6_000)
         self.assertGreaterEqual(len(dials), 4)
@@ -119,7 +119,7 @@
         two = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(two.close)
         old.sendall(lines(self.event(2)))
-        self.town.lies_there(self.town.director.follower.stream, len(lines(self.event(2))))
+        self.town.wait_for_unread(self.town.director.change_log.stream, len(lines(self.event(2))))
         self.town.director.change(self.town.director.assignment._replace(changelog=two.getsockname()))
         self.town.turns(3)
         self.assertEqual(self.told, [])
@@ -131,10 +131,10 @@
         self.say(new, lines(self.event(2)))
         self.assertEqual(self.told, [2])
         # and while a dial is under way, that never comes up
-        self.town.director.follower.switch(two.getsockname())
-        self.town.director.follower.dial()
-        stream = self.town.director.follower.stream
-        self.town.director.follower.switch(two.getsockname())
+        self.town.director.change_log.switch_address(two.getsockname())
+        self.town.director.change_log.dial()
+        stream = self.town.director.change_log.stream
+        self.town.director.change_log.switch_address(two.getsockname())
         self.assertIsNone(stream.sock)
         self.assertEqual(self.come(TOLD_AFTER_SILENCE_MS)[0], b"since 2\n")
 
@@ -150,11 +150,11 @@
         known(self.event(1))
         self.assertEqual(self.told, [2])
         known(self.event(2), self.event(3))
-        self.assertEqual((self.told, self.town.director.follower.last), ([2], 3))   # taken from the file
+        self.assertEqual((self.told, self.town.director.change_log.last_number), ([2], 3))   # taken from the file
         self.say(log, lines(self.event(3), self.event(4)))
         self.assertEqual(self.told, [2, 4])
         known(self.event(7))                                       # 5 and 6 are not in it
-        self.assertEqual(self.town.director.follower.last, 4)
+        self.assertEqual(self.town.director.change_log.last_number, 4)
         self.say(log, lines(self.event(5), self.event(6), self.event(7)))
         self.assertEqual(self.told, [2, 4, 5, 6, 7])
 
@@ -163,17 +163,17 @@
         _, log = self.come(200)
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         port = self.town.nodes["b"].port
         self.say(log, lines(self.event(2, phase="DELETED"), event(3, member("a", 1, since=1) | {"host_port": f"127.0.0.1:{port}"}),
                             event(4, member("b", 1, phase="DELETED"))))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         self.assertEqual(self.town.director.standing, {})
         self.pass_(2_000)                                          # (a rest after what it broke)
         viewer.write(set_up(2))
-        self.assertEqual(self.town.come("b")[1].session, f"{2:016x}")       # node a, at the address that was b's
+        self.assertEqual(self.town.wait_for_set_up("b")[1].session, f"{2:016x}")       # node a, at the address that was b's
 
     def test_a_new_node_at_the_address_of_a_dead_one(self):
         """The old process dies, and its successor answers at its address before we have dialled again: what it says is no sign that the
@@ -181,22 +181,22 @@
         _, log = self.come(200)
         viewer = self.town.viewer()
         viewer.write(set_up(1, figures="home:0;copies:1;top:2"))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         line.close()                                               # its listener is the successor's from here on
-        self.town.until(lambda: self.town.nodes["a"].hear() or len(self.town.nodes["a"].connections) > 1)
+        self.town.run_until(lambda: self.town.nodes["a"].receive() or len(self.town.nodes["a"].connections) > 1)
         self.say(log, lines(self.event(2, phase="DELETED"), event(3, member("c", 1, since=1) | {"host_port": f"127.0.0.1:{self.town.nodes['a'].port}"})))
         self.assertEqual(self.town.director.standing, {})
-        self.assertEqual([m.kind for m in self.town.until(viewer.hear)], [binary.RELEASE])
+        self.assertEqual([m.kind for m in self.town.run_until(viewer.receive)], [binary.RELEASE])
 
     def test_one_that_drips(self):
         """A byte now and then, and never a whole line: it tells no more than one that is silent."""
         _, log = self.come(200)
-        since, stream = self.now[0], self.town.director.follower.stream
+        since, stream = self.now[0], self.town.director.change_log.stream
         data = lines(self.event(2))[:20]
         for at in range(len(data)):
-            if self.town.director.follower.stream is not stream:
+            if self.town.director.change_log.stream is not stream:
                 break
             self.say(log, data[at:at + 1])
             self.pass_(500)
@@ -206,17 +206,17 @@
     def test_a_drain_takes_back_what_waits_for_its_connection(self):
         """Told in the turn in which the connection comes up, the connection first: nothing leaves to a node that drains."""
         _, log = self.come(200)
-        self.town.connections_first()
+        self.town.report_connects_first()
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        self.town.until(lambda: self.town.director.nodes.connections())
+        self.town.run_until(lambda: self.town.director.nodes.connections())
         name = next(node.id for node in self.town.director.nodes.by_id.values() if node.connections)
         port = self.town.nodes[name].port
         log.sendall(lines(event(2, member(name, 1, phase="DRAINING", cell="ab".index(name)) | {"host_port": f"127.0.0.1:{port}"})))
-        self.town.lies_there(self.town.director.follower.stream, 100)
+        self.town.wait_for_unread(self.town.director.change_log.stream, 100)
         self.town.turns()
-        self.assertEqual([m.method for _, m in self.town.nodes[name].hear()], [])
-        self.assertEqual(self.town.come("b" if name == "a" else "a")[1].session, f"{1:016x}")
+        self.assertEqual([m.method for _, m in self.town.nodes[name].receive()], [])
+        self.assertEqual(self.town.wait_for_set_up("b" if name == "a" else "a")[1].session, f"{1:016x}")
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_repeats.py
+++ b/tests/test_orders_repeats.py
@@ -4,7 +4,7 @@
 
 from laddergw.signalling import binary
 from tests.platform_town import TREE, answer, release, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 WINDOW_MS, SHARE, TAKEN = 1_000.0, 0.1, 20
 
@@ -24,21 +24,21 @@
         that comes up late, leaves when those plays are out of the window."""
         now = [10_000.0]
         settings = json.loads(json.dumps(TREE)) | {"Rules": {"FreeResends": 0, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
-        town = Town(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
+        town = SocketHarness(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
         viewer, taken, sent = town.viewer(), [], []
         town.director.controller.fleet.nodes[2].rest = 1e12              # all go to a at first
         for n in range(1, TAKEN + 1):
             viewer.write(set_up(n))
-            line, message = town.come("a")
+            line, message = town.wait_for_set_up("a")
             line.write(answer(message.session))
-            town.until(viewer.hear)
+            town.run_until(viewer.receive)
             line.write(release(n, 16))
-            town.until(lambda: not town.director.standing)
+            town.run_until(lambda: not town.director.standing)
             taken.append(now[0])
         now[0] += WINDOW_MS - 30.0
         town.turns(3)
         viewer.write(set_up(50))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         taken.append(now[0])
         town.director.controller.fleet.nodes[2].rest = 0.0
         self.late_connections(town, now[0] + 200.0)
@@ -46,50 +46,50 @@
         for _ in range(40):
             now[0] += 10.0
             town.turns(2)
-            sent += [now[0] for _, m in town.nodes["b"].hear() if m.method == "SETUP"]
+            sent += [now[0] for _, m in town.nodes["b"].receive() if m.method == "SETUP"]
         for at in sent:
             earned = SHARE * sum(at - WINDOW_MS <= when <= at for when in taken)
             self.assertLessEqual(1, earned, f"a further try left at {at}, the window's plays earn {earned:.1f}")
-        self.assertEqual(viewer.hear()[-1].parameters[binary.CAUSE][0], 42)
+        self.assertEqual(viewer.receive()[-1].parameters[binary.CAUSE][0], 42)
 
     def test_a_further_try_well_within_its_window_goes_out(self):
         """The same, decided early: it is sent, though its connection comes up late."""
         now = [10_000.0]
         settings = json.loads(json.dumps(TREE)) | {"Rules": {"FreeResends": 1, "ExtraRatio": SHARE, "CountedOver": int(WINDOW_MS * 1000)}}
-        town = Town(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
+        town = SocketHarness(self, nodes=("a", "b"), now=lambda: now[0], settings=settings)
         viewer = town.viewer()
         town.director.controller.fleet.nodes[2].rest = 1e12
         viewer.write(set_up(1))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         town.director.controller.fleet.nodes[2].rest = 0.0
         self.late_connections(town, now[0] + 200.0)
         line.write(answer(message.session, 453, b""))
         for _ in range(40):
             now[0] += 10.0
             town.turns(2)
-        self.assertEqual([m.session for _, m in town.nodes["b"].hear() if m.method == "SETUP"], [f"{1:016x}"])
+        self.assertEqual([m.session for _, m in town.nodes["b"].receive() if m.method == "SETUP"], [f"{1:016x}"])
 
     def test_a_paid_play_is_not_sent_again_whatever_was_seen(self):
         """The node closes an idle connection as we write on it; cuts it behind the set-up; answers what cannot be read."""
         for name, act in {"closes": lambda line: line.close(), "resets": lambda line: line.reset(),
                           "spoils": lambda line: line.write(b"\xff\xff\xff")}.items():
             with self.subTest(name):
-                town = Town(self, nodes=("a", "b"))
+                town = SocketHarness(self, nodes=("a", "b"))
                 town.director.controller.fleet.nodes[2].rest = 1e12
-                _, line = town.idle_line()
+                _, line = town.idle_connection()
                 viewer = town.viewer()
-                town.side(viewer)
+                town.director_stream(viewer)
                 town.director.controller.fleet.nodes[2].rest = 0.0
                 town.director.controller.fleet.nodes[1].room = 0.0
-                allocate = town.director.allocating.allocate
+                allocate = town.director.allocator.allocate
                 acts = [act]
-                town.director.allocating.allocate = lambda *what: (acts and acts.pop()(line), allocate(*what))   # between two lines
+                town.director.allocator.allocate = lambda *what: (acts and acts.pop()(line), allocate(*what))   # between two lines
                 viewer.write(set_up(2, product="paid"))
-                town.until(lambda: town.director.counts["failed"] or town.nodes["b"].connections or town.nodes["b"].accept())
+                town.run_until(lambda: town.director.counts["failed"] or town.nodes["b"].connections or town.nodes["b"].accept())
                 town.turns()
                 # It has left once at the most: what was refused by our own system has not
                 left = town.director.counts["set-up: broken"] + town.director.counts["set-up: error"]
-                self.assertEqual(left + sum(m.method == "SETUP" for _, m in town.nodes["b"].hear()), 1)
+                self.assertEqual(left + sum(m.method == "SETUP" for _, m in town.nodes["b"].receive()), 1)
 
     def test_a_connection_about_to_be_closed_as_idle_is_not_used(self):
         """The node closes idle connections after a stated time, and does so as a paid set-up is written: it would have failed."""
@@ -98,36 +98,36 @@
         for idle_ms, fresh in (9_000.0, False), (9_900.0, True):
             with self.subTest(idle_ms):
                 now = [10_000.0]
-                town = Town(self, now=lambda: now[0], settings=settings)
-                _, old = town.idle_line()
+                town = SocketHarness(self, now=lambda: now[0], settings=settings)
+                _, old = town.idle_connection()
                 now[0] += idle_ms
                 town.turns(3)
                 viewer = town.viewer()
-                town.side(viewer)
-                allocate = town.director.allocating.allocate
+                town.director_stream(viewer)
+                allocate = town.director.allocator.allocate
                 if fresh:
-                    town.director.allocating.allocate = lambda *what: (old.close(), allocate(*what))
+                    town.director.allocator.allocate = lambda *what: (old.close(), allocate(*what))
                 viewer.write(set_up(2, product="paid"))
-                line, message = town.come("a")
+                line, message = town.wait_for_set_up("a")
                 self.assertEqual(line is old, not fresh)
                 line.write(answer(message.session))
-                self.assertEqual([m.kind for m in town.until(viewer.hear)], [binary.ANSWER])
+                self.assertEqual([m.kind for m in town.run_until(viewer.receive)], [binary.ANSWER])
 
     def test_a_dial_that_was_given_up_carries_nothing(self):
         """The connection comes up after the time for it: the set-up went elsewhere, and nothing comes on the first."""
         now = [10_000.0]
-        town = Town(self, nodes=("a", "b"), now=lambda: now[0])
+        town = SocketHarness(self, nodes=("a", "b"), now=lambda: now[0])
         viewer = town.viewer()
         town.director.controller.fleet.nodes[1].rest = 1e12              # b first
         self.late_connections(town, now[0] + 1_000.0)
         viewer.write(set_up(1, product="paid"))
-        town.until(lambda: town.director.nodes.connections())
+        town.run_until(lambda: town.director.nodes.connections())
         town.director.controller.fleet.nodes[1].rest = 0.0
         for _ in range(120):
             now[0] += 10.0
             town.turns(2)
-        self.assertEqual([m.session for _, m in town.nodes["a"].hear() if m.method == "SETUP"], [f"{1:016x}"])
-        self.assertEqual([m.method for _, m in town.nodes["b"].hear()], [])
+        self.assertEqual([m.session for _, m in town.nodes["a"].receive() if m.method == "SETUP"], [f"{1:016x}"])
+        self.assertEqual([m.method for _, m in town.nodes["b"].receive()], [])
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_scarce.py
+++ b/tests/test_orders_scarce.py
@@ -7,7 +7,7 @@
 
 from laddergw.signalling import binary
 from tests.platform_town import answer, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 AWAY, TEST = 42, binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
 
@@ -34,16 +34,16 @@
 class Scarce(unittest.TestCase):
     def setUp(self):
         self.now = [10_000.0]
-        self.town = Town(self, now=lambda: self.now[0])
+        self.town = SocketHarness(self, now=lambda: self.now[0])
 
     def pass_(self, ms):
-        self.town.passes(self.now, ms)
+        self.town.advance_clock(self.now, ms)
 
     def test_a_stop_while_the_listener_waits_for_a_descriptor(self):
         """A connection that could not be accepted waits as the order to stop comes: the process ends, and it gets its answer and an end."""
         first = self.town.viewer()
         first.write(TEST)
-        self.town.until(first.hear)
+        self.town.run_until(first.receive)
         late = socket.socket()
         self.addCleanup(late.close)
         late.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -72,10 +72,10 @@
             self.town.viewer().write(b"\xff" * 50)
             self.town.turns(3)
         self.assertEqual(len(self.town.loop.lingering), 3)
-        self.town.director.follower.again("it breaks off")
+        self.town.director.change_log.reconnect("it breaks off")
         with scarce():
             self.pass_(60)
-            self.assertIsNotNone(self.town.director.follower.stream)
+            self.assertIsNotNone(self.town.director.change_log.stream)
             self.assertEqual(len(self.town.loop.lingering), 2)
 
     def test_closed_connections_give_way_to_new_viewers(self):
@@ -92,17 +92,17 @@
     def test_a_dial_without_a_descriptor_tells_nothing_of_its_node(self):
         """The node has done nothing: it is neither ill nor paced, and a later play goes there."""
         viewer = self.town.viewer()
-        self.town.side(viewer)
+        self.town.director_stream(viewer)
         with scarce():
             viewer.write(set_up(1))
-            self.town.lies_there(self.town.side(viewer), len(set_up(1)))
+            self.town.wait_for_unread(self.town.director_stream(viewer), len(set_up(1)))
             self.town.turns(6)
         node = self.town.director.controller.fleet.nodes[1]
         self.assertEqual((node.ill, node.rest), (0, 0.0))
         viewer.write(set_up(2))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.assertIn(binary.ANSWER, [m.kind for m in self.town.until(lambda: [m for m in viewer.hear() if m.session == f"{2:016x}"])])
+        self.assertIn(binary.ANSWER, [m.kind for m in self.town.run_until(lambda: [m for m in viewer.receive() if m.session == f"{2:016x}"])])
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -5,7 +5,7 @@
 from laddergw.platform.director import HEAR_MS, PART_MS, STOP_LEAST_MS
 from laddergw.signalling import binary
 from tests.platform_town import answer, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 TEST = binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
 AWAY, BROKEN = 42, 41      # causes
@@ -16,11 +16,11 @@
 class Stopping(unittest.TestCase):
     def setUp(self):
         self.now = [0.0]
-        self.town = Town(self, now=lambda: self.now[0])
+        self.town = SocketHarness(self, now=lambda: self.now[0])
 
     def to_the_end(self):
         """Turns of 10 ms of the handed-in clock until the director has ended, then what its process does last; the time it took."""
-        return self.town.to_the_end(self.now)
+        return self.town.run_to_end(self.now)
 
     def in_the_last_turn(self, act):
         """Does something when all of the last turn's reading is over."""
@@ -33,13 +33,13 @@
         self.town.director.leave = last
 
     def causes(self, viewer, digits=1):
-        return [(m.session[-digits:], m.parameters[binary.CAUSE][0]) for m in viewer.hear() if m.kind == binary.RELEASE]
+        return [(m.session[-digits:], m.parameters[binary.CAUSE][0]) for m in viewer.receive() if m.kind == binary.RELEASE]
 
     def test_what_comes_in_the_very_last_turn_is_answered(self):
         """On an open connection, on one that waits to be accepted, and on hundreds that do."""
         open_one, late = self.town.viewer(), []
         open_one.write(TEST)
-        self.town.until(open_one.hear)
+        self.town.run_until(open_one.receive)
 
         def act():
             open_one.write(set_up(2))
@@ -57,7 +57,7 @@
     def test_more_than_one_read_in_the_very_last_turn(self):
         """Hundreds of set-ups lie on one connection: each is declined, also those behind what one read takes."""
         viewer = self.town.viewer()
-        side = self.town.side(viewer)
+        side = self.town.director_stream(viewer)
         viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
         side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         data = b"".join(set_up(n) for n in range(1, 901))
@@ -66,7 +66,7 @@
             viewer.sock.setblocking(True)
             viewer.write(data)
             viewer.sock.setblocking(False)
-            self.town.lies_there(side, len(data))
+            self.town.wait_for_unread(side, len(data))
         self.in_the_last_turn(act)
         self.town.director.stop()
         self.to_the_end()
@@ -76,12 +76,12 @@
         """It would stand at its node with nobody to hold it."""
         viewer = self.town.viewer()
         viewer.write(TEST)
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         self.in_the_last_turn(lambda: viewer.write(set_up(5, figures="home:0;copies:3;top:2;at:a")))
         self.town.director.stop()
         self.to_the_end()
         self.assertEqual((self.causes(viewer), viewer.ended), ([("5", BROKEN)], "end"))
-        self.assertEqual([m.method for _, m in self.town.nodes["a"].hear()], ["TEARDOWN"])
+        self.assertEqual([m.method for _, m in self.town.nodes["a"].receive()], ["TEARDOWN"])
 
     def test_an_answer_beside_bytes_that_are_not_read(self):
         """The last thing said to a viewer is not taken from it by a reset, though it goes on talking."""
@@ -99,27 +99,27 @@
         """The viewer has heard of the end of its play at once; the connection on which its node is to hear of it is still coming up."""
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         line.close()
         self.town.director.stop()
         self.in_the_last_turn(lambda: self.town.director.listener.releases.acknowledged(message.session))
-        say, node = self.town.director.allocating.say, self.town.director.nodes.by_id["a"]
+        say, node = self.town.director.allocator.send_to_node, self.town.director.nodes.by_id["a"]
 
         def told(where, data, *ends):
             for line in list(node.connections):        # the node has just closed it
                 node.connections.remove(line)
                 line.stream.abort()
             return say(where, data, *ends)
-        self.town.director.allocating.say = told
+        self.town.director.allocator.send_to_node = told
         self.to_the_end()
-        self.assertEqual([m.method for _, m in self.town.nodes["a"].hear() if m.method != "OPTIONS"], ["TEARDOWN"])
+        self.assertEqual([m.method for _, m in self.town.nodes["a"].receive() if m.method != "OPTIONS"], ["TEARDOWN"])
 
     def test_a_viewer_that_does_not_read_holds_nobody_up(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
         self.town.turns(5)
         stream = next(iter(self.town.director.listener.viewers)).stream
@@ -127,7 +127,7 @@
             stream.write(b"\0\x09\x06" + b"\0" * 8)      # progress, which means nothing
         self.town.director.stop()
         self.assertLess(self.to_the_end(), 3_000 + 350 + HEAR_MS + PART_MS + 50)
-        self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].hear()])
+        self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].receive()])
 
     def test_a_set_up_half_read_as_the_order_comes(self):
         """Its rest comes after the order to stop: it is taken then, and declined; a rest that never comes holds nobody up."""
@@ -135,28 +135,28 @@
         data = set_up(2)
         viewer.write(data[:40])
         other.write(data[:40])
-        self.town.lies_there(self.town.side(viewer), 0)
+        self.town.wait_for_unread(self.town.director_stream(viewer), 0)
         self.town.turns(3)
         self.town.director.stop()
         self.town.turns(2)
         viewer.write(data[40:])
-        self.assertEqual(self.town.until(lambda: self.causes(viewer)), [("2", AWAY)])
+        self.assertEqual(self.town.run_until(lambda: self.causes(viewer)), [("2", AWAY)])
         self.assertLess(self.to_the_end(), STOP_LEAST_MS + HEAR_MS + PART_MS + 50)
-        self.assertEqual((viewer.hear(), viewer.ended, other.hear(), other.ended), ([], "end", [], "end"))
+        self.assertEqual((viewer.receive(), viewer.ended, other.receive(), other.ended), ([], "end", [], "end"))
 
     # Guards against a stop that begins to count when a process that stood still hears of it, and is killed before its end.
     def test_an_order_to_stop_that_waited_while_the_process_stood_still(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         self.now[0] += STOOD_STILL_MS
         self.town.loop.soon(self.town.director.stop)
         self.town.turn()
         ordered = self.now[0] - STOOD_STILL_MS
         while not (heard := self.causes(viewer)) and self.now[0] - ordered < KILL_MS:
-            self.town.passes(self.now, 10.0)
+            self.town.advance_clock(self.now, 10.0)
         self.assertEqual(heard, [("1", BROKEN)])
 
     def test_signals_together(self):
@@ -177,16 +177,16 @@
         """Its answer lies unread as we give the set-up up: it is told so, and no reset takes that from it."""
         viewer = self.town.viewer()
         viewer.write(set_up(1, product="paid"))
-        line, message = self.town.come("a")
-        drop = self.town.director.allocating.drop_set_up
+        line, message = self.town.wait_for_set_up("a")
+        drop = self.town.director.allocator.drop_set_up
 
         def act(ply, fact):
             line.write(answer(message.session))
             return drop(ply, fact)
-        self.town.director.allocating.drop_set_up = act
+        self.town.director.allocator.drop_set_up = act
         viewer.close()
         self.town.turns()
-        self.assertEqual(([m.method for m in line.hear()], line.ended), (["TEARDOWN"], "end"))
+        self.assertEqual(([m.method for m in line.receive()], line.ended), (["TEARDOWN"], "end"))
         line.close()
         self.town.turns(3)
         self.assertEqual(len(self.town.loop.lingering), 0)
@@ -195,18 +195,18 @@
 class Closing(unittest.TestCase):
     def test_a_refusal_before_a_close_arrives(self):
         """A viewer that sends on behind what cannot be read hears its refusal all the same, then the end."""
-        town = Town(self)
+        town = SocketHarness(self)
         viewer = town.viewer()
         viewer.write(set_up(2, product="none") + b"\xff" * 50)
         town.director.listener.admission.heard, heard = lambda *what: (heard(*what), viewer.write(b"\xff" * 50)), town.director.listener.admission.heard
         town.turns()
-        found = viewer.hear()
+        found = viewer.receive()
         self.assertEqual(([m.parameters[binary.CAUSE][0] for m in found], viewer.ended), ([95], "end"))
 
     def test_closed_connections_hold_few_descriptors(self):
         """Peers that never end their side, by hundreds: the oldest are cut off; the last ones too, in time."""
         now = [0.0]
-        town = Town(self, now=lambda: now[0])
+        town = SocketHarness(self, now=lambda: now[0])
         for n in range(200):
             town.viewer().write(b"\xff" * 50)
             town.turns(2)
@@ -218,7 +218,7 @@
 
     def test_a_viewer_that_does_not_read_is_closed_at_once(self):
         """It held its connection, and its plays, for as long as it liked: a close waited for what was queued."""
-        town = Town(self)
+        town = SocketHarness(self)
         viewer = town.viewer()
         town.turns(2)
         side = next(iter(town.director.listener.viewers))
@@ -227,7 +227,7 @@
         side.close("too many")
         self.assertEqual((side.stream, len(town.director.listener.viewers)), (None, 0))
         self.assertEqual(town.loop.lingering, {})
-        viewer.hear()
+        viewer.receive()
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -131,14 +131,14 @@
 class Tables(unittest.TestCase):
     def test_what_proves_that_it_never_ran(self):
         never = {face.FULL, face.UNREACHABLE, face.NEVER_SENT}
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.TAKEN_BACK, life.FULL, life.MOOT):
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.WITHDRAWN, life.FULL, life.SESSION_UNKNOWN):
             self.assertIn(life.outcome(life.UNSENT, fact), never, fact)
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.ERROR, life.RESET, life.BROKEN_OFF, life.GIVEN_UP):
-            self.assertNotIn(life.outcome(life.OUT, fact), never, fact)
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.THERE, life.FULL):
-            self.assertIsNone(life.outcome(life.HELD, fact), fact)
-        self.assertEqual([life.end(c) for c in (16, 31, 41, 0)], [life.ENDED, life.LEFT, life.BROKEN_OFF, life.BROKEN_OFF])
-        self.assertEqual([life.answer(s) for s in (200, 453, 599)], [life.THERE, life.FULL, life.ERROR])
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.ERROR, life.RESET, life.INTERRUPTED, life.CANCELLED):
+            self.assertNotIn(life.outcome(life.SENT, fact), never, fact)
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.ACCEPTED, life.FULL):
+            self.assertIsNone(life.outcome(life.RUNNING, fact), fact)
+        self.assertEqual([life.event_of_cause(c) for c in (16, 31, 41, 0)], [life.ENDED, life.VIEWER_LEFT, life.INTERRUPTED, life.INTERRUPTED])
+        self.assertEqual([life.event_of_status(s) for s in (200, 453, 599)], [life.ACCEPTED, life.FULL, life.ERROR])
 
     def test_one_decoder_for_both_ways(self):
         values = settings.flatten(TREE)
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -98,10 +98,10 @@
     def test_what_is_told_as_never_sent_never_leaves(self):
         """Seen on sockets: a set-up was taken back while its connection came up, then written out on it, and the play went elsewhere too."""
         def drain(town):
-            town.director.listing.listed(changes.event_of(event(2, member("a", 1, "DRAINING"))))
+            town.director.fleet_list.apply_event(changes.event_of(event(2, member("a", 1, "DRAINING"))))
 
         def late(town):
-            town.director.allocating.late(town.director.open[f"{1:016x}"])
+            town.director.allocator.set_up_timed_out(town.director.open[f"{1:016x}"])
 
         def leave(town):
             town.director.admission.viewer_ends(town.director_side(), f"{1:016x}")
@@ -112,7 +112,7 @@
             for shared in False, True:
                 with self.subTest(act.__name__, shared=shared):
                     town = Town()
-                    town.director.nodes.most = 1 if shared else 22
+                    town.director.nodes.max_connections = 1 if shared else 22
                     town.director.controller.fleet.nodes[2].rest = 1e12      # node b: all go to a
                     town.viewer()
                     town.director.admission.heard(town.director_side(), message(set_up(1, product="paid")))
@@ -121,7 +121,7 @@
                     town.director.turn_ends()
                     line, = town.director.nodes.by_id["a"].connections
                     self.assertEqual((line.up, len(line.plays)), (False, 1 + shared))
-                    town.director.controller.fleet.nodes[2].rest, town.director.nodes.most = 0.0, 22
+                    town.director.controller.fleet.nodes[2].rest, town.director.nodes.max_connections = 0.0, 22
                     town.hosts["director"].soon(lambda: act(town))
                     town.run(50)
                     got = [part for part in town.lines if "node a gets SETUP" in part]
@@ -162,7 +162,7 @@
             node.dial()
             line = node.connections[-1]
             line.closed(line.stream, SHORT)
-        self.assertEqual((node.silent, len(town.director.standing)), (0, 1))
+        self.assertEqual((node.unanswered_dials, len(town.director.standing)), (0, 1))
 
     def test_what_has_left_in_part_is_cut_off(self):
         town = Town(nodes=("a",))
