--- a/benchmarks/broken_fleets.py
+++ b/benchmarks/broken_fleets.py
@@ -15,7 +15,7 @@
     "no ramp": "from laddergw.control import candidates; candidates.Candidates.ramp_allows = lambda self, now, node: True",
     "deaf to leaving": "from laddergw.platform import admission, viewers; viewers.ViewerConnection.closed = lambda self, stream, why: self.listener.connection_closed(self); "
                        "admission.Admission.viewer_gave_up = lambda self, ply: None",
-    "sends to who drains": "from laddergw.platform import listing as d; d.STATES = dict(d.STATES, DRAINING='ready')",
+    "sends to who drains": "from laddergw.platform import fleet_list as d; d.STATES = dict(d.STATES, DRAINING='ready')",
     "ends at once": "from laddergw.platform import director as d; d.Director.stop = lambda self: self.loop.stop()",
     "sends paid plays again": "from laddergw.control import plays; plays.Allocations.setup_ended = lambda self, now, ply, node, outcome: setattr(ply, 'pending_setup', None)",
     "does not end": "from laddergw.platform import director as d; d.Director.stop = lambda self: None",
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -117,7 +117,7 @@
             if play.viewer.stream.more:
                 self.deferred_plays.append(play)
             elif play.pending_outcome is not None:
-                self.director.allocating.ending.report_outcome(play)
+                self.director.allocator.ending.report_outcome(play)
             else:
                 ask = play.request.play_request._replace(
                     wait_ms=max(0.0, play.deadline - self.director.loop.now)
@@ -144,7 +144,7 @@
         if session not in self.director.running_plays:
             self.director.count("handed over")
             log.debug("%s: handed over on %s, plays at node %s", session, viewer, node.id)
-            play = self.director.running_plays[session] = node.held[session] = Play(
+            play = self.director.running_plays[session] = node.running_plays[session] = Play(
                 request, session, viewer
             )
             play.node, play.number, play.is_running = node, 0, True
@@ -154,7 +154,7 @@
                 request.play_request,
                 node.number,
             )
-            if not node.connections and self.director.nodes.room(of_held=False):
+            if not node.connections and self.director.nodes.make_room(include_serving=False):
                 node.dial()  # what the node tells of it comes on any connection
         return None
 
@@ -166,16 +166,15 @@
             session
         ):  # it gave up as our answer left: what stood is released to it too
             log.debug("%s.%d: ended by its viewer on %s", play.session, play.number, viewer)
-            self.director.allocating.release(play)
+            self.director.allocator.release(play)
             self.director.listener.send_until_acknowledged(
                 viewer, binary.RELEASE, session, (binary.CAUSE, bytes([ENDED]))
             )
             self.director.feed(
                 self.director.controller.viewer_left, self.director.loop.now, play.id
             )
-            self.director.allocating.ending.allocation_ended(
-                play, allocation.HELD, allocation.GIVEN_UP
-            )
+            self.director.allocator.ending.allocation_ended(
+                play, allocation.RUNNING, allocation.CANCELLED)
         elif (play := self.director.open_requests.get(session)) and play.viewer is viewer:
             return self.viewer_gave_up(play)
         elif (
@@ -197,7 +196,7 @@
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
         self.director.feed(self.director.controller.viewer_left, self.director.loop.now, play.id)
-        self.director.allocating.give_up(play)
+        self.director.allocator.cancel(play)
 
     def fail_overdue(self, play: Play) -> None:
         """The last guard of the one answer: whatever holds it up, it is failed in time."""
@@ -226,7 +225,7 @@
         )
         self.director.count("declined" if cause == DECLINED else "failed")
         play.viewer.refuse(play.session, cause, *more)
-        self.director.allocating.give_up(play)
+        self.director.allocator.cancel(play)
 
     def start_play(self, play: Play, description: bytes) -> None:
         """The play stands: its viewer gets the description that its node gave."""
@@ -234,7 +233,7 @@
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
         play.is_running, play.answered_at = True, self.director.loop.now
-        self.director.running_plays[play.session] = play.node.held[play.session] = play
+        self.director.running_plays[play.session] = play.node.running_plays[play.session] = play
         play.viewer.write(binary.ANSWER, play.session, (binary.DESCRIPTION, description))
         self.director.listener.mark_served(play.viewer)
         log.debug("%s.%d: plays, answered on %s", play.session, play.number, play.viewer)
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -2,7 +2,7 @@
 
 Order within a turn as in every director: what was read is told, then timers, then `decide`. Viewers
 are answered at the admission (admission.py),
-allocations are carried out in allocating.py; here are the configuration, the list, verdicts, and
+allocations are carried out in allocator.py; here are the configuration, the list, verdicts, and
 the process's end.
 """
 
@@ -15,11 +15,11 @@
 from laddergw.hosting import ControllerHost
 from laddergw.platform import allocation
 from laddergw.platform.admission import Admission
-from laddergw.platform.allocating import Allocating
+from laddergw.platform.allocator import Allocator
 from laddergw.platform.causes import BROKEN, DECLINED, FAILED
 from laddergw.platform.configuration import Configuration, keep_numbers
-from laddergw.platform.following import Follower
-from laddergw.platform.listing import Listing
+from laddergw.platform.change_log import ChangeLogClient
+from laddergw.platform.fleet_list import FleetList
 from laddergw.platform.nodes import Nodes
 from laddergw.platform.plays import Play
 from laddergw.platform.viewers import ViewerListener
@@ -56,25 +56,25 @@
         self.stopping_since: float | None = None  # since when
         self.is_exiting = False  # all is over but its connections' ends
         self.controller = Controller(configuration.deployment, configuration.seed, loop.now)
-        self.admission, self.allocating = Admission(self), Allocating(self)
+        self.admission, self.allocator = Admission(self), Allocator(self)
         self.nodes = Nodes(
             loop,
-            self.allocating,
+            self.allocator,
             int(NODE_SOCKET_SHARE * configuration.sockets),
             configuration.connect_ms,
             configuration.idle_ms,
         )
-        self.listing = Listing(self)
+        self.fleet_list = FleetList(self)
         for event in configuration.known_events:
-            self.listing.listed(event)
+            self.fleet_list.apply_event(event)
         self.listener = ViewerListener(
             loop,
             self.admission,
             configuration.listen,
             int(VIEWER_SOCKET_SHARE * configuration.sockets),
         )
-        self.follower = Follower(
-            loop, configuration.changelog, configuration.last_event, self.listing.listed
+        self.change_log = ChangeLogClient(
+            loop, configuration.changelog, configuration.last_event, self.fleet_list.apply_event
         )
         loop.at_turn_end(self.finish_turn)
         loop.after(COUNTS_INTERVAL_MS, self.log_counts)
@@ -107,7 +107,7 @@
         if found.deployment != before.deployment:
             self.feed(self.controller.update_deployment, self.loop.now, found.deployment)
         self.listener.set_max_connections(int(VIEWER_SOCKET_SHARE * found.sockets))
-        self.nodes.most, self.nodes.connect_ms, self.nodes.idle_ms = (
+        self.nodes.max_connections, self.nodes.connect_ms, self.nodes.idle_ms = (
             int(NODE_SOCKET_SHARE * found.sockets),
             found.connect_ms,
             found.idle_ms,
@@ -117,18 +117,22 @@
             self.feed(
                 self.controller.update_fleet,
                 self.loop.now,
-                [self.listing.line_of(node) for node in self.nodes.by_id.values() if not node.gone],
+                [
+                    self.fleet_list.entry_of(node)
+                    for node in self.nodes.by_id.values()
+                    if not node.gone
+                ],
                 False,
             )
         # After a gap only a whole list is applied; the change log has the missing events.
         for event in found.known_events:
-            if event.number > self.follower.last and (
-                event.whole or event.number == self.follower.last + 1
+            if event.number > self.change_log.last_number and (
+                event.whole or event.number == self.change_log.last_number + 1
             ):
-                self.follower.last = event.number
-                self.listing.listed(event)
+                self.change_log.last_number = event.number
+                self.fleet_list.apply_event(event)
         if found.changelog != before.changelog:
-            self.follower.switch(found.changelog)
+            self.change_log.switch_address(found.changelog)
 
     def stop(self) -> None:
         """Takes nothing new; what stands goes on while it may.
@@ -163,8 +167,8 @@
 
     def release_all_plays(self) -> None:
         for play in list(self.running_plays.values()):
-            self.allocating.release(play)
-            self.allocating.ending.remove_running(play)
+            self.allocator.release(play)
+            self.allocator.ending.remove_running(play)
             self.listener.send_until_acknowledged(
                 play.viewer, binary.RELEASE, play.session, (binary.CAUSE, bytes([BROKEN]))
             )
@@ -174,16 +178,16 @@
         unread takes that along.
         """
         self.is_exiting = True
-        if (self.listener.releases or self.nodes.unsent()) and self.loop.now < latest:
+        if (self.listener.releases or self.nodes.has_unsent()) and self.loop.now < latest:
             self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
         else:
-            self.follower.stop()
+            self.change_log.stop()
             more = True
             while more:
                 more = self.listener.read_last_messages()
                 self.release_all_plays()  # what was handed over just now
                 self.listener.close_all()
-            self.nodes.shut()
+            self.nodes.shut_down()
             self.exit_when_closed(self.loop.now + CLOSE_WAIT_MS)
 
     def exit_when_closed(self, latest: float) -> None:
@@ -221,7 +225,7 @@
         if play is None:
             return
         if verdict.node is not None:
-            self.allocating.allocate(play, verdict)
+            self.allocator.allocate(play, verdict)
         elif verdict.answer is not None:
             declined = verdict.answer == interface.DECLINED
             self.admission.finish(
@@ -230,12 +234,12 @@
                 *([self.admission.retry_after(verdict.retry_after_ms)] if declined else ()),
             )
         elif verdict.move and play.is_running:
-            self.allocating.release(play)
+            self.allocator.release(play)
             self.listener.send_until_acknowledged(play.viewer, binary.MOVE, play.session)
-            self.allocating.ending.allocation_ended(play, allocation.HELD, allocation.GIVEN_UP)
+            self.allocator.ending.allocation_ended(play, allocation.RUNNING, allocation.CANCELLED)
         elif verdict.rung is not None and play.is_running:
             self.count("steps")
-            self.allocating.say(
+            self.allocator.send_to_node(
                 play.node,
                 rtsp.request(
                     "SET_PARAMETER",
--- a/laddergw/platform/play_ending.py
+++ b/laddergw/platform/play_ending.py
@@ -26,7 +26,7 @@
         if play.is_running:
             self.remove_running(play)
             if (
-                fact != allocation.GIVEN_UP
+                fact != allocation.CANCELLED
             ):  # who has left hears it too: the answer may be on its way
                 cause = bytes([self.release_cause(play, fact)])
                 self.director.listener.send_until_acknowledged(
@@ -34,9 +34,9 @@
                 )
         elif play.connection is not None:
             if play.session in play.connection.plays:
-                play.connection.settle(play.session)
+                play.connection.close_set_up(play.session)
             play.connection = None
-            play.node.open.pop(play.session, None)
+            play.node.open_set_ups.pop(play.session, None)
         self.record_outcome(play, outcome, report)
 
     def release_cause(self, play: Play, fact: str) -> int:
@@ -45,14 +45,14 @@
         One that has left, by its node's word, while our answer was on its way to it does not take
         that answer for one: the release is its final answer, and has to be one.
         """
-        if fact in (allocation.BROKEN_OFF, allocation.LOST):
+        if fact in (allocation.INTERRUPTED, allocation.NODE_LOST):
             return BROKEN
         on_its_way = self.director.loop.now - play.answered_at <= ANSWER_DELIVERY_MS
-        return FAILED if fact == allocation.LEFT and on_its_way else ENDED
+        return FAILED if fact == allocation.VIEWER_LEFT and on_its_way else ENDED
 
     def remove_running(self, play: Play) -> None:
         self.director.running_plays.pop(play.session, None)
-        play.node.held.pop(play.session, None)
+        play.node.running_plays.pop(play.session, None)
 
     def record_outcome(self, play: Play, outcome: str, report: tuple = ()) -> None:
         if play.timeout_timer is not None:
