--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -41,13 +41,13 @@
             self.handle_set_up(viewer, message)
         elif message.kind == binary.RELEASE:
             self.handle_release(viewer, message.session)
-        elif message.kind == binary.TEST:
+        elif message.kind == binary.PING:
             viewer.write(
-                binary.TESTED,
+                binary.PONG,
                 message.session,
                 (binary.CAUSE, bytes([self.director.stopping_since is None])),
             )
-        elif message.kind == binary.HEARD:
+        elif message.kind == binary.RELEASE_ACK:
             self.director.listener.releases.acknowledged(message.session)
         elif message.kind != binary.PROGRESS:
             viewer.close("a director's message")
@@ -127,7 +127,7 @@
                 )
 
     def is_hand_over(self, message: binary.Message) -> bool:
-        return b"at:" in (message.parameters or {}).get(binary.FIGURES, b"")
+        return b"at:" in (message.parameters or {}).get(binary.ATTRIBUTES, b"")
 
     def accept_hand_over(
         self, viewer: ViewerConnection, session: str, request: requests.Request
@@ -159,7 +159,7 @@
         return None
 
     def retry_after(self, ms: float | None) -> tuple[int, bytes]:
-        return binary.AWAY, b"%d" % (ms or 0)
+        return binary.RETRY_AFTER, b"%d" % (ms or 0)
 
     def handle_release(self, viewer: ViewerConnection, session: str) -> None:
         if play := self.director.running_plays.get(
@@ -181,7 +181,7 @@
             session not in self.director.open_requests
         ):  # its hand-over may be on its way on another connection
             self.director.loop.after(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
-        return viewer.write(binary.HEARD, session)
+        return viewer.write(binary.RELEASE_ACK, session)
 
     def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
         if (play := self.director.running_plays.get(session)) and play.request.playing_at:
--- a/laddergw/platform/allocator.py
+++ b/laddergw/platform/allocator.py
@@ -58,7 +58,7 @@
         node.open_set_ups[play.session], play.connection = play, connection
         connection.set_up(
             play,
-            rtsp.request(
+            rtsp.encode_request(
                 "SETUP",
                 r.title,
                 play.session,
@@ -91,7 +91,7 @@
         log.debug("%s.%d: release to node %s", play.session, play.number, play.node.id)
         self.send_to_node(
             play.node,
-            rtsp.request(
+            rtsp.encode_request(
                 "TEARDOWN", play.request.title, play.session, (("Reason", f"cause={ENDED}"),)
             ),
             play.session,
@@ -106,7 +106,7 @@
         play = node.running_plays.get(message.session) or node.open_set_ups.get(message.session)
         if message.method == "TEARDOWN":
             connection.stream.write(
-                rtsp.answer(200, "OK", message.sequence or "2", message.session)
+                rtsp.encode_response(200, "OK", message.cseq or "2", message.session)
             )
             if play is None:
                 log.debug(
@@ -199,7 +199,9 @@
             and not connection.arrived(end)
         )
         if state == allocation.SENT and not away:
-            connection.stream.write(rtsp.request("TEARDOWN", play.request.title, play.session))
+            connection.stream.write(
+                rtsp.encode_request("TEARDOWN", play.request.title, play.session)
+            )
         if not connection.plays and connection in connection.node.connections:
             connection.end(allocation.CONNECTION_LOST) if away else connection.close(ARRIVE_MS)
             connection.node.renew()
--- a/laddergw/platform/change_log.py
+++ b/laddergw/platform/change_log.py
@@ -73,7 +73,7 @@
             self.pause = min(2 * self.pause, AGAIN_MS[1])
 
     def opened(self, stream) -> None:
-        stream.write(changes.since(self.last_number))
+        stream.write(changes.since_request(self.last_number))
 
     def emptied(self, stream) -> None:
         pass
--- a/laddergw/platform/configuration.py
+++ b/laddergw/platform/configuration.py
@@ -68,7 +68,7 @@
         values = settings.flatten(told)
         deployment, read = settings.decode(values), settings.SettingsReader(values)
         known, products = (
-            changes.known(tree["known"]),
+            changes.parse_initial_events(tree["known"]),
             number_names([grade["Name"] for grade in told["Grades"]], "Grades"),
         )
         grades = range(len(deployment.products))
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -127,7 +127,7 @@
         # After a gap only a whole list is applied; the change log has the missing events.
         for event in found.known_events:
             if event.number > self.change_log.last_number and (
-                event.whole or event.number == self.change_log.last_number + 1
+                event.is_complete or event.number == self.change_log.last_number + 1
             ):
                 self.change_log.last_number = event.number
                 self.fleet_list.apply_event(event)
@@ -241,7 +241,7 @@
             self.count("steps")
             self.allocator.send_to_node(
                 play.node,
-                rtsp.request(
+                rtsp.encode_request(
                     "SET_PARAMETER",
                     play.request.title,
                     play.session,
--- a/laddergw/platform/requests.py
+++ b/laddergw/platform/requests.py
@@ -59,7 +59,7 @@
     if message.parameters is None:
         raise UnusableRequestError("parameters that do not fit")
     deployment, figures = configuration.deployment, {}
-    for part in text_parameter(message, binary.FIGURES).split(";"):
+    for part in text_parameter(message, binary.ATTRIBUTES).split(";"):
         name, mark, value = part.partition(":")
         if not mark or name in figures:
             raise UnusableRequestError(f"figures: {part[:40]!r}")
@@ -86,7 +86,7 @@
         math.inf
         if at
         else parse_number(
-            text_parameter(message, binary.PATIENCE),
+            text_parameter(message, binary.WAIT_LIMIT),
             "patience",
             0,
             MAX_PATIENCE_RATIO * configuration.longest_limit_ms,
--- a/tests/socket_harness.py
+++ b/tests/socket_harness.py
@@ -192,7 +192,7 @@
         self.run_until(viewer.receive)
         line.write(release(session, 16))
         self.run_until(lambda: [m for m in viewer.receive() if m.kind == binary.RELEASE])
-        viewer.write(binary.encode(binary.HEARD, f"{session:016x}"))
+        viewer.write(binary.encode(binary.RELEASE_ACK, f"{session:016x}"))
         self.turns(3)
         line.receive()
         return viewer, line
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -165,7 +165,7 @@
         line.write(answer(message.session))
         town.run_until(viewer.receive)
         b = member("b", 1, cell=1) | {"host_port": f"127.0.0.1:{town.nodes['b'].port}"}
-        town.director.fleet_list.apply_event(changes.event_of(event(2, b, whole=True)))
+        town.director.fleet_list.apply_event(changes.parse_event(event(2, b, whole=True)))
         mine = town.director.configuration
         town.director.apply_configuration(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known_events=[]))
         self.assertEqual([node.state for node in town.director.controller.fleet.nodes.values()], [face.GONE, face.READY])
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -146,7 +146,7 @@
 
         def known(*events):
             tree = {"seq": events[-1]["seq"], "results": list(events)}
-            self.town.director.apply_configuration(mine._replace(known_events=configurations.changes.known(tree), last_event=tree["seq"]))
+            self.town.director.apply_configuration(mine._replace(known_events=configurations.changes.parse_initial_events(tree), last_event=tree["seq"]))
         known(self.event(1))
         self.assertEqual(self.told, [2])
         known(self.event(2), self.event(3))
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -98,7 +98,7 @@
     def test_what_is_told_as_never_sent_never_leaves(self):
         """Seen on sockets: a set-up was taken back while its connection came up, then written out on it, and the play went elsewhere too."""
         def drain(town):
-            town.director.fleet_list.apply_event(changes.event_of(event(2, member("a", 1, "DRAINING"))))
+            town.director.fleet_list.apply_event(changes.parse_event(event(2, member("a", 1, "DRAINING"))))
 
         def late(town):
             town.director.allocator.set_up_timed_out(town.director.open_requests[f"{1:016x}"])
