--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -101,7 +101,7 @@
         play.deadline = self.director.loop.now + max(
             0.0, request.play_request.wait_ms - viewer.stall_ms - ANSWER_MARGIN_MS
         )
-        play.deadline_timer = self.director.loop.at(
+        play.deadline_timer = self.director.loop.call_at(
             play.deadline + OVERDUE_GRACE_MS, lambda: self.fail_overdue(play)
         )
         return self.deferred_plays.append(play)
@@ -114,7 +114,7 @@
         for play in fresh:
             if self.director.open_requests.get(play.session) is not play:
                 continue
-            if play.viewer.stream.more:
+            if play.viewer.stream.may_have_more:
                 self.deferred_plays.append(play)
             elif play.pending_outcome is not None:
                 self.director.allocator.ending.report_outcome(play)
@@ -180,7 +180,7 @@
         elif (
             session not in self.director.open_requests
         ):  # its hand-over may be on its way on another connection
-            self.director.loop.after(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
+            self.director.loop.call_later(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
         return viewer.write(binary.RELEASE_ACK, session)
 
     def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
--- a/laddergw/platform/allocator.py
+++ b/laddergw/platform/allocator.py
@@ -79,7 +79,7 @@
             play.connection,
             verdict.timeout_ms,
         )
-        play.timeout_timer = self.director.loop.after(
+        play.timeout_timer = self.director.loop.call_later(
             verdict.timeout_ms, lambda: self.set_up_timed_out(play)
         )
 
@@ -206,5 +206,5 @@
             connection.end(allocation.CONNECTION_LOST) if away else connection.close(ARRIVE_MS)
             connection.node.renew()
         elif state == allocation.SENT:  # others share it
-            self.director.loop.after(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
+            self.director.loop.call_later(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
         self.ending.allocation_ended(play, state, fact, report)
--- a/laddergw/platform/change_log.py
+++ b/laddergw/platform/change_log.py
@@ -49,7 +49,7 @@
     def listen_out(self, wait_ms: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.after(wait_ms, lambda: self.reconnect("silent"))
+        self.timer = self.loop.call_later(wait_ms, lambda: self.reconnect("silent"))
 
     def switch_address(self, address: tuple[str, int] | None) -> None:
         """Goes over to another address; the numbers go on."""
@@ -69,16 +69,16 @@
             stream.abort()
         log.info("change log: %s; again from %d in %.0f ms", why, self.last_number, self.pause)
         if self.address is not None:
-            self.timer = self.loop.after(self.pause, self.dial)
+            self.timer = self.loop.call_later(self.pause, self.dial)
             self.pause = min(2 * self.pause, AGAIN_MS[1])
 
     def opened(self, stream) -> None:
         stream.write(changes.since_request(self.last_number))
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         if stream is not self.stream:
             return
         self.part += len(data)
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -76,25 +76,25 @@
         self.change_log = ChangeLogClient(
             loop, configuration.changelog, configuration.last_event, self.fleet_list.apply_event
         )
-        loop.at_turn_end(self.finish_turn)
-        loop.after(COUNTS_INTERVAL_MS, self.log_counts)
+        loop.on_turn_end(self.finish_turn)
+        loop.call_later(COUNTS_INTERVAL_MS, self.log_counts)
         self.feed(self.controller.wake, loop.now)
 
     def count(self, what: str) -> None:
         self.counts[what] += 1
 
     def log_counts(self) -> None:
-        self.loop.after(COUNTS_INTERVAL_MS, self.log_counts)
+        self.loop.call_later(COUNTS_INTERVAL_MS, self.log_counts)
         log.info(
             "open %d, standing %d, viewers %d, connections to nodes %d, lag %.0f ms; %s",
             len(self.open_requests),
             len(self.running_plays),
             len(self.listener.viewers),
             self.nodes.connections(),
-            self.loop.worst_lag,
+            self.loop.max_lag_ms,
             ", ".join(f"{name} {n}" for name, n in sorted(self.counts.items())),
         )
-        self.loop.worst_lag = 0.0
+        self.loop.max_lag_ms = 0.0
 
     # The configuration, the list, and the process's end
 
@@ -141,7 +141,7 @@
         """
         if self.stopping_since is not None:
             return
-        waited = self.loop.stalled
+        waited = self.loop.stall_ms
         self.stopping_since = ordered = self.loop.now - waited
         log.info(
             "stopping, ordered up to %.0f ms ago: open %d, standing %d",
@@ -152,8 +152,8 @@
         # Open requests may have longer limits than the current configuration.
         limits = [play.deadline - ordered for play in self.open_requests.values()]
         longest = max([self.configuration.longest_limit_ms, *limits])
-        self.loop.after(MIN_STOP_MS - waited, lambda: None)
-        self.loop.after(
+        self.loop.call_later(MIN_STOP_MS - waited, lambda: None)
+        self.loop.call_later(
             min(longest, MAX_COUNTED_LIMIT_MS) + STOP_GRACE_MS - waited, self.end_all_plays
         )
 
@@ -179,7 +179,7 @@
         """
         self.is_exiting = True
         if (self.listener.releases or self.nodes.has_unsent()) and self.loop.now < latest:
-            self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
+            self.loop.call_later(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
         else:
             self.change_log.stop()
             more = True
@@ -193,7 +193,7 @@
     def exit_when_closed(self, latest: float) -> None:
         """Its connections are closed; the process goes when its peers have read to their ends."""
         if (self.loop.open_streams or self.loop.lingering) and self.loop.now < latest:
-            self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_closed(latest))
+            self.loop.call_later(EXIT_POLL_MS, lambda: self.exit_when_closed(latest))
         else:
             self.loop.stop()
 
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -40,7 +40,7 @@
             allocator.answers.answered,
         )
         self.answers = allocator.answers
-        loop.after(LOOK_MS, self.look)
+        loop.call_later(LOOK_MS, self.look)
 
     def connections(self) -> int:
         return sum(len(node.connections) for node in self.by_number.values())
@@ -175,7 +175,7 @@
                 del self.by_id[node.id]
 
     def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
+        self.loop.call_later(LOOK_MS, self.look)
         self.let_speak(len(self.awaiting_connection))
         for node in sorted(
             (n for n in self.by_number.values() if n.running_plays), key=lambda n: n.heard
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -40,7 +40,7 @@
         self.partial_since = None  # since when a message has begun and not ended
         self.closing = False
         self.stall_ms = (
-            listener.loop.stalled
+            listener.loop.stall_ms
         )  # ms for which it may have waited to be accepted, and what it said first with it
         self.name = listener.next_name()
 
@@ -52,15 +52,15 @@
         log.debug("%s: opened by %s", self, stream.peer)
         self.listener.connection_opened(self)
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.reader.feed(data)
         self.partial_since = (
             self.listener.loop.now if self.partial_since is None else self.partial_since
         )
-        self.stall_ms = max(self.stall_ms, self.listener.loop.stalled)
+        self.stall_ms = max(self.stall_ms, self.listener.loop.stall_ms)
         try:
             while self.stream is not None and (message := self.reader.next()) is not None:
                 self.partial_since = self.last_used = self.listener.loop.now
@@ -137,7 +137,7 @@
         self.releases = Releases(loop, self.viewers, admission.count)
         self.connection_count = 0
         self.acceptor = loop.listen(address, lambda stream: ViewerConnection(self))
-        loop.after(CHECK_INTERVAL_MS, self.check_connections)
+        loop.call_later(CHECK_INTERVAL_MS, self.check_connections)
 
     def next_name(self) -> str:
         """Of a viewers' connection, for the log."""
@@ -189,7 +189,7 @@
             for _ in range(MAX_LAST_READS):
                 if viewer.stream is not None:
                     viewer.stream.read_now()
-                if viewer.stream is None or not viewer.stream.more:
+                if viewer.stream is None or not viewer.stream.may_have_more:
                     break
         more = starved and any(v.stream is not None and not v.stream.queued for v in self.viewers)
         if not more:
@@ -206,7 +206,7 @@
         self.releases.connection_ended(viewer)
 
     def check_connections(self) -> None:
-        self.loop.after(CHECK_INTERVAL_MS, self.check_connections)
+        self.loop.call_later(CHECK_INTERVAL_MS, self.check_connections)
         now = self.loop.now
         for viewer in list(self.viewers):
             if viewer.close_reason(now):
