--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -174,13 +174,16 @@
                 self.director.controller.viewer_left, self.director.loop.now, play.id
             )
             self.director.allocator.ending.allocation_ended(
-                play, allocation.RUNNING, allocation.CANCELLED)
+                play, allocation.RUNNING, allocation.CANCELLED
+            )
         elif (play := self.director.open_requests.get(session)) and play.viewer is viewer:
             return self.viewer_gave_up(play)
         elif (
             session not in self.director.open_requests
         ):  # its hand-over may be on its way on another connection
-            self.director.loop.call_later(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
+            self.director.loop.call_later(
+                CROSSING_MS, lambda: self.end_late_hand_over(viewer, session)
+            )
         return viewer.write(binary.RELEASE_ACK, session)
 
     def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
--- a/laddergw/platform/connection.py
+++ b/laddergw/platform/connection.py
@@ -88,7 +88,9 @@
             self.node.renew()
 
     def state(self, session: str) -> str:
-        return allocation.SENT if self.stream.bytes_sent >= self.ends[session] else allocation.UNSENT
+        return (
+            allocation.SENT if self.stream.bytes_sent >= self.ends[session] else allocation.UNSENT
+        )
 
     def set_up(self, play, data: bytes) -> None:
         self.plays[play.session], self.set_ups[play.session], self.used = play, data, self.loop.now
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -128,7 +128,9 @@
         self.fleet.let_speak(1)
         if not connection.up:
             self.unanswered_dials += why != CONNECTION_REFUSED
-            if why == CONNECTION_REFUSED or (self.unanswered_dials >= SILENCES and not self.connections):
+            if why == CONNECTION_REFUSED or (
+                self.unanswered_dials >= SILENCES and not self.connections
+            ):
                 return self.lose(why)
         if self.running_plays and not self.connections:
             self.dial() if not self.gone else self.lose("gone from the list")
