--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -17,8 +17,8 @@
 from laddergw.platform.admission import Admission
 from laddergw.platform.allocator import Allocator
 from laddergw.platform.causes import BROKEN, DECLINED, FAILED
-from laddergw.platform.configuration import Configuration, keep_numbers
 from laddergw.platform.change_log import ChangeLogClient
+from laddergw.platform.configuration import Configuration, keep_numbers
 from laddergw.platform.fleet_list import FleetList
 from laddergw.platform.nodes import Nodes
 from laddergw.platform.plays import Play
