--- a/laddergw/control/candidates.py
+++ b/laddergw/control/candidates.py
@@ -1,5 +1,6 @@
-"""Which nodes that hold a title may be chosen: ready by the list, healthy, within the cold ramp,
-with load known.
+"""Selects the nodes that hold a title and may be chosen.
+
+They are ready by the fleet list, healthy, within the ramp of cold nodes, and their load is known.
 """
 
 import math
@@ -10,8 +11,8 @@
 from laddergw.control.fleet_state import DRAW_WEIGHT, MIX_FACTOR
 from laddergw.control.plays import decline_or_fail
 
-# So far over a link's or uplink's rate a play at its lowest rung beats a decline: steps that cost
-# much are taken back.
+# Share over a link's or uplink's rate up to which a play at its lowest rung beats a decline: other
+# plays' steps that cost most are taken back.
 LOWEST_RUNG_OVERLOAD = 0.05
 # First back-off of a node that failed; doublings at most: to 13 s, about a restart.
 BACKOFF_MS, MAX_BACKOFF_DOUBLINGS = 400.0, 5
@@ -78,7 +79,7 @@
             if shared:
                 node.rank = math.inf if node.free_rate > needed_rate else node.free_rate
                 node.tie_break = (
-                    crc32(b"%d %d" % (node.id, play.request.title)) * (MIX_FACTOR) % 2**32
+                    crc32(b"%d %d" % (node.id, play.request.title)) * MIX_FACTOR % 2**32
                 )
         play.candidates.sort(
             key=lambda node: (fleet.crossing_price(node), -node.rank, node.tie_break)
@@ -87,21 +88,21 @@
     def ramp_allows(self, now, node):
         """Whether a set-up may go to a node that is cold, or may be.
 
-        It may be after our own start, or after its failure.
+        Any node may be cold after our own start, and a node that failed may be.
         """
-        deployment, since = self.fleet.deployment, now - node.ramp_start
-        # Between our set-ups; the first comes after a random part of it
+        deployment, elapsed_ms = self.fleet.deployment, now - node.ramp_start
+        # Between this director's set-ups; the first comes after a random part of the gap
         gap = deployment.directors / max(
             self.warm_setup_rate(node) * self.fleet.warmth(now, node.ramp_start), 1e-9
         )
-        free = since >= deployment.warm_ms or node.ramp_start <= node.cold_since
-        free = free or now - max(node.last_setup, node.ramp_start - node.ramp_gap * gap) >= gap
-        return free and (
+        due = elapsed_ms >= deployment.warm_ms or node.ramp_start <= node.cold_since
+        due = due or now - max(node.last_setup, node.ramp_start - node.ramp_gap * gap) >= gap
+        return due and (
             now - node.cold_since >= deployment.warm_ms or self.has_planned_setup(now, node)
         )
 
     def warm_setup_rate(self, node):
-        """Returns the set-ups a ms that all directors plan for a node once it is warm."""
+        """Returns the set-ups per ms that all directors plan for a node once it is warm."""
         return (
             COLD_RAMP_SHARE
             * max(self.fleet.deployment.fall_multiple, 1)
@@ -115,23 +116,23 @@
         return self.warm_setup_rate(node) * warmth * max(at - node.cold_since, 0)
 
     def has_planned_setup(self, now, node):
-        """Whether one of the planned set-ups of a cold node is this director's now.
+        """Whether one of the planned set-ups of a cold node is this director's to send now.
 
-        Each planned set-up is one director's, in rotation. With no play for it it lapses, or a rush
-        would find many. In any span come those planned in it and those still live, under
-        N + root of N + 2 where N are allowed.
+        Each planned set-up belongs to one director, in rotation. It lapses when no play comes for
+        it, or a rush would find many of them. So any span gets those planned in it and those that
+        have not lapsed: fewer than N + sqrt(N) + 2 where N are allowed.
         """
         deployment, planned, planned_before = (
             self.fleet.deployment,
             self.planned_setups(node, now),
             self.planned_setups(node, now - self.fleet.deployment.fall_ms),
         )
-        # since: planned set-ups since this director's last; span: those allowed in the counted time
-        since, span = (
+        # since: planned set-ups since this director's last one; allowed: N, in the counted span
+        since, allowed = (
             (planned - deployment.number - node.rotation_offset) % deployment.directors,
             (planned - planned_before) / COLD_RAMP_SHARE,
         )
-        if not (since <= planned and since < (1 - COLD_RAMP_SHARE) * span + span**0.5 + 1):
+        if not (since <= planned and since < (1 - COLD_RAMP_SHARE) * allowed + allowed**0.5 + 1):
             return False
         return (
             node.last_setup < node.cold_since
@@ -139,9 +140,9 @@
         )
 
     def filter_healthy(self, now, play):
-        """Drops candidates in back-off, over their share while cold, or just failed.
+        """Drops candidates that back off, that had their share while cold, or that failed lately.
 
-        The last counts for paid plays, and for others while a set-up is out there.
+        The last holds for paid plays, and for others while another set-up to the node is open.
         """
         play.candidates = [
             node
@@ -159,7 +160,7 @@
         return None if play.candidates else decline_or_fail(self.fleet, play)
 
     def record_health(self, now, play, node, outcome):
-        """Takes in how an allocation at a node ended."""
+        """Takes in how an allocation at a node ended, for its health."""
         if node and outcome in (
             interface.ERROR,
             interface.TIMED_OUT,
@@ -170,7 +171,7 @@
             # It may be starting: its set-ups are paced when it answers
             if outcome in (interface.UNREACHABLE, interface.BROKEN):
                 node.ramp_start, node.ramp_gap = now, self.fleet.draw()
-        # It is fuller than was reported
+        # The node is fuller than was reported
         elif node and outcome == interface.FULL:
             node.record_others(
                 now,
@@ -188,12 +189,12 @@
             node.backoff_level = min(node.backoff_level + 1, MAX_BACKOFF_DOUBLINGS)
 
     def probe_first(self, now, play):
-        """Where load is told to probes only: asks the first candidate before the play is placed."""
+        """Probes the first candidate before a play is placed, where only probes report load."""
         play.candidates.sort(
             key=lambda n: n.probed_at is not None and now - n.probed_at >= PROBE_WAIT_MS
         )
-        # What left a probe unanswered comes last, it may stand still; too near its limit a play
-        # does not ask
+        # A node that left a probe unanswered comes last: it may stand still. A play too near its
+        # limit does not wait for a probe.
         node, late = play.candidates[0], play.answer_by - now <= 2 * PROBE_WAIT_MS
         if (
             not self.fleet.probes_only
--- a/laddergw/control/controller.py
+++ b/laddergw/control/controller.py
@@ -1,17 +1,18 @@
-"""Ties the parts of the decisions together: what happens goes in, verdicts come out."""
+"""Combines the parts of the decisions: events go in, verdicts come out."""
 
 import math
 
 from laddergw import interface
 from laddergw.control.candidates import Candidates
-from laddergw.control.fleet_state import DecayingSum, Fleet
+from laddergw.control.fleet_state import Fleet
+from laddergw.control.load_estimate import DecayingSum
 from laddergw.control.plays import RETRY_AFTER_MS, Allocations, Play
 from laddergw.control.prices import DEMAND_MEMORY_MS, Prices
 from laddergw.control.rungs import REVIEW_INTERVAL_MS, Rungs
 
 
 class Controller:
-    """The decisions of one director: told what happens, it answers with verdicts."""
+    """The decisions of one director. Each method takes in an event and returns `result()`."""
 
     def __init__(self, deployment, seed, now):
         self.plays, self.pending, self.next_review, self.list_request_at = (
@@ -40,18 +41,18 @@
         )
 
     def update_fleet(self, now, entries, whole):
-        """The fleet list has come, whole or its changes."""
+        """Takes in the fleet list, whole or as changes."""
         return self.result(self.fleet.update_nodes(now, entries, whole))
 
     def fleet_list_failed(self, now):
-        """The fleet list could not be had."""
+        """Asks for the fleet list again later, where it comes only when asked for."""
         self.list_request_at = now + (
             RETRY_AFTER_MS if self.fleet.deployment.must_ask else math.inf
         )
         return self.result()
 
     def update_deployment(self, now, deployment):
-        """The deployment is told, at the start or switched: plays keep their terms."""
+        """Takes in the deployment, at the start or at a switch; plays keep their terms."""
         self.list_request_at = (
             now
             if deployment.must_ask
@@ -67,28 +68,29 @@
         )
 
     def request_play(self, now, request):
-        """A viewer asks for a play: it is pending until decide()."""
+        """Takes in a viewer's request; the play is pending until decide()."""
         self.prices.record_length_hint(request)
         play = self.plays[request.play] = Play(request, self.fleet.deployment, now)
         self.allocations.play_times.extend([now] * (self.fleet.deployment.budget_free is not None))
         return self.result(self.pending.append(play))
 
     def decide(self, now, most=None):
-        """Decides pending plays, `most` at once, when all that came together is known.
+        """Decides pending plays, `most` at a time, all by default.
 
-        What came may hold a drain, or the leaving of a viewer.
+        The host calls it when all events that came together are known: one of them may be a drain,
+        or a viewer that leaves.
         """
         waiting, self.pending = self.pending[:most], self.pending[most:] if most else []
         return self.result([verdict for play in waiting for verdict in self.run_chain(now, play)])
 
     def observe_load(self, now, node_id, others):
-        """A planner's view has come: what others ask of a node, in kB/s."""
+        """Takes in a planner's view of what others ask of a node, in kB/s."""
         if node := self.fleet.nodes.get(node_id):
             node.record_others(now, max(0.0, others))
         return self.result()
 
     def take_over_play(self, now, request, node_id):
-        """A play that is under way at a node was handed over."""
+        """Takes in a play that is handed over while a node serves it."""
         play = self.plays[request.play] = Play(request, self.fleet.deployment, now)
         play.started_at, play.setup_count = now, 1
         # Arrivals are plays over their length: Little's law
@@ -98,13 +100,13 @@
         return self.result()
 
     def play_started(self, now, play_id, number, delay_ms, node_id):
-        """Set-up `number` of a play (from 0 on) was answered: the node serves it."""
+        """Takes in that a node serves a play, `delay_ms` after set-up `number` (from 0 on)."""
         if (play := self.plays.get(play_id)) and play.pending_setup == number + 1:
             self.allocations.setup_answered(now, play, delay_ms)
         return self.result()
 
     def allocation_ended(self, now, play_id, number, outcome, node_id, over, report):
-        """Allocation `number` of a play has ended; `over`: the play is too."""
+        """Takes in how allocation `number` of a play ended; `over`: the play has ended, too."""
         node, play = self.fleet.nodes.get(node_id), self.plays.get(play_id)
         node and report and self.rungs.receive_report(now, node, report)
         if play and play.setup_count - 1 == number and play not in self.pending:
@@ -116,7 +118,7 @@
         return self.result()
 
     def probe_ended(self, now, node_id, outcome, delay, report):
-        """A node's probe was answered, or failed."""
+        """Takes in the answer to a probe of a node, or its failure."""
         if (node := self.fleet.nodes.get(node_id)) is None:
             return self.result()
         node.probed_at, verdicts = None, []
@@ -129,24 +131,24 @@
         return self.result(verdicts)
 
     def receive_peer_report(self, now, sender, loads, shares):
-        """Another director has told loads of nodes, and shares delivered behind short uplinks."""
+        """Takes in another director's reports: loads of nodes, shares behind short uplinks."""
         return self.result(self.rungs.receive_peer_report(now, loads, shares))
 
     def update_play(self, now, play_id, node_id, kind, value):
-        """A note on a play under way has come."""
+        """Takes in a note on a play under way."""
         return self.result(
             self.rungs.receive_note(now, self.plays.get(play_id), node_id, kind, value)
         )
 
     def viewer_left(self, now, play_id):
-        """A play's viewer has left."""
+        """Takes in that a play's viewer has left."""
         if play := self.plays.get(play_id):
-            # It keeps its place until its allocation is told to end
+            # It keeps its place until its allocation has ended
             play.viewer_left = True
         return self.result()
 
     def wake(self, now):
-        """The wake time has come: waiting plays go on, and plays under way are reviewed."""
+        """At the wake time: resumes plays that waited long enough, reviews plays under way."""
         verdicts = (
             [interface.Verdict(request_fleet_list=True)] if now >= self.list_request_at else []
         )
--- a/laddergw/control/fleet_state.py
+++ b/laddergw/control/fleet_state.py
@@ -19,7 +19,7 @@
 UPLINK_STEP = 0.5  # weight of one note on what an uplink carries: a few notes settle it
 UPLINK_BOUNDS = 0.3, 3.0  # of a believed uplink over its stated rate; sagging links stretch it
 UPLINK_RETURN_MS = 30_000.0  # without shortage the belief returns to the stated rate: sags end
-# Share of a link that a step up leaves free; less of it where many share room
+# Share of a link that a step up leaves free; less of it where many share what is free
 STEP_UP_MARGIN, STEP_UP_SHARED = 0.25, 0.2
 LAYOUT = "racks", "rack_kb", "cells", "link_unit", "streams"  # the estimates are built on these
 MIX_FACTOR = 2_654_435_761  # odd; by the linear crc32 alone, similar seeds draw alike
@@ -50,7 +50,7 @@
         )
 
     def record_others(self, now, load):
-        """Others ask `load`. More than is ever asked: it gives less (it sags, or stands still)."""
+        """Takes in others' load. Above what is ever asked, the link gives less (sags, stalls)."""
         rate, change = (
             self.rate - self.known_kb.at(now),
             min(load, MAX_LOAD * self.rate) - self.known_load.at(now),
@@ -62,13 +62,12 @@
 
 
 class Rack(LoadEstimate):
-    """The nodes behind one uplink; `excess`: what it is believed to carry beyond that stated."""
+    """The nodes behind one uplink; `excess`: believed rate over stated; `reported_at`: of x1."""
 
     def __init__(self, number, stated_rate, now):
         super().__init__(now)
         self.number, self.stated_rate, self.nodes = number, stated_rate, {}
         self.excess = DecayingSum(UPLINK_RETURN_MS, now)
-        # reported_at: of the report's x1
         self.settle_until, self.reported_at, self.short_at, self.learned_at = 0.0, *[-math.inf] * 3
 
     def uplink_rate(self, now):
@@ -98,7 +97,8 @@
         for entry in entries:
             if entry.node not in self.nodes:
                 if entry.state == interface.GONE:
-                    continue  # (after our own start any may be cold)
+                    continue
+                # After our own start any node may be cold
                 self.nodes[entry.node] = Node(entry, now, -math.inf if self.has_list else now)
             self.set_state(now, node := self.nodes[entry.node], interface.GONE)
             if entry.state != interface.GONE:
@@ -236,7 +236,7 @@
             self.usable_rate(now, node),
             node.own - sum(change for at, change in node.changes if at > now - lag),
         )
-        if rate <= 0:  # weighted out, starting from nothing: a part of nothing tells no load
+        if rate <= 0:  # weighted out or starting from 0: a share of nothing is no load
             return
         node.record_others(now, others := max(0.0, load * rate - own))
         self.reports += 1
--- a/laddergw/control/plays.py
+++ b/laddergw/control/plays.py
@@ -1,15 +1,15 @@
-"""One play on its terms: how often and within which budget it may be set up, its final answer."""
+"""One play on its terms: its set-ups, the budget of its retries, its final answer."""
 
 from collections import deque
 
 from laddergw import interface
 
-# Usual length of a play, before hints (design page); weight of one hint in it.
-LENGTH_MS, LENGTH_STEP = 40_000.0, 0.02
+# Usual length of a play before hints (design page); weight of one hint in it.
+DEFAULT_LENGTH_MS, LENGTH_WEIGHT = 40_000.0, 0.02
 OVERDUE_SHARE = 0.25  # share of its length that an overdue play is still expected to last
 # Set-up time before any was seen; weight of one in the usual time.
-SETUP_START_MS, SETUP_STEP = 150.0, 0.1
-# Time-out of a set-up in usual set-up times (slow ones pass), and at least (a handshake fits).
+INITIAL_SETUP_MS, SETUP_WEIGHT = 150.0, 0.1
+# Time-out of a set-up: in usual set-up times, so that slow ones pass; at least, for a handshake.
 TIMEOUT_MULTIPLE, MIN_TIMEOUT_MS = 5.0, 300.0
 # Longest retry-after; it is spread over its upper half, against returns in one wave.
 RETRY_AFTER_MS = 1_000.0
@@ -29,7 +29,7 @@
             deployment,
         )
         self.length_ms, self.answer_by, self.rung_changed_at = (
-            request.length_ms or LENGTH_MS,
+            request.length_ms or DEFAULT_LENGTH_MS,
             now + request.wait_ms,
             now,
         )
@@ -39,7 +39,7 @@
             set(),
             0,
         )
-        # pending_setup: number of the set-up that is out, from 1 on
+        # pending_setup: number of the open set-up, from 1 on; None: none is open
         self.started_at = self.pending_setup = self.node = self.first_node = self.wait_until = (
             self.awaited_node
         ) = None
@@ -85,12 +85,12 @@
     """Set-ups sent out, and the budget of retries."""
 
     def __init__(self, fleet, prices):
-        self.fleet, self.prices, self.usual_setup_ms = fleet, prices, SETUP_START_MS
+        self.fleet, self.prices, self.usual_setup_ms = fleet, prices, INITIAL_SETUP_MS
         # Times counted for the budget: of plays taken, of their retries
         self.play_times, self.retry_times = deque(), deque()
 
     def check_terms(self, now, play):
-        """Answers a play that its product's terms or its own limit bar from a set-up."""
+        """Ends a play that its product's terms or its own limit bar from a set-up."""
         product, seats = (play.product, self.fleet.seats[play.request.product, play.request.title])
         barred = (play.may_have_run and product.repeat == "paid") or (
             product.seats and seats >= product.seats
@@ -100,7 +100,7 @@
             return decline_or_fail(self.fleet, play)
 
     def check_retry_budget(self, now, play):
-        """Answers a play whose retry the stated budget, counted over a sliding window, bars."""
+        """Ends a play whose retry exceeds the stated budget, counted over a sliding window."""
         if play.setup_count and (deployment := self.fleet.deployment).budget_free is not None:
             # A set-up leaves so much later, or never; 1: rounding
             late_ms = deployment.connect_ms + 1
@@ -138,7 +138,7 @@
         )
 
     def setup_ended(self, now, play, node, outcome):
-        """Takes in that the play's set-up or allocation is over."""
+        """Takes in that the play's set-up or allocation has ended."""
         play.wait_until = play.pending_setup = None
         if outcome not in (interface.FULL, interface.UNREACHABLE, interface.NEVER_SENT):
             play.may_have_run = True
@@ -146,7 +146,7 @@
     def setup_answered(self, now, play, delay_ms):
         """Takes in that a node serves the play, `delay_ms` after its set-up was sent."""
         play.started_at, play.rung_changed_at, play.pending_setup = now, now, None
-        self.usual_setup_ms += SETUP_STEP * (delay_ms - self.usual_setup_ms)
+        self.usual_setup_ms += SETUP_WEIGHT * (delay_ms - self.usual_setup_ms)
         play.node.backoff_level, play.node.backoff_until = (
             max(0, play.node.backoff_level - 2),
             0.0,
--- a/laddergw/control/prices.py
+++ b/laddergw/control/prices.py
@@ -5,33 +5,34 @@
 
 from operator import mul
 
-from laddergw.control.fleet_state import EVEN_SETUPS, SETUPS_MS, DecayingSum
-from laddergw.control.plays import LENGTH_MS, LENGTH_STEP, decline_or_fail
+from laddergw.control.fleet_state import EVEN_SETUPS, SETUPS_MS
+from laddergw.control.load_estimate import DecayingSum
+from laddergw.control.plays import DEFAULT_LENGTH_MS, LENGTH_WEIGHT, decline_or_fail
 
 # Memory of arrivals: a few dozen plays, short enough to follow a wave.
 DEMAND_MEMORY_MS = 15_000.0
-# Of the loop that solves the dual; a worth must beat its cost by this factor, over rounding.
+# Bounds of the loop that solves the dual; a worth must exceed its cost by more than rounding.
 DUAL_SWEEPS, DUAL_HALVINGS, COST_FACTOR = 4, 24, 1.000001
 
 
 class Prices:
-    """Demand as it was seen, and what it makes of a node's room."""
+    """Demand as observed, and the shadow prices that follow from it."""
 
     def __init__(self, fleet, now):
         self.fleet, self.demand, self.setups = fleet, [], DecayingSum(SETUPS_MS, now)
-        self.usual_length_ms, self.hint_count = LENGTH_MS, 1
+        self.usual_length_ms, self.hint_count = DEFAULT_LENGTH_MS, 1
 
     def record_length_hint(self, request):
-        """Takes in a request's hint: what will be asked for lasts as long as what is asked for."""
+        """Takes in a request's hint of its length: later plays are expected to last as long."""
         self.hint_count += bool(request.length_ms)
-        self.usual_length_ms += max(LENGTH_STEP, 1 / self.hint_count) * (
+        self.usual_length_ms += max(LENGTH_WEIGHT, 1 / self.hint_count) * (
             (request.length_ms or self.usual_length_ms) - self.usual_length_ms
         )
 
     def record_demand(self, now, play):
-        """Counts a play as demand once it was priced.
+        """Counts a play as demand, after its pricing.
 
-        Retries do not count: a storm of them priced out all plays, for good.
+        Retries do not count: a storm of them priced out all plays for good.
         """
         self.demand[play.request.product].add(
             now, (not (play.demand_counted or play.request.is_retry)) / DEMAND_MEMORY_MS
@@ -39,7 +40,7 @@
         play.demand_counted = True
 
     def choose_node(self, now, play):
-        """Gives the play to the first candidate at which a rung pays, or answers it."""
+        """Gives the play to the first candidate that offers a rung, or ends it."""
         for node in play.candidates:
             rung = self.best_rung(now, play, node, play.length_ms, node.free_rate)
             if rung is not None:
@@ -50,7 +51,7 @@
     def best_rung(self, now, play, node, length_ms, free_rate, current_rung=None):
         """Returns the highest rung that fits and whose payoff beats its cost at the node, or None.
 
-        `length_ms` is l_k of the policy. With a `current_rung` the play is under way.
+        `length_ms` is lk of the policy. With a `current_rung` the play is under way.
         """
         fleet = self.fleet
         if current_rung is None and (
@@ -118,9 +119,9 @@
         )
 
     def shadow_prices(self, now, node, horizon_ms):
-        """Returns the prices of a node's streams, link and uplink over the horizon (l_k).
+        """Returns the prices of a node's streams, link and uplink over the horizon (lk).
 
-        They are of the capacity that plays under way leave.
+        The capacity that they price is net of plays under way.
         """
         fleet, rack, deployment = self.fleet, node.rack, self.fleet.deployment
         link_rate, uplink_rate = fleet.usable_rate(now, node), rack.uplink_rate(now)
@@ -133,13 +134,14 @@
         rack_share = (
             sum(other.setups.at(now) for other in rack.nodes.values()) + even_spread * rack.rate
         ) / total
-        # Others' plays are planned anew, as they step too, of the products that we see asked for
+        # Others' plays are planned anew, since they change rungs, too: over our own demand, as of
+        # the products that we see asked for
         others_streams = fleet.others_streams(now, node)
         # Time a play takes of the horizon: it may start at any time in it (q)
         holding_ms = min(self.usual_length_ms, horizon_ms) * (
             1 - min(self.usual_length_ms, horizon_ms) / (2 * horizon_ms)
         )
-        others_share = (
+        others_renewed = (
             others_streams / holding_ms / max(sum(demand.at(now) for demand in self.demand), 1e-12)
         )
         capacities = [
@@ -173,7 +175,7 @@
                 )
                 for rung in range(product.floor, min(product.top, len(deployment.ladder) - 1) + 1)
             ]
-            groups.append((horizon_ms * demand.at(now) * (node_share + others_share), choices))
+            groups.append((horizon_ms * demand.at(now) * (node_share + others_renewed), choices))
         return dual_prices(groups, capacities)
 
 
--- a/laddergw/control/rungs.py
+++ b/laddergw/control/rungs.py
@@ -1,4 +1,4 @@
-"""What notes, reports and peers tell of links and uplinks, and how the rungs of plays follow."""
+"""Takes in notes, load reports and peers' reports, and changes the rungs of plays accordingly."""
 
 import math
 
@@ -6,27 +6,27 @@
 from laddergw.control.candidates import mark_probed
 from laddergw.control.fleet_state import IMPLAUSIBLE_LOAD, MARGIN, REPORT_LAG_MS
 
-# An uplink that was not short for three notes is tried with so much more.
+# An uplink without shortage for three notes is tried with so much more.
 NO_SHORTAGE_MS, TRIAL_FACTOR = 3_000.0, 1.1
 SHORT_SHARE = 0.98  # delivered share under which plays lose, from the wire's rules
 # Nodes of a rack that are short within this are short together: two notes' seconds.
 TOGETHER_MS = 2_000.0
 REVIEW_INTERVAL_MS = 500.0  # between reviews of the plays under way: half a note's second
-# Share of a probe's price that telling peers its report may cost; bytes of an entry of a message.
+# Share of a probe's price that sending its report to peers may cost; bytes of a message's entry.
 PEER_COST_SHARE, ENTRY_BYTES = 0.12, 5.0
 # Load of a short link that steps down aim for: true rates stray, shortage costs much.
 TARGET_LOAD = 0.86
 # Share of a step down that plays take whose last step pays: others' go first.
 PAYING_STEP_SHARE = 0.3
 SETTLE_MS = 700.0  # wait, past the notes' lateness, before a shortage is answered again
-# Share of probed room that one director takes; expected gain over a probe's price.
+# Share of the free rate by a probe that one director takes; gain expected over a probe's price.
 STEP_UP_SHARE, PROBE_GAIN_FACTOR = 0.3, 3.0
 # From a change of rung to a step up, in usual lengths; between probes for it.
 STEP_UP_GAP_LENGTHS, PROBE_GAP_MS = 0.2, 8_000.0
 
 
 class Rungs:
-    """Changes the rungs of plays. `loads`, `shortages`: what came in and is to be told to peers."""
+    """Changes the rungs of plays. `loads`, `shortages`: what is to be sent to peers."""
 
     def __init__(self, fleet, prices):
         self.fleet, self.prices, self.loads, self.shortages = fleet, prices, {}, {}
@@ -37,7 +37,7 @@
         just_started = (
             play and play.first_node and play.started_at is not None and now - play.started_at < 1
         )
-        # Also NaN and infinite: no note
+        # NaN and infinite values are no note, either
         kind = kind if node and 0 <= value < IMPLAUSIBLE_LOAD else None
         if kind == interface.RUNG_CHANGED and play and play.node is node:
             self.change_rung(now, play, min(int(value), len(play.deployment.ladder) - 1))
@@ -56,14 +56,14 @@
             return self.answer_shortage(now, node, node.rack, max(value, 0.1))
 
     def answer_shortage(self, now, node, rack, share):
-        """Takes a delivered share as the node's own fault, or its uplink's when others share it."""
+        """Puts a shortage down to the node, or to its uplink when others behind it are short."""
         fleet, node.short_at, rack.short_at = self.fleet, now, now
         rate, others = fleet.usable_rate(now, node), node.others_load(now, fleet.others_share)
         together = any(
             n is not node and now - n.short_at < TOGETHER_MS for n in rack.nodes.values()
         )
         if others + node.own > rate or not together:
-            # Alone: the node itself (it sags, or stands still)
+            # It is the only one: the node itself sags, or stands still
             if now >= node.settle_until:
                 node.record_others(now, max(others, rate / share - node.own))
             return self.step_down(now, node, [node], 1 / share)
@@ -76,7 +76,7 @@
         )
 
     def record_uplink_shortage(self, now, rack, share):
-        """Learns an uplink's rate from a shortage, once a settling time: notes lag steps."""
+        """Learns an uplink's rate from a shortage, once per settling time: notes lag steps."""
         rack.short_at = now
         if now - rack.learned_at > self.fleet.deployment.seen_after_ms + SETTLE_MS:
             rack.learn_rate(now, self.fleet.load(now, rack) * share)
@@ -96,7 +96,7 @@
         if uplink:
             node.rack.learn_rate(now, self.fleet.load(now, node.rack) / uplink)
             node.rack.reported_at = now
-        # Nothing else tells of room
+        # Nothing else reports what is free
         if self.fleet.probes_only and link is not None:
             verdicts = self.step_down(now, node, [node], link)
             verdicts = verdicts or self.step_down(
@@ -106,7 +106,7 @@
         return verdicts
 
     def receive_peer_report(self, now, loads, shares):
-        """Takes in a peer's reports as our own; they list no node."""
+        """Takes in a peer's reports like our own; they add no node to the list."""
         for node_id, load in loads:
             node = self.fleet.nodes.get(node_id)
             if (
@@ -179,15 +179,15 @@
         return list(verdicts.values())
 
     def step_up(self, now, node):
-        """Steps plays up by our part of the room: all with plays there heard the same note."""
+        """Steps plays up by our part of what is free: all directors there got the same note."""
         fleet, rates = self.fleet, self.fleet.rates(now, node)
-        room = min(
+        available = min(
             (rate * fleet.step_up_load / max(fleet.load(now, link), 1e-9) - 1) * node.own
             for link, rate in rates
         )
-        # No one else heard this
+        # No other director got this report
         if fleet.probes_only:
-            room = STEP_UP_SHARE * min(
+            available = STEP_UP_SHARE * min(
                 rate * min(fleet.step_up_load, 1 - fleet.margin(now, resource))
                 - fleet.load(now, resource)
                 for resource, rate in rates
@@ -195,25 +195,25 @@
         able, verdicts = [p for p in node.plays.values() if self.may_step_up(now, p)], []
         for play in sorted(able, key=lambda p: (-p.step_gain(p.rung) * p.remaining_ms(now), p.id)):
             old_rate, extra_rate = play.rate(), play.rate(play.rung + 1) - play.rate()
-            if room < extra_rate * fleet.draw():
+            if available < extra_rate * fleet.draw():
                 break
             rung = self.prices.best_rung(
-                now, play, node, play.remaining_ms(now), max(room, extra_rate), play.rung
+                now, play, node, play.remaining_ms(now), max(available, extra_rate), play.rung
             )
             if rung is not None:
                 verdicts.append(self.change_rung(now, play, rung))
-                room -= play.rate() - old_rate
+                available -= play.rate() - old_rate
         return verdicts
 
     def change_rung(self, now, play, rung):
-        """Changes a play's rung in the counts; returns the verdict that does it."""
+        """Counts a play at its new rung; returns the verdict that changes it."""
         self.fleet.count_load(now, play, -1)
         play.rung, play.rung_changed_at = rung, now
         self.fleet.count_load(now, play, 1)
         return interface.Verdict(play.id, rung=rung)
 
     def may_step_up(self, now, play):
-        """Whether a play is under way, below its highest rung and long enough at its own."""
+        """Whether a play is under way, below its highest rung, long enough at its present one."""
         return (
             play.started_at is not None
             and play.rung < play.highest_rung()
@@ -221,7 +221,7 @@
         )
 
     def nodes_to_probe(self, now, plays):
-        """Where no note tells of room: returns nodes to probe where a step up pays for it."""
+        """Returns nodes where steps up would pay for a probe, as no note reports what is free."""
         deployment, nodes = self.fleet.deployment, []
         cost = (
             PROBE_GAIN_FACTOR
@@ -232,7 +232,7 @@
         for node in {
             p.node.id: p.node for p in plays.values() if p.node and not p.pending_setup
         }.values():
-            # Not all at once after a start
+            # Spread out, so that not all are probed at once after a start
             if node.next_probe_at is None:
                 node.next_probe_at = now + self.fleet.draw() * PROBE_GAP_MS
             if (
--- a/laddergw/interface.py
+++ b/laddergw/interface.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-# How an allocation ended, in the words that the host hands to Controller.allocation_ended().
+# How an allocation ended, in the words that the host passes to Controller.allocation_ended().
 SERVED, ERROR, FULL, TIMED_OUT, UNREACHABLE, BROKEN, CANCELLED, NEVER_SENT = (
     "served",
     "error",
@@ -48,7 +48,7 @@
 
 
 class Deployment(NamedTuple):
-    """What a director is told of its deployment at start.
+    """The deployment, as a director gets it at its start.
 
     Fleet versions hash its repr: the names of this class and its fields are stored data.
     """
