--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,18 +1,18 @@
-"""Decisions against kept traces: the price, the rules and the guards found by failures."""
+"""Decisions against kept traces: shadow prices, product terms, and guards against failures that occurred."""
 import unittest
 
-from laddergw import interface as face
+from laddergw import interface
 from laddergw.control.prices import dual_prices
-from tests.helpers import Drive, TraceTest
+from tests.helpers import TracedController, TraceTest
 
 
 class Prices(TraceTest):
-    def test_duals_worked_out_by_hand(self):
-        # One resource of 10, ten plays at 3 and ten at 1, each using 1: the dear ones fill it, the next unit
+    def test_dual_prices_worked_out_by_hand(self):
+        # One resource of 10, ten plays at 3 and ten at 1, each using 1: the plays at 3 fill it, the next unit
         # would be sold to a play at 1 only if any were left over, so the price lies between 1 and 3.
         low, = dual_prices([(10, [(3.0, (1.0,))]), (10, [(1.0, (1.0,))])], [10.0])
-        self.assertAlmostEqual(low, 1.0, places=4)      # the least price at which the cheap ones stay out
-        # Eight dear ones leave 2 for the cheap ones, who are then the marginal plays: price 1.
+        self.assertAlmostEqual(low, 1.0, places=4)      # the least price at which the plays at 1 stay out
+        # Eight plays at 3 leave 2 for those at 1, which are then the marginal plays: price 1.
         self.assertAlmostEqual(dual_prices([(8, [(3.0, (1.0,))]), (10, [(1.0, (1.0,))])], [10.0])[0], 1.0, places=4)
         # Room for all: nothing has a price. Two resources, the second scarce: it alone is priced, 3 / 2.
         self.assertEqual(dual_prices([(2, [(3.0, (1.0,))])], [10.0]), [0.0])
@@ -22,145 +22,145 @@
         # A ladder: 4 plays, rungs worth 1 and 1.5 for 1 and 2 of 6: the step up is marginal, 0.5 a unit.
         self.assertAlmostEqual(dual_prices([(4, [(1.0, (1.0,)), (1.5, (2.0,))])], [6.0])[0], 0.5, places=4)
 
-    def test_room_is_kept_for_the_dearer_product(self):
-        d = Drive(nodes=1, products=({}, {"importance": 5.0, "floor": 2}), racks=1, link_unit=1000.0)
-        d.say("nothing dearer expected: a play of product 0 is taken although the link is two thirds full")
-        d.note(0, 0, 1, face.LINK_DEMAND, 0.66)
-        d.ask(10, 1)
-        d.end(20, 1, 1, face.CANCELLED, over=True)
-        d.say("dearer plays come often: the same play is declined, a dear one is taken")
-        d.c.prices.demand[1].add(d.base, 0.00005)
-        d.note(30, 0, 1, face.LINK_DEMAND, 0.5)
-        d.ask(40, 2)
-        d.ask(50, 3, product=1)
-        self.assert_trace("reserve", d)
-
-
-    def test_others_plays_come_again(self):
-        d = Drive(nodes=1, racks=1, link_unit=2000.0)
-        d.say("others ask a tenth of the link: those that come again leave room for the top rung")
-        d.note(0, 0, 1, face.LINK_DEMAND, 0.1)
-        d.ask(10, 1)
-        d.end(20, 1, 1, face.CANCELLED, over=True)
-        d.say("others ask two thirds, and we see one play now and then: the top rung fits, but not for all that come")
-        d.note(30, 0, 1, face.LINK_DEMAND, 0.66)
-        d.ask(40, 2)
-        self.assert_trace("again", d)
-
-
-class Rules(TraceTest):
-    def test_paid_plays_go_again_only_when_nothing_ran(self):
-        d = Drive(products=({"repeat": "paid"},))
-        d.say("refused unseen: it never ran, so it goes again")
-        d.ask(0, 1)
-        d.end(10, 1, 1, face.FULL)
-        d.say("then silence: it may have run, so it fails and is not declined")
-        d.end(4000, 1, 2, face.TIMED_OUT, number=1)
-        d.say("a keyed play goes again to its own cell only, and not at all once the key is gone")
-        k = Drive(products=({"repeat": "keyed", "group": "cell"},))
-        k.lines = d.lines
-        k.ask(0, 2)
-        k.end(10, 2, 1, face.ERROR)
-        self.assert_trace("paid", d)
-
-    def test_answers_when_no_holder_can_be_had(self):
-        d = Drive(nodes=1)
-        d.say("the list empties: declined at once; events on plays already over change nothing")
-        d.listed(20_000, [], True)
-        d.ask(0, 1)
-        d.end(5, 1, 1, face.SERVED, over=True)
-        d.starts(6, 9, 1)
-        d.note(7, 9, 77, face.DELIVERED, 0.5)
-        d.say("a draining node gets nothing from the moment that we are told")
-        e = Drive(nodes=2)
-        e.lines = d.lines
-        e.listed(20_000, [e.line(1, face.DRAINING)])
+    def test_capacity_is_reserved_for_the_more_important_product(self):
+        traced = TracedController(nodes=1, products=({}, {"importance": 5.0, "floor": 2}), racks=1, link_unit=1000.0)
+        traced.comment("no play of product 1 expected: one of product 0 is taken although the link is two thirds full")
+        traced.note(0, 0, 1, interface.LINK_DEMAND, 0.66)
+        traced.request(10, 1)
+        traced.allocation_ended(20, 1, 1, interface.CANCELLED, over=True)
+        traced.comment("plays of product 1 come often: the same play is declined, one of product 1 is taken")
+        traced.controller.prices.demand[1].add(traced.start_ms, 0.00005)
+        traced.note(30, 0, 1, interface.LINK_DEMAND, 0.5)
+        traced.request(40, 2)
+        traced.request(50, 3, product=1)
+        self.assert_trace("reserve", traced)
+
+
+    def test_plays_of_other_directors_are_expected_again(self):
+        traced = TracedController(nodes=1, racks=1, link_unit=2000.0)
+        traced.comment("others ask a tenth of the link: as many to come leave capacity for the top rung")
+        traced.note(0, 0, 1, interface.LINK_DEMAND, 0.1)
+        traced.request(10, 1)
+        traced.allocation_ended(20, 1, 1, interface.CANCELLED, over=True)
+        traced.comment("others ask two thirds, and this director sees few plays: the top rung fits, but not for all that come")
+        traced.note(30, 0, 1, interface.LINK_DEMAND, 0.66)
+        traced.request(40, 2)
+        self.assert_trace("others_plays", traced)
+
+
+class Terms(TraceTest):
+    def test_paid_plays_are_repeated_only_when_nothing_ran(self):
+        paid = TracedController(products=({"repeat": "paid"},))
+        paid.comment("refused: it never ran, so it is set up again")
+        paid.request(0, 1)
+        paid.allocation_ended(10, 1, 1, interface.FULL)
+        paid.comment("then a time-out: it may have run, so it fails and is not declined")
+        paid.allocation_ended(4000, 1, 2, interface.TIMED_OUT, number=1)
+        paid.comment("a keyed play is repeated in its own cell only, and not at all once the key has expired")
+        keyed = TracedController(products=({"repeat": "keyed", "group": "cell"},))
+        keyed.lines = paid.lines
+        keyed.request(0, 2)
+        keyed.allocation_ended(10, 2, 1, interface.ERROR)
+        self.assert_trace("repeats", paid)
+
+    def test_answers_when_no_candidate_is_left(self):
+        traced = TracedController(nodes=1)
+        traced.comment("the fleet list empties: declined at once; events on plays that have ended change nothing")
+        traced.update_fleet(20_000, [], True)
+        traced.request(0, 1)
+        traced.allocation_ended(5, 1, 1, interface.SERVED, over=True)
+        traced.play_started(6, 9, 1)
+        traced.note(7, 9, 77, interface.DELIVERED, 0.5)
+        traced.comment("a draining node gets nothing from the moment that the drain is known")
+        draining = TracedController(nodes=2)
+        draining.lines = traced.lines
+        draining.update_fleet(20_000, [draining.entry(1, interface.DRAINING)])
         for play in range(2, 5):
-            e.ask(play, play)
-            e.starts(play, play, 2)
-        d.say("the last time-out falls at the time limit: the play still gets its answer")
-        e.ask(10, 6, wait=200.0)
-        e.end(210, 6, 2, face.TIMED_OUT)
-        self.assert_trace("answers", d)
+            draining.request(play, play)
+            draining.play_started(play, play, 2)
+        traced.comment("the last time-out falls on the play's limit: it still gets its answer")
+        draining.request(10, 6, wait_ms=200.0)
+        draining.allocation_ended(210, 6, 2, interface.TIMED_OUT)
+        self.assert_trace("answers", traced)
 
     def test_cold_nodes_seats_floors_and_the_budget(self):
-        d = Drive(nodes=1, warm=False, ladder=(200.0, 400.0, 800.0))
-        d.say("after our own start any node may be cold: set-ups keep to our half of its allowance")
+        traced = TracedController(nodes=1, warm=False, ladder=(200.0, 400.0, 800.0))
+        traced.comment("after the controller's own start any node may be cold: set-ups keep to its half of the allowance")
         for now in (0, 500, 1500, 2500, 3300):
-            d.ask(now, now)
-        d.say("one seat: the second play of the title waits for its end; the floor is never undercut")
-        s = Drive(products=({"seats": 1, "floor": 1},), racks=1)
-        s.lines = d.lines
-        s.ask(0, 1)
-        s.ask(1, 2)
-        s.ask(2, 3, title=6, ceiling=0)
-        d.say("one further allocation in the window, then none until it has passed")
-        b = Drive(nodes=4, budget_free=1.0, budget_share=0.0, budget_ms=5000.0)
-        b.lines = d.lines
-        b.ask(0, 1)
-        b.end(10, 1, 1, face.UNREACHABLE)
-        b.end(20, 1, 2, face.UNREACHABLE, number=1)
-        self.assert_trace("terms", d)
+            traced.request(now, now)
+        traced.comment("one seat: the second play of the title waits for its end; no play goes below the lowest rung")
+        one_seat = TracedController(products=({"seats": 1, "floor": 1},), racks=1)
+        one_seat.lines = traced.lines
+        one_seat.request(0, 1)
+        one_seat.request(1, 2)
+        one_seat.request(2, 3, title=6, highest_rung=0)
+        traced.comment("one retry in the window, then none until it has passed")
+        budgeted = TracedController(nodes=4, budget_free=1.0, budget_share=0.0, budget_ms=5000.0)
+        budgeted.lines = traced.lines
+        budgeted.request(0, 1)
+        budgeted.allocation_ended(10, 1, 1, interface.UNREACHABLE)
+        budgeted.allocation_ended(20, 1, 2, interface.UNREACHABLE, number=1)
+        self.assert_trace("terms", traced)
 
 
 class Guards(TraceTest):
-    def test_a_node_weighted_out(self):
-        d = Drive(nodes=2)
-        d.ask(0, 1)
-        d.starts(100, 1, 1)
-        d.say("the list gives node 1 no weight: its play goes on, its words tell no load and end no instance")
-        d.listed(20_200, [d.line(1)._replace(weight=0.0)])
-        for kind in face.LINK_DEMAND, face.UPLINK_DEMAND, face.DELIVERED:
-            d.note(300, 1, 1, kind, 0.9)
-        d.say("new plays go to node 2, also once node 2 is full by its word")
-        d.ask(400, 2)
-        d.end(500, 2, 2, face.FULL)
-        d.say("a report from node 1 itself, then its weight returns")
-        d.end(600, 1, 1, face.BROKEN, over=True, report=(0.4,))
-        d.listed(20_700, [d.line(1)])
-        d.ask(36_000, 3)
-        self.assert_trace("weighted_out", d)
-
-    def test_a_heap_of_events_after_a_stand_still(self):
-        d = Drive(nodes=2)
-        d.say("two plays are asked for; behind them in the same batch stand a drain and the leaving of one viewer")
-        d.ask(0, 1, together=True)
-        d.ask(0, 2, together=True)
-        d.run(0, "node 1 drains", d.listed(20_000, [d.line(1, face.DRAINING)]), together=True)
-        d.run(0, "viewer of play 2 left", d.c.viewer_left(20_000, 2), together=True)
-        d.run(0, "all told", ([], 0))
-        d.say("its time-out comes twice and with the viewer's leaving: one further allocation, then nothing")
-        for what in "first", "again":
-            d.run(750, f"time-out of play 1, {what}", d.c.allocation_ended(20_750, 1, 0, face.TIMED_OUT, 2, False, ()), True)
-        d.run(750, "node 1 is ready again", d.listed(20_750, [d.line(1)]), together=True)
-        d.run(750, "all told", ([], 0))
-        d.run(800, "viewer of play 1 left", d.c.viewer_left(20_800, 1), together=True)
-        d.end(1500, 1, 1, face.TIMED_OUT, number=1)
-        self.assert_trace("heap", d)
+    def test_a_node_with_weight_zero(self):
+        traced = TracedController(nodes=2)
+        traced.request(0, 1)
+        traced.play_started(100, 1, 1)
+        traced.comment("the list gives node 1 weight 0: its play goes on, its notes report no load and cause no failure")
+        traced.update_fleet(20_200, [traced.entry(1)._replace(weight=0.0)])
+        for kind in interface.LINK_DEMAND, interface.UPLINK_DEMAND, interface.DELIVERED:
+            traced.note(300, 1, 1, kind, 0.9)
+        traced.comment("new plays go to node 2, also once node 2 answered that it is full")
+        traced.request(400, 2)
+        traced.allocation_ended(500, 2, 2, interface.FULL)
+        traced.comment("a report from node 1 itself, then its weight returns")
+        traced.allocation_ended(600, 1, 1, interface.BROKEN, over=True, report=(0.4,))
+        traced.update_fleet(20_700, [traced.entry(1)])
+        traced.request(36_000, 3)
+        self.assert_trace("weighted_out", traced)
+
+    def test_events_that_arrive_together_after_a_standstill(self):
+        traced = TracedController(nodes=2)
+        traced.comment("two plays are requested; behind them in the same batch come a drain and the leaving of one viewer")
+        traced.request(0, 1, same_batch=True)
+        traced.request(0, 2, same_batch=True)
+        traced.record(0, "node 1 drains", traced.update_fleet(20_000, [traced.entry(1, interface.DRAINING)]), same_batch=True)
+        traced.record(0, "viewer of play 2 left", traced.controller.viewer_left(20_000, 2), same_batch=True)
+        traced.record(0, "end of the batch", ([], 0))
+        traced.comment("its time-out comes twice and with the viewer's leaving: one retry, then nothing")
+        for which in "first", "again":
+            traced.record(750, f"time-out of play 1, {which}", traced.controller.allocation_ended(20_750, 1, 0, interface.TIMED_OUT, 2, False, ()), True)
+        traced.record(750, "node 1 is ready again", traced.update_fleet(20_750, [traced.entry(1)]), same_batch=True)
+        traced.record(750, "end of the batch", ([], 0))
+        traced.record(800, "viewer of play 1 left", traced.controller.viewer_left(20_800, 1), same_batch=True)
+        traced.allocation_ended(1500, 1, 1, interface.TIMED_OUT, number=1)
+        self.assert_trace("batch", traced)
 
     def test_directors_take_turns_at_a_node_that_started(self):
-        d = None
+        traced = None
         for seed in range(1, 9):
-            e = Drive(nodes=1, seed=seed, directors=8, streams=(25.0,), number=seed - 1)
-            e.lines = d.lines if d else e.lines
-            d = e
-            d.say(f"director {seed} of 8 hears that node 1 just started: it sends when its number is up")
-            d.listed(20_000, [d.line(1, started=20_000)])
+            one = TracedController(nodes=1, seed=seed, directors=8, streams=(25.0,), number=seed - 1)
+            one.lines = traced.lines if traced else one.lines
+            traced = one
+            traced.comment(f"director {seed} of 8 learns that node 1 just started: it sends when it is its turn")
+            traced.update_fleet(20_000, [traced.entry(1, started=20_000)])
             for now in (300, 2300, 4300):
-                d.ask(now, now)
-        self.assert_trace("turns", d)
-
-    def test_a_silent_node_rests_and_is_tried_a_little(self):
-        d = Drive(nodes=2)
-        d.ask(0, 1)
-        d.end(750, 1, 1, face.TIMED_OUT)
-        d.say("node 1 rests, although it shows most room")
-        d.ask(760, 2)
-        d.ask(770, 3)
-        d.say("after the rest one play is tried there, and no second one while it is out")
-        d.ask(2800, 4)
-        d.ask(2810, 5)
-        self.assert_trace("silent", d)
+                traced.request(now, now)
+        self.assert_trace("cold_node_rotation", traced)
+
+    def test_a_silent_node_backs_off_and_is_tried_with_one_play(self):
+        traced = TracedController(nodes=2)
+        traced.request(0, 1)
+        traced.allocation_ended(750, 1, 1, interface.TIMED_OUT)
+        traced.comment("node 1 is in back-off, although it has most free rate")
+        traced.request(760, 2)
+        traced.request(770, 3)
+        traced.comment("after the back-off one play is tried there, and no second one while its set-up is open")
+        traced.request(2800, 4)
+        traced.request(2810, 5)
+        self.assert_trace("silent_node", traced)
 
 
 if __name__ == "__main__":
