--- a/laddergw/control/fleet_state.py
+++ b/laddergw/control/fleet_state.py
@@ -11,16 +11,15 @@
 SETUPS_MS, EVEN_SETUPS = 30_000.0, 4.0  # memory of our set-ups' places; weight of an even spread
 FAIR_SHARE, SHARE_STEP = 0.4, 0.1  # others' share of a link before a report; one report's weight
 PRIOR_PLAYS = 4.0  # plays' worth of the ladder's middle in what a play of others is taken to ask
-# Over a link's rate: a report of so much is no report; the most asked on a bad day
-IMPLAUSIBLE_LOAD, MAX_LOAD = 10.0, 1.5
-# So many directors hear of most nodes; more draw (weight of it), and keep so much of unheard links
+IMPLAUSIBLE_LOAD, MAX_LOAD = 10.0, 1.5  # over a link's rate: not a report; most on a bad day
+# So many directors get reports of most nodes. Of more, each ranks by chance (weight of what is
+# unreported) and keeps so much of unreported links free
 FEW_DIRECTORS, DRAW_WEIGHT, UNKNOWN_MARGIN = 4, 1.0, 0.26
 REPORT_LAG_MS = 300.0  # usual age of a load report
 UPLINK_STEP = 0.5  # weight of one note on what an uplink carries: a few notes settle it
 UPLINK_BOUNDS = 0.3, 3.0  # of a believed uplink over its stated rate; sagging links stretch it
 UPLINK_RETURN_MS = 30_000.0  # without shortage the belief returns to the stated rate: sags end
-# Share of a link that a step up leaves free; less of it where many share what is free
-STEP_UP_MARGIN, STEP_UP_SHARED = 0.25, 0.2
+STEP_UP_MARGIN, STEP_UP_SHARED = 0.25, 0.2  # share of a link left free; less where many share it
 LAYOUT = "racks", "rack_kb", "cells", "link_unit", "streams"  # the estimates are built on these
 MIX_FACTOR = 2_654_435_761  # odd; by the linear crc32 alone, similar seeds draw alike
 
@@ -180,6 +179,7 @@
         return resource.own + resource.others_load(now, self.others_share)
 
     def free_rate(self, now, node, margin=None):
+        """Returns what is free at a node's link and at its upresource, beyond the margin."""
         return min(
             rate * (1 - (self.margin(now, resource) if margin is None else margin))
             - self.load(now, resource)
