--- a/laddergw/hosting.py
+++ b/laddergw/hosting.py
@@ -11,16 +11,16 @@
 
 from laddergw.interface import Verdict
 
-# decisions of one turn take so long, then the sockets are read: who left meanwhile gets no
-# allocation.
+# Decisions of one turn take at most this long. Then the sockets are read, so that a viewer that has
+# left meanwhile gets no allocation. It is a fifth of the 100 ms after which no allocation may begin
+# for a viewer that has left.
 DECISION_SLICE_MS = 20.0
-# A fifth of the 100 ms after which none may begin for a viewer that has left
 
 log = logging.getLogger("laddergw.hosting")
 
 
 class ControllerHost:
-    """See the module."""
+    """Base class of directors; `loop` and `controller` are set by the subclass."""
 
     loop: Any
     controller: Any
@@ -29,22 +29,24 @@
     wake_timer: Any = None
 
     def apply_verdict(self, verdict: Verdict) -> None:
+        """Carries out one decision of the controller."""
         raise NotImplementedError
 
     def fail_all_plays(self) -> None:
+        """Answers and ends all plays, after the controller has failed."""
         raise NotImplementedError
 
     def feed(self, call: Callable, *args) -> None:
-        """Tells the module something and carries out what it answers.
+        """Calls a method of the controller and carries out the verdicts that it returns.
 
-        If the module fails, everyone still gets an answer.
+        If the controller fails, all plays are still answered.
         """
         if self.broken:
             return
         try:
             verdicts, wake_at = call(*args)
         except Exception:
-            log.exception("the module failed: all that is held is answered, the process ends")
+            log.exception("the controller failed: all plays are answered and the process ends")
             self.broken = True
             return self.fail_all_plays()
         for verdict in verdicts:
@@ -52,6 +54,7 @@
         self.schedule_wake(wake_at)
 
     def schedule_wake(self, when: float) -> None:
+        """Wakes the controller at `when`, or at the earlier time that is set already."""
         if (
             self.wake_timer is not None
             and self.wake_timer.call is not None
@@ -64,11 +67,13 @@
             self.wake_at, self.wake_timer = when, self.loop.at(when, self.wake)
 
     def wake(self) -> None:
+        """Wakes the controller."""
         self.feed(self.controller.wake, self.loop.now)
 
     def decide(self) -> None:
-        """At a turn's end, one play after the other; what is left when the slice is over comes in
-        the next turn, which waits for nothing.
+        """Decides on pending plays at a turn's end, one after the other.
+
+        What is left when the slice is over is decided in the next turn, which begins at once.
         """
         while not self.broken and self.controller.pending:
             self.feed(self.controller.decide, self.loop.now, 1)
--- a/laddergw/platform/__init__.py
+++ b/laddergw/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The real director on the platform's protocol: sockets, configuration, signals.
+"""The director that speaks the platform's protocol: sockets, configuration, signals.
 
-The module decides; nothing here does.
+The controller makes all decisions; none is made here.
 """
--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -1,8 +1,7 @@
-"""One real director: reads its configuration, serves until it is told to stop."""
+"""One director process: reads its configuration and serves until it is told to stop."""
 
-if (
-    __name__ == "__main__"
-):  # before all else: until the loop takes them, signals end a process by default
+# Before all else: until the loop handles them, signals end the process by default.
+if __name__ == "__main__":
     from laddergw.loop import held
 
     held.hold()
@@ -20,34 +19,41 @@
 from laddergw.platform import configuration as configurations
 from laddergw.platform.director import Director
 
-EXIT_GOOD, EXIT_FAILED, EXIT_FILE = 0, 1, 2
+EXIT_OK, EXIT_FAILED, EXIT_BAD_CONFIGURATION = 0, 1, 2
 
 log = logging.getLogger("laddergw.platform")
 
 
-def read_again(path: str, director: Director) -> None:
-    """At SIGHUP. A file that is refused changes nothing."""
+def reload_configuration(path: str, director: Director) -> None:
+    """Handles SIGHUP: reads the file again. A file that is refused changes nothing."""
     try:
-        found = with_descriptors(configurations.read_file(path))
-        director.apply_configuration(found)
+        configuration = with_descriptors(configurations.read_file(path))
+        director.apply_configuration(configuration)
     except configurations.ConfigurationError as error:
-        log.error("configuration refused, what is in force stays: %s", error)
+        log.error("configuration refused, the current one stays in force: %s", error)
     else:
-        log.info("configuration read again, change log at %s", found.changelog)
+        log.info("configuration read again, change log at %s", configuration.changelog)
+
 
+def with_descriptors(configuration: configurations.Configuration) -> configurations.Configuration:
+    """Raises the process's descriptor limit to the file's, as far as the hard limit allows.
 
-def with_descriptors(found: configurations.Configuration) -> configurations.Configuration:
-    """Raises the process's limit to what the file tells, as far as it may; the parts are taken of
-    what it may really hold.
+    Returns the configuration with the number that the process may really hold, which the
+    director's shares are taken of.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = found.sockets if hard == resource.RLIM_INFINITY else min(found.sockets, hard)
-    if soft != resource.RLIM_INFINITY and soft < most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    return found._replace(sockets=most)
+    allowed = (
+        configuration.sockets
+        if hard == resource.RLIM_INFINITY
+        else min(configuration.sockets, hard)
+    )
+    if soft != resource.RLIM_INFINITY and soft < allowed:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
+    return configuration._replace(sockets=allowed)
 
 
 def main() -> int:
+    """Runs the director until it stops; returns the process's exit status."""
     logging.basicConfig(
         stream=sys.stderr,
         level=os.environ.get("LADDERGW_LOG", "INFO"),
@@ -55,34 +61,35 @@
     )
     path = os.environ.get("PROXY_CONFIG", "")
     try:
-        found = with_descriptors(configurations.read_file(path))
+        configuration = with_descriptors(configurations.read_file(path))
     except configurations.ConfigurationError as error:
         print(error, file=sys.stderr)
-        return EXIT_FILE
+        return EXIT_BAD_CONFIGURATION
     loop = SocketLoop()
     try:
-        director = Director(loop, found)
+        director = Director(loop, configuration)
     except OSError as error:
-        print(f"cannot listen at {found.listen}: {error}", file=sys.stderr)
+        print(f"cannot listen at {configuration.listen}: {error}", file=sys.stderr)
         return EXIT_FAILED
     for number in signal.SIGTERM, signal.SIGINT:
         loop.on_signal(number, director.stop)
-    loop.on_signal(signal.SIGHUP, lambda: read_again(path, director))
-    gc.freeze()  # what the start has made stays: no pass looks at it again
+    loop.on_signal(signal.SIGHUP, lambda: reload_configuration(path, director))
+    # What the start has created stays for the process's life: the collector need not scan it again.
+    gc.freeze()
     log.info(
         "director %s runs at %s, %d nodes, change log at %s; "
-        "started with %.0f ms of its processor's time",
-        found.name,
-        found.listen,
+        "its start took %.0f ms of processor time",
+        configuration.name,
+        configuration.listen,
         len(director.nodes.by_id),
-        found.changelog,
+        configuration.changelog,
         time.process_time() * 1000,
     )
     loop.run()
     held.hold()  # what comes to a process that ends must not end it otherwise
-    log.info("director %s ends", found.name)
+    log.info("director %s ends", configuration.name)
     loop.close()
-    return EXIT_FAILED if director.broken else EXIT_GOOD
+    return EXIT_FAILED if director.broken else EXIT_OK
 
 
 if __name__ == "__main__":
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -1,7 +1,7 @@
-"""The viewers' side of plays: each set-up is taken in once and gets its one answer.
+"""The viewers' side of plays: each set-up is accepted once and gets exactly one answer.
 
-It is answered in `stand` or `finish`, and both take it out of the open plays first, so that one
-answer goes out whatever comes together.
+The answer goes out in `start_play` or `finish`. Both remove the request from the open ones first,
+so that there is one answer whatever events coincide.
 """
 
 import logging
@@ -12,16 +12,15 @@
 from laddergw.platform.viewers import MAX_OPEN_SET_UPS, ViewerConnection
 from laddergw.signalling import binary
 
-ANSWER_MARGIN_MS = (
-    20.0  # answers are due so long before the viewer's time limit: its clock began before ours
-)
-OVERDUE_GRACE_MS = (
-    10.0  # past the module's own time-out at the limit, which it answers by the play's terms
-)
-# what one peer says on two connections may cross for so long: the protocol's own time for a close
-# and a set-up
+# Answers are due this long before the viewer's time limit: its clock began before ours.
+ANSWER_MARGIN_MS = 20.0
+# After the deadline, at which the controller's own time-out answers by the play's terms.
+OVERDUE_GRACE_MS = 10.0
+# Messages of one peer on two connections may cross for this long: the protocol's own time for a
+# close and a set-up.
 CROSSING_MS = 50.0
-MAX_LOGGED_UNUSABLE = 40  # unusable set-ups told in the log: a flood must not fill it
+# Unusable set-ups that are logged: a flood must not fill the log.
+MAX_LOGGED_UNUSABLE = 40
 
 log = logging.getLogger("laddergw.platform")
 
@@ -31,12 +30,11 @@
 
     def __init__(self, director):
         self.director, self.count = director, director.count
-        self.deferred_plays: list[
-            Play
-            # plays that the module hears of at the turn's end: asked for, or an allocation over
-        ] = []
+        # Plays that the controller gets at the turn's end: new requests, and ended allocations.
+        self.deferred_plays: list[Play] = []
 
     def handle_message(self, viewer: ViewerConnection, message: binary.Message) -> None:
+        """Handles one message of a viewer."""
         if message.kind == binary.SET_UP:
             self.handle_set_up(viewer, message)
         elif message.kind == binary.RELEASE:
@@ -53,11 +51,13 @@
             viewer.close("a director's message")
 
     def handle_set_up(self, viewer: ViewerConnection, message: binary.Message) -> None:
+        """Takes a set-up: a request for a play, or the hand-over of a running one."""
         session = message.session
         if session in self.director.open_requests or (
             session in self.director.running_plays and not self.is_hand_over(message)
         ):
-            return viewer.close("a session that is there")  # an answer on it would be the other's
+            # An answer would count for the play that has this session already.
+            return viewer.close("a session that is there")
         try:
             request = requests.read(message, self.director.configuration)
         except requests.UnusableRequestError as error:
@@ -107,11 +107,11 @@
         return self.deferred_plays.append(play)
 
     def process_deferred(self) -> None:
-        """At a turn's end: asks for the plays that came in it, or goes on with those whose
-        allocation is over. One whose connection has more
-        to read waits for that: it may have been taken back there, or its viewer have left."""
-        fresh, self.deferred_plays = self.deferred_plays, []
-        for play in fresh:
+        """Passes the deferred plays on to the controller, at a turn's end. One whose connection has
+        more to read waits for that: its viewer may have cancelled it there, or have left.
+        """
+        plays, self.deferred_plays = self.deferred_plays, []
+        for play in plays:
             if self.director.open_requests.get(play.session) is not play:
                 continue
             if play.viewer.stream.more:
@@ -119,18 +119,21 @@
             elif play.pending_outcome is not None:
                 self.director.allocating.ending.report_outcome(play)
             else:
-                ask = play.request.play_request._replace(
+                play_request = play.request.play_request._replace(
                     wait_ms=max(0.0, play.deadline - self.director.loop.now)
                 )
-                self.director.feed(self.director.controller.asked, self.director.loop.now, ask)
+                self.director.feed(
+                    self.director.controller.asked, self.director.loop.now, play_request
+                )
 
     def is_hand_over(self, message: binary.Message) -> bool:
+        """Whether a set-up names a node where its play runs already."""
         return b"at:" in (message.parameters or {}).get(binary.FIGURES, b"")
 
     def accept_hand_over(
         self, viewer: ViewerConnection, session: str, request: requests.Request
     ) -> None:
-        """A play that stands at a node already; it may be one that is held here."""
+        """Takes over a play that runs at a node already; this director may hold it already."""
         node = self.director.nodes.by_id.get(request.playing_at)
         if node is None or node.gone:
             log.info(
@@ -153,16 +156,17 @@
                 node.number,
             )
             if not node.connections and self.director.nodes.room(of_held=False):
-                node.dial()  # what the node tells of it comes on any connection
+                node.dial()  # the node reports on the play on any connection
         return None
 
     def retry_after(self, ms: float | None) -> tuple[int, bytes]:
+        """Returns the parameter that tells a declined viewer how long to stay away."""
         return binary.AWAY, b"%d" % (ms or 0)
 
     def handle_release(self, viewer: ViewerConnection, session: str) -> None:
-        if play := self.director.running_plays.get(
-            session
-        ):  # it gave up as our answer left: what stood is released to it too
+        """Ends a play whose viewer has released it."""
+        # It may have given up as our answer left, so a running play is released to it too.
+        if play := self.director.running_plays.get(session):
             log.debug("%s.%d: ended by its viewer on %s", play.session, play.number, viewer)
             self.director.allocating.release(play)
             self.director.listener.send_until_acknowledged(
@@ -174,18 +178,18 @@
             )
         elif (play := self.director.open_requests.get(session)) and play.viewer is viewer:
             return self.viewer_gave_up(play)
-        elif (
-            session not in self.director.open_requests
-        ):  # its hand-over may be on its way on another connection
+        # Its hand-over may be on its way on another connection.
+        elif session not in self.director.open_requests:
             self.director.loop.after(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
         return viewer.write(binary.HEARD, session)
 
     def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
+        """Ends a play whose hand-over has arrived after its release."""
         if (play := self.director.running_plays.get(session)) and play.request.playing_at:
             self.handle_release(viewer, session)
 
     def viewer_gave_up(self, play: Play) -> None:
-        """The viewer waits no more: no answer is owed, and its allocation ends."""
+        """Ends a request whose viewer has given up: no answer is owed, its allocation ends."""
         if self.director.open_requests.pop(play.session, None) is None:
             return
         log.debug("%s: given up by its viewer", play.session)
@@ -196,17 +200,17 @@
         self.director.allocating.give_up(play)
 
     def fail_overdue(self, play: Play) -> None:
-        """The last guard of the one answer: whatever holds it up, it is failed in time."""
+        """Fails a request whose answer is overdue, whatever holds it up."""
         play.deadline_timer = None
         if play.session in self.director.open_requests:
-            log.info("%s: overdue, failed by the last guard", play.session)
+            log.info("%s: answer overdue, failed", play.session)
             self.director.count("overdue")
             self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
             if play.session in self.director.open_requests:
                 self.finish(play, FAILED)
 
     def finish(self, play: Play, cause: int, *more: tuple[int, bytes]) -> None:
-        """The final answer of a play that does not stand."""
+        """Gives a request that was not served its final answer."""
         if self.director.open_requests.pop(play.session, None) is None:
             return
         play.viewer.plays.pop(play.session, None)
@@ -223,7 +227,7 @@
         self.director.allocating.give_up(play)
 
     def start_play(self, play: Play, description: bytes) -> None:
-        """The play stands: its viewer gets the description that its node gave."""
+        """Starts a play that its node has accepted: its viewer gets the node's description."""
         del self.director.open_requests[play.session]
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -1,9 +1,8 @@
-"""The real director: hosts the Controller between viewers and media nodes of the platform.
+"""The platform's director: hosts the Controller between viewers and media nodes.
 
-Order within a turn as in every director: what was read is told, then timers, then `decide`. Viewers
-are answered at the admission (admission.py),
-allocations are carried out in allocating.py; here are the configuration, the list, verdicts, and
-the process's end.
+The order within a turn is that of every director: what was read is reported, then timers run, then
+`decide`. Viewers are answered in admission.py, allocations are carried out in allocating.py; this
+module has the configuration, the fleet list, verdicts, and the process's end.
 """
 
 import logging
@@ -28,7 +27,7 @@
 # Shares of the process's descriptors. By the protocol viewers may hold a third of them; some are
 # needed for the process itself.
 VIEWER_SOCKET_SHARE, NODE_SOCKET_SHARE = 0.5, 0.35
-# Viewers come for 0.7 s after the order to stop.
+# Viewers still come for 0.7 s after the signal to stop.
 MIN_STOP_MS = 1_000.0
 # All plays are released this long after the longest time limit; SIGKILL comes 0.7 s after it.
 STOP_GRACE_MS = 350.0
@@ -44,17 +43,18 @@
 
 
 class Director(ControllerHost):
-    """See the module."""
+    """One director, with its viewers, nodes and controller."""
 
     def __init__(self, loop, configuration: Configuration):
         self.loop, self.configuration = loop, configuration
         # Unix clock less the loop's clock: the change log states node start times in Unix time.
         self.clock_offset_ms = time.time() * 1000 - loop.now
         self.counts: Counter = Counter()
-        self.open_requests: dict[str, Play] = {}  # plays that wait for their answer, by session
+        # By session: plays that wait for their answer, and plays that were answered.
+        self.open_requests: dict[str, Play] = {}
         self.running_plays: dict[str, Play] = {}
-        self.stopping_since: float | None = None  # since when
-        self.is_exiting = False  # all is over but its connections' ends
+        self.stopping_since: float | None = None
+        self.is_exiting = False  # all plays are over, its connections are being closed
         self.controller = Controller(configuration.deployment, configuration.seed, loop.now)
         self.admission, self.allocating = Admission(self), Allocating(self)
         self.nodes = Nodes(
@@ -80,13 +80,15 @@
         loop.after(COUNTS_INTERVAL_MS, self.log_counts)
         self.feed(self.controller.wake, loop.now)
 
-    def count(self, what: str) -> None:
-        self.counts[what] += 1
+    def count(self, name: str) -> None:
+        """Adds one to a counter, which is logged."""
+        self.counts[name] += 1
 
     def log_counts(self) -> None:
+        """Logs the counters and the loop's lag, periodically."""
         self.loop.after(COUNTS_INTERVAL_MS, self.log_counts)
         log.info(
-            "open %d, standing %d, viewers %d, connections to nodes %d, lag %.0f ms; %s",
+            "open %d, running %d, viewers %d, connections to nodes %d, lag %.0f ms; %s",
             len(self.open_requests),
             len(self.running_plays),
             len(self.listener.viewers),
@@ -96,24 +98,24 @@
         )
         self.loop.worst_lag = 0.0
 
-    # The configuration, the list, and the process's end
-
     def apply_configuration(self, configuration: Configuration) -> None:
-        """The file read anew: its list, change log and bounds hold at once, its terms for plays
-        that come from now on. Raises
-        ConfigurationError, with nothing changed, for what cannot be taken over."""
-        before, found = self.configuration, keep_numbers(self.configuration, configuration)
-        self.configuration = found
-        if found.deployment != before.deployment:
-            self.feed(self.controller.retold, self.loop.now, found.deployment)
-        self.listener.set_max_connections(int(VIEWER_SOCKET_SHARE * found.sockets))
+        """Applies a file that was read again: its list, change log and limits at once, its terms to
+        plays requested from now on.
+
+        Raises ConfigurationError, with nothing changed, for what cannot change while it runs.
+        """
+        before, updated = self.configuration, keep_numbers(self.configuration, configuration)
+        self.configuration = updated
+        if updated.deployment != before.deployment:
+            self.feed(self.controller.retold, self.loop.now, updated.deployment)
+        self.listener.set_max_connections(int(VIEWER_SOCKET_SHARE * updated.sockets))
         self.nodes.most, self.nodes.connect_ms, self.nodes.idle_ms = (
-            int(NODE_SOCKET_SHARE * found.sockets),
-            found.connect_ms,
-            found.idle_ms,
+            int(NODE_SOCKET_SHARE * updated.sockets),
+            updated.connect_ms,
+            updated.idle_ms,
         )
         # A name that was unknown before may have a number now.
-        if (found.kinds, found.zones) != (before.kinds, before.zones):
+        if (updated.kinds, updated.zones) != (before.kinds, before.zones):
             self.feed(
                 self.controller.listed,
                 self.loop.now,
@@ -121,39 +123,40 @@
                 False,
             )
         # After a gap only a whole list is applied; the change log has the missing events.
-        for event in found.known_events:
+        for event in updated.known_events:
             if event.number > self.follower.last and (
                 event.whole or event.number == self.follower.last + 1
             ):
                 self.follower.last = event.number
                 self.listing.listed(event)
-        if found.changelog != before.changelog:
-            self.follower.switch(found.changelog)
+        if updated.changelog != before.changelog:
+            self.follower.switch(updated.changelog)
 
     def stop(self) -> None:
-        """Takes nothing new; what stands goes on while it may.
+        """Declines new requests; running plays go on for as long as a stop allows.
 
-        The order may have waited while the process stood still: its time counts from then.
+        The signal may have waited while the process was stalled: the stop counts from then.
         """
         if self.stopping_since is not None:
             return
-        waited = self.loop.stalled
-        self.stopping_since = ordered = self.loop.now - waited
+        waited_ms = self.loop.stalled
+        self.stopping_since = signalled_at = self.loop.now - waited_ms
         log.info(
-            "stopping, ordered up to %.0f ms ago: open %d, standing %d",
-            waited,
+            "stopping, signalled up to %.0f ms ago: open %d, running %d",
+            waited_ms,
             len(self.open_requests),
             len(self.running_plays),
         )
         # Open requests may have longer limits than the current configuration.
-        limits = [play.deadline - ordered for play in self.open_requests.values()]
+        limits = [play.deadline - signalled_at for play in self.open_requests.values()]
         longest = max([self.configuration.longest_limit_ms, *limits])
-        self.loop.after(MIN_STOP_MS - waited, lambda: None)
+        self.loop.after(MIN_STOP_MS - waited_ms, lambda: None)
         self.loop.after(
-            min(longest, MAX_COUNTED_LIMIT_MS) + STOP_GRACE_MS - waited, self.end_all_plays
+            min(longest, MAX_COUNTED_LIMIT_MS) + STOP_GRACE_MS - waited_ms, self.end_all_plays
         )
 
     def end_all_plays(self) -> None:
+        """Fails all open requests, releases all running plays, and exits."""
         if self.is_exiting:
             return
         for play in list(self.open_requests.values()):
@@ -162,6 +165,7 @@
         self.exit_when_acknowledged(self.loop.now + ACKNOWLEDGE_WAIT_MS)
 
     def release_all_plays(self) -> None:
+        """Releases the running plays at their nodes and to their viewers."""
         for play in list(self.running_plays.values()):
             self.allocating.release(play)
             self.allocating.ending.remove_running(play)
@@ -170,9 +174,7 @@
             )
 
     def exit_when_acknowledged(self, latest: float) -> None:
-        """Ends the process once what it has said is heard: a connection that ends with something
-        unread takes that along.
-        """
+        """Exits once releases are acknowledged: a connection that ends loses what is unread."""
         self.is_exiting = True
         if (self.listener.releases or self.nodes.unsent()) and self.loop.now < latest:
             self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
@@ -181,22 +183,24 @@
             more = True
             while more:
                 more = self.listener.read_last_messages()
-                self.release_all_plays()  # what was handed over just now
+                self.release_all_plays()  # those handed over in the last messages
                 self.listener.close_all()
             self.nodes.shut()
             self.exit_when_closed(self.loop.now + CLOSE_WAIT_MS)
 
     def exit_when_closed(self, latest: float) -> None:
-        """Its connections are closed; the process goes when its peers have read to their ends."""
+        """Stops the loop once its peers have read the closed connections to their ends."""
         if (self.loop.open_streams or self.loop.lingering) and self.loop.now < latest:
             self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_closed(latest))
         else:
             self.loop.stop()
 
     def fail_all_plays(self) -> None:
+        """Ends all plays and exits, after the controller has failed."""
         self.end_all_plays()
 
     def finish_turn(self) -> None:
+        """Lets the controller decide at a turn's end; exits when nothing holds a stop back."""
         self.admission.process_deferred()
         self.decide()
         idle = not (
@@ -209,9 +213,8 @@
         ):
             self.exit_when_acknowledged(self.loop.now + ACKNOWLEDGE_WAIT_MS)
 
-    # Verdicts
-
     def apply_verdict(self, verdict: interface.Verdict) -> None:
+        """Carries out one verdict; verdicts without a play, or on one that is over, are ignored."""
         play = (
             self.open_requests.get(f"{verdict.play:016x}")
             or self.running_plays.get(f"{verdict.play:016x}")
--- a/laddergw/platform/play_ending.py
+++ b/laddergw/platform/play_ending.py
@@ -1,4 +1,4 @@
-"""How the end of an allocation is told: to the module, and to the viewer of a play that stood."""
+"""Reports the end of an allocation to the controller, and to the viewer of a running play."""
 
 import logging
 
@@ -7,27 +7,29 @@
 from laddergw.platform.plays import Play
 from laddergw.signalling import binary
 
-ANSWER_DELIVERY_MS = 20.0  # longest way of an answer to its viewer
+# Longest time that an answer takes to reach its viewer.
+ANSWER_DELIVERY_MS = 20.0
 
 log = logging.getLogger("laddergw.platform")
 
 
 class PlayEnding:
-    """Tells the ends of the director's allocations."""
+    """Ends the allocations of the director's plays."""
 
     def __init__(self, director):
         self.director = director
 
     def allocation_ended(self, play: Play, state: str, fact: str, report: tuple = ()) -> None:
-        """An allocation has ended; the module is told, and a viewer whose play stood."""
+        """Takes an event that may end an allocation; reports the end to the controller, and to the
+        viewer of a running play.
+        """
         outcome = allocation.outcome(state, fact)
         if outcome is None:
             return
         if play.is_running:
             self.remove_running(play)
-            if (
-                fact != allocation.GIVEN_UP
-            ):  # who has left hears it too: the answer may be on its way
+            # One that left, by its node's word, gets a release too: its answer may be on its way.
+            if fact != allocation.GIVEN_UP:
                 cause = bytes([self.release_cause(play, fact)])
                 self.director.listener.send_until_acknowledged(
                     play.viewer, binary.RELEASE, play.session, (binary.CAUSE, cause)
@@ -40,21 +42,23 @@
         self.record_outcome(play, outcome, report)
 
     def release_cause(self, play: Play, fact: str) -> int:
-        """What the release of a play that stood tells its viewer.
+        """Returns the cause that the release of a running play states.
 
-        One that has left, by its node's word, while our answer was on its way to it does not take
-        that answer for one: the release is its final answer, and has to be one.
+        A viewer that left, by its node's word, while our answer was on its way does not count that
+        answer as one. The release is then its final answer, and its cause must be that of one.
         """
         if fact in (allocation.BROKEN_OFF, allocation.LOST):
             return BROKEN
-        on_its_way = self.director.loop.now - play.answered_at <= ANSWER_DELIVERY_MS
-        return FAILED if fact == allocation.LEFT and on_its_way else ENDED
+        is_in_transit = self.director.loop.now - play.answered_at <= ANSWER_DELIVERY_MS
+        return FAILED if fact == allocation.LEFT and is_in_transit else ENDED
 
     def remove_running(self, play: Play) -> None:
+        """Removes a play from the running plays of the director and of its node."""
         self.director.running_plays.pop(play.session, None)
         play.node.held.pop(play.session, None)
 
     def record_outcome(self, play: Play, outcome: str, report: tuple = ()) -> None:
+        """Records an allocation's outcome; reports it at the turn's end if a retry is possible."""
         if play.timeout_timer is not None:
             play.timeout_timer.cancel()
             play.timeout_timer = None
@@ -63,15 +67,14 @@
         play.pending_outcome = outcome, report
         if play.is_running or self.director.open_requests.get(play.session) is not play:
             return self.report_outcome(play)
-        self.director.admission.deferred_plays.append(
-            play
-        )  # it may be tried again, once its connection has been read to its end
-        self.director.loop.after(
-            0, lambda: None
-        )  # at this turn's end, or of the next, which waits for nothing
+        # It may be retried, once its viewer's connection has been read to its end.
+        self.director.admission.deferred_plays.append(play)
+        # At the end of this turn, or of the next one, which then begins at once.
+        self.director.loop.after(0, lambda: None)
         return None
 
     def report_outcome(self, play: Play) -> None:
+        """Reports a recorded outcome to the controller."""
         (outcome, report), play.pending_outcome = play.pending_outcome, None
         over = play.is_running or self.director.open_requests.get(play.session) is not play
         self.director.feed(
--- a/laddergw/platform/releases.py
+++ b/laddergw/platform/releases.py
@@ -1,8 +1,8 @@
-"""Keeps the releases that viewers have not acknowledged, and which connection carries each.
+"""Keeps the releases that viewers have not acknowledged, and the connection that carries each.
 
-A release is sent again where its connection ends before its viewer has said that it heard it. A
-connection on which a play has
-stood is preferred; one that has asked for a play is used until there is such a one.
+A release is sent again if its connection ends before its viewer has acknowledged it. A connection
+that has served a play is preferred; until there is one, a connection that has requested a play is
+used.
 """
 
 import logging
@@ -12,27 +12,27 @@
 if TYPE_CHECKING:
     from laddergw.platform.viewers import ViewerConnection
 
-# a release that nobody has acknowledged for so long is given up: what stood counts as lost by then
+# A release that is not acknowledged for this long is given up: its play counts as lost by then.
 RELEASE_LIFETIME_MS = 8_000.0
 
 log = logging.getLogger("laddergw.platform")
 
 
 class PendingRelease(NamedTuple):
-    """A release that is not acknowledged.
+    """A release that is not acknowledged yet.
 
-    `carrier`: the connection that it was written to last, or None while there is none.
+    `carrier`: the connection that it was last written to, or None while there is none.
     """
 
     carrier: "ViewerConnection | None"
     data: bytes
-    expires_at: float  # ms of the loop's clock
+    expires_at: float  # by the loop's clock, ms
 
 
 class Releases:
-    """Releases on their way to viewers, by session.
+    """Releases that are not acknowledged, by session.
 
-    `viewers`: all connections; `count(what)` adds to the director's counts.
+    `viewers`: all viewers' connections; `count(name)` adds one to a counter of the director.
     """
 
     def __init__(self, loop, viewers: Iterable["ViewerConnection"], count: Callable[[str], None]):
@@ -40,24 +40,26 @@
         self.pending: dict[str, PendingRelease] = {}
 
     def __bool__(self) -> bool:
-        """Whether any is not acknowledged yet."""
+        """Whether any release is not acknowledged yet."""
         return bool(self.pending)
 
     def send(self, preferred: "ViewerConnection | None", session: str, data: bytes) -> None:
-        """Sends a release, by `preferred` while that connection is open, and keeps it until its
-        viewer acknowledges it.
+        """Sends a release and keeps it until its viewer acknowledges it.
+
+        It goes on `preferred` while that connection is open.
         """
         self.write(preferred, session, data, self.loop.now + RELEASE_LIFETIME_MS)
 
     def write(
         self, preferred: "ViewerConnection | None", session: str, data: bytes, expires_at: float
     ) -> None:
+        """Writes a release to the best connection, or keeps it for the next one."""
         carrier = self.carrier_for(preferred)
         self.pending[session] = PendingRelease(carrier, data, expires_at)
         log.debug(
             "%s: release to its viewer on %s",
             session,
-            carrier or "the next connection that asks for a play",
+            carrier or "the next connection that requests a play",
         )
         self.count("releases sent" if carrier is not None else "releases that wait")
         if carrier is not None:
@@ -65,31 +67,34 @@
             carrier.stream.write(data)
 
     def carrier_for(self, preferred: "ViewerConnection | None") -> "ViewerConnection | None":
-        """The connection that a play came on, else the last used that is proven, else the last used
-        that asked for a play.
+        """Returns the connection to send on: `preferred` while it is open, else the last used one
+        that has served a play, else the last used one that has requested a play.
         """
         if preferred is not None and preferred.stream is not None:
             return preferred
-        able = [
+        candidates = [
             viewer for viewer in self.viewers if viewer.has_requested and viewer.stream is not None
         ]
-        return max(able, key=lambda viewer: (viewer.has_served, viewer.last_used), default=None)
+        return max(
+            candidates, key=lambda viewer: (viewer.has_served, viewer.last_used), default=None
+        )
 
     def acknowledged(self, session: str) -> None:
+        """Forgets a release that its viewer has acknowledged."""
         if self.pending.pop(session, None) is not None:
-            log.debug("%s: release heard by its viewer", session)
+            log.debug("%s: release acknowledged by its viewer", session)
             self.count("releases heard")
 
     def connection_ended(self, viewer: "ViewerConnection") -> None:
-        """What it carried goes on another connection."""
+        """Sends the releases that it carried on another connection."""
         self.send_again(lambda carrier: carrier is viewer)
 
     def connection_requested(self, viewer: "ViewerConnection") -> None:
-        """It has asked for a play for the first time: it carries what has no connection yet."""
+        """Sends releases that have no connection yet: this one has requested its first play."""
         self.send_again(lambda carrier: carrier is None, viewer)
 
     def connection_served(self, viewer: "ViewerConnection") -> None:
-        """A play stands by it: it carries what went to connections that showed less."""
+        """Sends again releases on connections that have served no play: this one has served one."""
         if viewer.stream is not None:
             self.send_again(lambda carrier: carrier is None or not carrier.has_served, viewer)
 
@@ -98,6 +103,7 @@
         affected: Callable[["ViewerConnection | None"], bool],
         preferred: "ViewerConnection | None" = None,
     ) -> None:
+        """Sends again the releases whose carrier is `affected`."""
         for session, release in [
             entry for entry in self.pending.items() if affected(entry[1].carrier)
         ]:
@@ -105,6 +111,7 @@
             self.write(preferred, session, release.data, release.expires_at)
 
     def drop_expired(self) -> None:
+        """Gives up the releases that have expired."""
         for session in [
             session
             for session, release in self.pending.items()
@@ -112,7 +119,7 @@
         ]:
             release = self.pending.pop(session)
             log.info(
-                "%s: its release was never heard, on %s",
+                "%s: its release was never acknowledged, on %s",
                 session,
                 release.carrier or "no connection",
             )
--- a/laddergw/platform/requests.py
+++ b/laddergw/platform/requests.py
@@ -1,6 +1,6 @@
-"""Reads a viewer's set-up into what the module is asked.
+"""Parses a viewer's set-up into the request that the controller gets.
 
-What makes no sense is refused whole; no choice is made.
+A set-up with any invalid part is refused as a whole; no choice is made here.
 """
 
 import math
@@ -13,55 +13,59 @@
 
 NUMBER_PATTERN = re.compile(r"\d{1,9}(\.\d{1,9})?")
 TITLE_PATTERN = re.compile(r"[0-9a-f]{16}")
-MAX_PATIENCE_RATIO = (
-    2.0  # longest patience over the longest time limit told: a viewer's clock may round up
-)
-MAX_HINT_MS = 1e8  # a day: no play is hinted to last longer
-COUNT_ALLOWANCE = 1.0  # figures are counts of cells and rungs: one over the last is still within
+# Longest patience as a multiple of the longest time limit: a viewer's clock may round up.
+MAX_PATIENCE_RATIO = 2.0
+# About a day: no hint is longer.
+MAX_HINT_MS = 1e8
+# Figures count cells and rungs: one more than there are is still valid.
+COUNT_ALLOWANCE = 1.0
 
 
 class UnusableRequestError(Exception):
-    """A set-up that is refused; the text says why."""
+    """A set-up that is refused as invalid; the text says why."""
 
 
 class Request(NamedTuple):
-    """What a viewer asks for: what the module is asked, and what passes on to a media node."""
+    """A parsed set-up: the controller's request, and what is passed on to a media node."""
 
     play_request: Asked
     product: str
     title: str
-    playing_at: str  # the node where it plays already, or empty
+    playing_at: str  # id of the node where the play runs already; empty for a new one
     description: bytes
 
 
-def text_parameter(message: binary.Message, code: int, least: int = 1) -> str:
+def text_parameter(message: binary.Message, code: int, min_length: int = 1) -> str:
+    """Returns an ASCII parameter of `min_length` to 1024 bytes; a missing one counts as empty."""
     value = message.parameters.get(code, b"")
-    if not least <= len(value) <= 1024 or not value.isascii():
+    if not min_length <= len(value) <= 1024 or not value.isascii():
         raise UnusableRequestError(f"parameter {code}: {value[:40]!r}")
     return value.decode("ascii")
 
 
 def product_parameter(message: binary.Message) -> str:
-    """As the settings name it: any text."""
+    """Returns the product's name, which may be any UTF-8 text."""
     try:
         return message.parameters.get(binary.PRODUCT, b"").decode()
     except UnicodeDecodeError:
-        raise UnusableRequestError("a product that is no text") from None
+        raise UnusableRequestError("the product is not valid UTF-8") from None
 
 
 def parse_number(text: str, name: str, low: float, high: float) -> float:
+    """Returns a decimal number within [low, high]; `name` is for the error."""
     if not NUMBER_PATTERN.fullmatch(text) or not low <= float(text) <= high:
         raise UnusableRequestError(f"{name}: {text[:40]!r}")
     return float(text)
 
 
 def read(message: binary.Message, configuration: Configuration) -> Request:
+    """Returns the request of a set-up; raises UnusableRequestError for an invalid one."""
     if message.parameters is None:
-        raise UnusableRequestError("parameters that do not fit")
+        raise UnusableRequestError("the parameters do not fit into the message")
     deployment, figures = configuration.deployment, {}
     for part in text_parameter(message, binary.FIGURES).split(";"):
-        name, mark, value = part.partition(":")
-        if not mark or name in figures:
+        name, colon, value = part.partition(":")
+        if not colon or name in figures:
             raise UnusableRequestError(f"figures: {part[:40]!r}")
         figures[name] = value
     product, title = product_parameter(message), text_parameter(message, binary.TITLE)
@@ -76,15 +80,15 @@
             f"{product[:40]!r}, {title[:40]!r}, {message.session}, "
             f"description of {len(description)}"
         )
-    hint, cells, at = (
+    hint, cells, playing_at = (
         text_parameter(message, binary.HINT, 0),
         deployment.cells,
         figures.get("at", ""),
     )
-    # Nobody waits for a play that is handed over; its patience says nothing
+    # No viewer waits for the answer to a hand-over, so its patience is ignored.
     wait = (
         math.inf
-        if at
+        if playing_at
         else parse_number(
             text_parameter(message, binary.PATIENCE),
             "patience",
@@ -92,7 +96,7 @@
             MAX_PATIENCE_RATIO * configuration.longest_limit_ms,
         )
     )
-    ask = Asked(
+    play_request = Asked(
         int(message.session, 16),
         configuration.products[product],
         int(title, 16),
@@ -103,4 +107,4 @@
         wait,
         figures.get("again") == "1",
     )
-    return Request(ask, product, title, at, description)
+    return Request(play_request, product, title, playing_at, description)
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -1,6 +1,4 @@
-"""The viewers' side: connections, their messages, and bounds against those who say nothing or too
-much.
-"""
+"""Viewers' connections: their messages, and limits on useless and on flooding ones."""
 
 import logging
 
@@ -8,25 +6,30 @@
 from laddergw.platform.releases import Releases
 from laddergw.signalling import binary
 
-# an unproven connection with nothing open, or half a message, is closed after this: 3 s are allowed
+# A connection without a request, or with an unfinished message, is closed after this: the protocol
+# allows 3 s.
 REQUEST_TIMEOUT_MS = 2_000.0
-CHECK_INTERVAL_MS = 250.0  # pace of looking for such connections
-NEW_CONNECTION_MS = 50.0  # a new connection is not closed for others before it can have spoken
-MAX_OPEN_SET_UPS = (
-    64  # open set-ups of one connection: a front's pool holds a few, a flood hundreds
-)
-MAX_UNSENT_BYTES = 256 * 1024  # bytes that wait for a peer that does not read
-# of one connection at the process's end, 64 KB each: as much as its system may hold, and no peer
-# reads on for ever
+# How often connections are checked for it.
+CHECK_INTERVAL_MS = 250.0
+# A younger connection is not closed for others: it may not have had time to send a request.
+NEW_CONNECTION_MS = 50.0
+# Open set-ups of one connection: a front's pool holds a few, a flood hundreds.
+MAX_OPEN_SET_UPS = 64
+# Bytes that may wait for a peer that does not read.
+MAX_UNSENT_BYTES = 256 * 1024
+# Last reads of one connection at the process's end, 64 KB each: as much as the kernel may hold. A
+# peer that goes on sending does not hold the process.
 MAX_LAST_READS = 64
 
 log = logging.getLogger("laddergw.platform")
 
 
 class ViewerConnection:
-    """One connection from viewers. `spoke`: it asked for a play. `proven`: one stands by it, begun
-    on it or handed over on it.
-    A test proves nothing: fronts leave after theirs, and anyone can ask."""
+    """One connection from viewers.
+
+    `has_requested`: it has requested a play. `has_served`: a play was started or handed over on it.
+    A ping counts for neither: fronts disconnect after theirs, and anyone can send one.
+    """
 
     def __init__(self, listener: "ViewerListener"):
         self.listener, self.reader, self.plays, self.has_requested, self.has_served = (
@@ -37,11 +40,10 @@
             False,
         )
         self.opened_at = self.last_used = listener.loop.now
-        self.partial_since = None  # since when a message has begun and not ended
+        self.partial_since = None  # when an unfinished message began, or None
         self.closing = False
-        self.stall_ms = (
-            listener.loop.stalled
-        )  # ms for which it may have waited to be accepted, and what it said first with it
+        # How long it may have waited to be accepted, and its first messages with it.
+        self.stall_ms = listener.loop.stalled
         self.name = listener.next_name()
 
     def __str__(self) -> str:
@@ -72,6 +74,7 @@
             self.partial_since = None
 
     def write(self, kind: int, session: str, *parameters: tuple[int, bytes]) -> None:
+        """Sends a message, unless the connection has ended; closes it if its peer does not read."""
         if self.stream is None:
             return
         self.stream.write(binary.encode(kind, session, *parameters))
@@ -80,10 +83,11 @@
             self.close("it does not read")
 
     def refuse(self, session: str, cause: int = UNUSABLE, *more: tuple[int, bytes]) -> None:
+        """Answers a set-up with a release that states `cause`."""
         self.write(binary.RELEASE, session, (binary.CAUSE, bytes([cause])), *more)
 
     def close(self, why: str) -> None:
-        """Ends the connection; set-ups that are open on it are answered as failed first."""
+        """Closes the connection; set-ups that are open on it are answered as failed first."""
         if self.stream is not None and not self.closing:
             self.closing = True
             self.listener.admission.count("closed: " + why.partition(" of ")[0])
@@ -99,25 +103,24 @@
                 self.listener.admission.finish(play, FAILED)
             if self.stream is None:
                 return
-            # who does not read would hold it open
+            # A peer that does not read would hold a plain close open.
             self.stream.abort() if self.stream.queued else self.stream.close()
 
     def close_reason(self, now: float) -> str | None:
-        """Why it is to be closed as of no use; never while a set-up is open on it."""
+        """Returns why it is to be closed as useless; never while a set-up is open on it."""
         if self.plays:
             return None
         if self.partial_since is not None and now - self.partial_since >= REQUEST_TIMEOUT_MS:
             return "half a message"
-        if (
-            not self.has_requested and now - self.opened_at >= REQUEST_TIMEOUT_MS
-        ):  # who spoke has its answers, and may be speaking again
+        # One that has requested a play has had its answers, and may be sending another request.
+        if not self.has_requested and now - self.opened_at >= REQUEST_TIMEOUT_MS:
             return "nothing of use"
         return None
 
     def closed(self, stream, why: str | None) -> None:
         self.stream = None
         log.debug(
-            "%s: ends: %s; %d set-ups open",
+            "%s: ended: %s; %d set-ups open",
             self,
             why or "closed by its peer or by us",
             len(self.plays),
@@ -129,7 +132,7 @@
 
 
 class ViewerListener:
-    """All viewers' connections."""
+    """Accepts viewers' connections, bounds their number and closes useless ones."""
 
     def __init__(self, loop, admission, address: tuple[str, int], max_connections: int):
         self.loop, self.admission, self.max_connections = loop, admission, max_connections
@@ -140,23 +143,25 @@
         loop.after(CHECK_INTERVAL_MS, self.check_connections)
 
     def next_name(self) -> str:
-        """Of a viewers' connection, for the log."""
+        """Returns the next connection's name, for the log."""
         self.connection_count += 1
         return f"viewers' connection {self.connection_count}"
 
     def connection_opened(self, viewer: ViewerConnection) -> None:
+        """Adds a connection; others may be closed for it."""
         self.viewers[viewer] = None
         self.close_excess(viewer)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Another bound, at once; who has plays open keeps its connection."""
+        """Applies another bound at once; connections with open set-ups are kept."""
         self.max_connections = max_connections
         self.close_excess()
 
     def close_excess(self, last: ViewerConnection | None = None) -> None:
-        """Over the bound who has said nothing goes first, then who was idle longest, `last` where
-        all others have plays open. What one has
-        to say may lie unread: it is read before it is closed, or a set-up would be lost."""
+        """Closes connections over the bound that have no open set-up: first those that have served
+        no play and are not new, then those idle longest, `last` after all others. Each is read
+        before it is closed, or a set-up that lies unread would be lost.
+        """
         idle = (
             [v for v in self.viewers if not v.plays and v is not last]
             if len(self.viewers) > self.max_connections
@@ -168,20 +173,21 @@
                 v.last_used,
             )
         )
-        for one in idle + [last] * (last is not None):
+        for viewer in idle + [last] * (last is not None):
             if len(self.viewers) <= self.max_connections:
                 return
-            if one.stream is not None:
-                one.stream.read_now()
-            if not one.plays:
-                one.close("too many")
+            if viewer.stream is not None:
+                viewer.stream.read_now()
+            if not viewer.plays:
+                viewer.close("too many")
 
     def read_last_messages(self) -> bool:
-        """The process's end: all who have come are accepted, and what they have said is answered.
-        Whether some wait for a descriptor,
-        and connections that end now make room for them. Else nobody else is let in before the first
-        connection is closed: whose set-up
-        crosses that comes again at once, and would be cut off a second time."""
+        """Accepts, at the process's end, all waiting connections and answers what they have sent.
+
+        Returns whether some still wait for a descriptor which connections that end now will free.
+        Otherwise it stops listening before the first connection is closed: a viewer whose set-up
+        crosses that close retries at once, and would be cut off a second time.
+        """
         starved = self.acceptor.accept_waiting()
         if not starved:
             self.acceptor.close()
@@ -197,20 +203,23 @@
         return more
 
     def close_all(self) -> None:
+        """Closes every connection in good order."""
         for viewer in list(self.viewers):
             if viewer.stream is not None:
                 viewer.stream.close()
 
     def connection_closed(self, viewer: ViewerConnection) -> None:
+        """Removes a connection that has ended; its releases go on others."""
         self.viewers.pop(viewer, None)
         self.releases.connection_ended(viewer)
 
     def check_connections(self) -> None:
+        """Closes useless connections and drops expired releases, periodically."""
         self.loop.after(CHECK_INTERVAL_MS, self.check_connections)
         now = self.loop.now
         for viewer in list(self.viewers):
             if viewer.close_reason(now):
-                viewer.stream.read_now()  # what came meanwhile may be a set-up
+                viewer.stream.read_now()  # a set-up may have arrived meanwhile
             if viewer.stream is not None and (why := viewer.close_reason(now)):
                 viewer.close(why)
         self.releases.drop_expired()
@@ -222,18 +231,18 @@
         session: str,
         *parameters: tuple[int, bytes],
     ) -> None:
-        """What ends a play, until its viewer has acknowledged it: a connection may end with it
-        unread.
+        """Sends a message that ends a play, and again if its connection ends before its viewer has
+        acknowledged it.
         """
         self.releases.send(preferred, session, binary.encode(kind, session, *parameters))
 
     def mark_requested(self, viewer: ViewerConnection) -> None:
-        """It has asked for a play."""
+        """Notes that a connection has requested a play."""
         if not viewer.has_requested:
             viewer.has_requested = True
             self.releases.connection_requested(viewer)
 
     def mark_served(self, viewer: ViewerConnection) -> None:
-        """A play stands by it."""
+        """Notes that a play was started or handed over on a connection."""
         viewer.has_requested = viewer.has_served = True
         self.releases.connection_served(viewer)
