--- a/benchmarks/leaving_under_load.py
+++ b/benchmarks/leaving_under_load.py
@@ -17,7 +17,7 @@
 
 from laddergw.signalling import binary, rtsp
 from tests.platform_cluster import BASE_SETTINGS, answer, event, member, release, set_up
-from tests.test_platform_start import Running
+from tests.test_platform_start import SpawnedDirector
 
 GONE_MS, NODES, ANSWER_S, TELL_S = 100.0, 8, 0.08, 10.5
 LEAVE = binary.RELEASE
@@ -32,7 +32,7 @@
             node.setblocking(False)
             self.selector.register(node, selectors.EVENT_READ, self.accept)
         members = [member(f"n{i}", 1, cell=i % 3) | {"host_port": f"127.0.0.1:{node.getsockname()[1]}"} for i, node in enumerate(self.nodes)]
-        self.running = Running(pathlib.Path(folder), "load", limits={"sockets": 1024}, known={"seq": 1, "results": [event(1, *members, whole=True)]},
+        self.running = SpawnedDirector(pathlib.Path(folder), "load", limits={"sockets": 1024}, known={"seq": 1, "results": [event(1, *members, whole=True)]},
                                settings=BASE_SETTINGS | {"Specifics": BASE_SETTINGS["Specifics"] | {"LinkUnitKb": 90_000.0, "RackKb": 700_000.0}})
         self.start = time.monotonic()
 
--- a/tests/director_process.py
+++ b/tests/director_process.py
@@ -17,7 +17,7 @@
 from laddergw.signalling import binary
 from tests.platform_cluster import event, member, set_up
 from tests.sockets_town import Node, Peer
-from tests.test_platform_start import Running
+from tests.test_platform_start import SpawnedDirector
 
 PATIENCE_S = 20.0  # of the test, for any one message
 TEST = binary.encode(binary.TEST, "0" * 16, (binary.CAUSE, b"\0"))
@@ -40,7 +40,7 @@
             member(name, node.port, cell=cell) | {"host_port": f"127.0.0.1:{node.port}"}
             for cell, (name, node) in enumerate(self.nodes.items())
         ]
-        self.running = Running(
+        self.running = SpawnedDirector(
             pathlib.Path(folder.name),
             "n0",
             self.change_log.getsockname()[1],
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""The director's file and its forms: every fault told with its place, nothing taken from a bad file."""
+"""The director's file of terms and its forms: each fault is reported with its place, and a faulty file is refused whole."""
 import unittest
 
 from hypothesis import given, settings, strategies as st
@@ -7,14 +7,14 @@
 from laddergw.terms.sexpr import Atom, Form, Refused, parse
 from tests.helpers import TraceTest
 
-GOOD = """; a director's file
+VALID = """; a director's file
 (director (number 0) (listen "127.0.0.1" 0) (list "127.0.0.1" 8200) (key k1 "0123456789abcdef")
  (deployment (directors 4) (ladder 100 200 400) (rung-worth 0.3 0.6 1) (link-unit-kb 9000) (rack-kb 40000) (streams 20)
   (budget (free 3) (share 0.1) (window-ms 10000))
   (product "hearing" (importance 3)) (product notice (importance 2) (repeat paid) (floor 1) (seats 4))))
 """
 
-CHANGES = (                # what is changed in a good file, and to what
+CHANGES = (                # a text of the valid file, and the faulty one that replaces it
     ("(number 0)", "(number 4)"), ("(number 0)", "(number 0.5)"), ("(number 0)", "(number 0) (number 1)"),
     ('"127.0.0.1" 8200', '"127.0.0.1" 82000'), ('(list "127.0.0.1" 8200)', ""), ('"0123456789abcdef"', '"short"'),
     ('(key k1 "0123456789abcdef")', ""), ("(ladder 100 200 400)", "(ladder 100 200 200)"), ("(ladder 100 200 400)", "(ladder)"),
@@ -28,36 +28,38 @@
     ("(number 0)", "(number 0)\0"), ("(free 3)", "(free 3) (free 4)"), ("(product notice", "(product (a)"), ("(seats 4)", "((4))"))
 
 
-class Files(TraceTest):
-    def test_a_good_file(self):
-        read = house.read(GOOD)
+class FileTests(TraceTest):
+    """Valid and faulty files, and their forms."""
+
+    def test_valid_file(self):
+        read = house.read(VALID)
         self.assertEqual((read.names, read.deployment.directors, read.deployment.budget_free), (("hearing", "notice"), 4, 3))
         self.assertEqual(read.deployment.products[1][:2], (2, "paid"))
         self.assertEqual(read.bounds, house.Bounds())
 
-    def test_each_fault_is_told_with_its_place(self):
-        class Lines:
+    def test_each_fault_is_reported_with_its_place(self):
+        class Trace:
             lines = []
         for old, new in CHANGES:
-            self.assertIn(old, GOOD)
-            Lines.lines.append(f"# {old.strip()} becomes {new.replace(chr(0), 'NUL')!r}")
+            self.assertIn(old, VALID)
+            Trace.lines.append(f"# {old.strip()} becomes {new.replace(chr(0), 'NUL')!r}")
             with self.assertRaises(Refused) as caught:
-                house.read(GOOD.replace(old, new, 1), "house.scm")
-            Lines.lines += str(caught.exception).splitlines()
-        self.same("files", Lines)
+                house.read(VALID.replace(old, new, 1), "house.scm")
+            Trace.lines += str(caught.exception).splitlines()
+        self.same("files", Trace)
 
-    def test_all_faults_come_at_once(self):
-        text = GOOD.replace("(streams 20)", "(streams x)").replace("(floor 1)", "(floor 9)").replace("8200", "-1")
+    def test_all_faults_are_reported_at_once(self):
+        text = VALID.replace("(streams 20)", "(streams x)").replace("(floor 1)", "(floor 9)").replace("8200", "-1")
         with self.assertRaises(Refused) as caught:
             house.read(text)
         self.assertEqual([fault.place.line for fault in caught.exception.faults], [2, 3, 5])
 
-    def test_a_file_that_is_no_file(self):
+    def test_path_that_is_not_a_file(self):
         for path in "/nowhere/at/all", "/":
             with self.assertRaises(Refused):
                 house.read_file(path)
 
-    def test_too_deep_and_too_large(self):
+    def test_text_too_deep_and_too_large(self):
         for text in "(" * 500, "x" * 5_000_000:
             with self.assertRaises(Refused):
                 parse(text)
@@ -66,7 +68,7 @@
     @given(st.recursive(st.one_of(st.integers(-10**6, 10**6), st.text("abcxyz-", min_size=1, max_size=8),
                                   st.text(max_size=8).map(lambda t: ("s", t.replace("\0", "").replace("\r", " ")))),
                         lambda inner: st.lists(inner, max_size=4), max_leaves=20))
-    def test_what_is_written_is_read(self, tree):
+    def test_written_forms_are_read_back(self, tree):
         def write(node):
             if isinstance(node, list):
                 return "(" + " ".join(map(write, node)) + ")"
@@ -82,7 +84,7 @@
 
     @settings(max_examples=200, deadline=None)
     @given(st.text("()\"; ax1\\\n", max_size=60))
-    def test_any_text_is_read_or_refused_with_a_place(self, text):
+    def test_any_text_is_parsed_or_refused_with_a_place(self, text):
         try:
             self.assertTrue(all(isinstance(item, (Atom, Form)) for item in parse(text)))
         except Refused as error:
--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -14,7 +14,7 @@
 from laddergw.signalling import binary, rtsp
 from tests.platform_cluster import answer, event, member, set_up
 from tests.sockets_town import Node, Peer, Town
-from tests.test_platform_start import PATIENCE_S, Running, held_port
+from tests.test_platform_start import WAIT_LIMIT_S, SpawnedDirector, held_port
 
 SOCKETS, IDLE = 64, 150      # of the descriptors 22 are for connections to nodes
 TEST = binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
@@ -27,7 +27,7 @@
         self.log = held_port()
         self.addCleanup(self.log.close)
         self.nodes = [Node(f"n{n}") for n in range(120)]
-        self.running = Running(pathlib.Path(folder.name), "full", descriptors=SOCKETS, limits={"sockets": SOCKETS}, log_port=self.log.getsockname()[1],
+        self.running = SpawnedDirector(pathlib.Path(folder.name), "full", descriptors=SOCKETS, limits={"sockets": SOCKETS}, log_port=self.log.getsockname()[1],
                                known={"seq": 1, "results": [event(1, *self.members(), whole=True)]})
         self.addCleanup(self.running.end)
         self.selector = selectors.DefaultSelector()
@@ -39,7 +39,7 @@
         return [member(node.name, node.port, cell=n % 3) | {"host_port": f"127.0.0.1:{node.port}"} for n, node in enumerate(self.nodes)]
 
     def viewer(self):
-        latest = time.monotonic() + PATIENCE_S
+        latest = time.monotonic() + WAIT_LIMIT_S
         while True:
             try:
                 self.peers.append(Peer(socket.create_connection(("127.0.0.1", self.running.port)), binary.Reader()))
@@ -48,7 +48,7 @@
                 self.assertLess(time.monotonic(), latest)
 
     def until(self, done):
-        latest = time.monotonic() + PATIENCE_S
+        latest = time.monotonic() + WAIT_LIMIT_S
         while not (found := done()):
             self.assertLess(time.monotonic(), latest)
         return found
@@ -67,11 +67,11 @@
                     line.write(b"RTSP/1.0 453 X\r\nCSeq: 1\r\nSession: " + message.session.encode() + b"\r\nContent-Length: 0\r\n\r\n")
         self.assertLessEqual(self.descriptors(), SOCKETS)
         self.log.listen(16)
-        self.log.settimeout(PATIENCE_S)
+        self.log.settimeout(WAIT_LIMIT_S)
         for number in 1, 2:                              # what it tells is taken in, and asked for no second time
             line, _ = self.log.accept()
             self.addCleanup(line.close)
-            line.settimeout(PATIENCE_S)
+            line.settimeout(WAIT_LIMIT_S)
             self.assertEqual(line.recv(100), b"since %d\n" % number)
             line.sendall(json.dumps(event(number + 1, *self.members(), whole=True)).encode() + b"\n")
             line.shutdown(socket.SHUT_RDWR)
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -10,7 +10,7 @@
 from laddergw.platform.director import NODE_SOCKET_SHARE, VIEWER_SOCKET_SHARE
 from laddergw.signalling import binary, changes
 from tests.platform_cluster import BASE_SETTINGS, answer, event, member, release, set_up, configuration_file
-from tests.sites import REPEATS, SITES, settings_of
+from tests.sites import RETRY_SAFETY, SITES, director_settings
 from tests.sockets_town import Town
 
 # What the file may change while the director runs, and how: each field is here, so that a new one cannot be forgotten.
@@ -215,10 +215,10 @@
         for path in paths:
             with self.subTest(path.name):
                 site = tomllib.loads(path.read_text())
-                read = found(settings=settings_of(site))
+                read = found(settings=director_settings(site))
                 self.assertEqual(list(read.products), [row["name"] for row in site["class"]])
                 self.assertEqual((list(read.zones), list(read.kinds)), (site["net"]["zones"], [kind["name"] for kind in site["tier"][0]["kind"]]))
-                self.assertEqual([row.repeat for row in read.deployment.products], [REPEATS[row["effect"]][1] for row in site["class"]])
+                self.assertEqual([row.repeat for row in read.deployment.products], [RETRY_SAFETY[row["effect"]][1] for row in site["class"]])
                 self.assertEqual(read.deployment.fall_ms, site["rules"]["fall_ms"])
 
     def test_nothing_is_kept_between_directors(self):
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -1,4 +1,4 @@
-"""The real director as a process: signals at any moment from its first statement on, and files with faults, at the start and later."""
+"""The platform's director as a process: signals at any moment from its first statement on, and faulty files at the start and later."""
 import json
 import os
 import pathlib
@@ -17,14 +17,14 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-AT_ONCE = 20               # processes of one batch: their ends take a second each, by the platform's terms
+BATCH_SIZE = 20            # processes that run at once: each takes a second to end, by the platform's terms
 BATCHES = 7
-MOMENTS_MS = 150.0         # signals fall within this of the moment from which a process holds them: its start takes 60 to 120
-PATIENCE_S = 60.0          # of the test, for any one word
+SIGNAL_WINDOW_MS = 150.0   # signals are sent within this after a process begins to hold them: its start takes 60 to 120 ms
+WAIT_LIMIT_S = 60.0        # how long a test waits for any one event
 
 
-def masks(process):
-    """What the kernel says of a process's signals: blocked, ignored, caught. Empty when it has gone."""
+def signal_masks(process):
+    """Returns a process's masks of signals by the kernel: blocked, ignored, caught. Empty when it has ended."""
     try:
         lines = pathlib.Path(f"/proc/{process.pid}/status").read_text().splitlines()
     except (FileNotFoundError, ProcessLookupError):
@@ -32,13 +32,14 @@
     return {name: int(value, 16) for name, value in (line.split(":", 1) for line in lines) if name.startswith("Sig") and name != "SigQ"}
 
 
-def holds(process, number, *names):
-    found = masks(process)
-    return not found or any(found[name] >> (number - 1) & 1 for name in names)
+def holds_signal(process, number, *names):
+    """Whether one of the named masks has a signal, or the process has ended."""
+    masks = signal_masks(process)
+    return not masks or any(masks[name] >> (number - 1) & 1 for name in names)
 
 
-class Running:
-    """One director by the deploy file's own line, its log read as it comes."""
+class SpawnedDirector:
+    """One director, started by the command of deploy/balancer.toml; its log is read as it comes."""
 
     def __init__(self, folder, name, log_port=4001, descriptors=None, log_level="INFO", **changes):
         self.name, self.path, self.log, self.at = name, folder / f"{name}.json", "", None
@@ -50,14 +51,14 @@
                                         env=os.environ | {"PROXY_CONFIG": str(self.path), "PYTHONDONTWRITEBYTECODE": "1", "LADDERGW_LOG": log_level})
 
     def write(self, log_port, **changes):
-        """A new file in place of the old one, whole at once."""
-        beside = self.path.with_suffix(".new")
-        beside.write_text(json.dumps(configuration_file(name=self.name, listen=f"127.0.0.1:{self.port}", changelog=f"127.0.0.1:{log_port}",
+        """Replaces the configuration file at once by a rename."""
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(json.dumps(configuration_file(name=self.name, listen=f"127.0.0.1:{self.port}", changelog=f"127.0.0.1:{log_port}",
                                           known={"seq": 1, "results": []}) | changes))
-        beside.rename(self.path)
+        new_path.rename(self.path)
 
     def pid(self):
-        """Of the director: the shell becomes it."""
+        """Returns the director's process id: the shell replaces itself by it."""
         return self.process.pid
 
     def end(self):
@@ -68,7 +69,9 @@
         self.held.close()
 
 
-class Starts(unittest.TestCase):
+class StartTests(unittest.TestCase):
+    """Signals and files of processes that start, run and end."""
+
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -76,7 +79,7 @@
         self.addCleanup(self.selector.close)
 
     def start(self, name):
-        running = Running(self.folder, name)
+        running = SpawnedDirector(self.folder, name)
         self.addCleanup(running.end)
         os.set_blocking(running.process.stderr.fileno(), False)
         self.selector.register(running.process.stderr, selectors.EVENT_READ, running)
@@ -90,20 +93,20 @@
                 self.selector.unregister(key.fileobj)
 
     def until(self, done, what):
-        latest = time.monotonic() + PATIENCE_S
+        latest = time.monotonic() + WAIT_LIMIT_S
         while not done():
             self.assertLess(time.monotonic(), latest, what)
             self.read(0.05)
 
-    def test_signals_at_drawn_moments(self):
-        """None is deadly, none is forgotten: after SIGHUP the file as it was then is in force, after SIGTERM it ends with 0."""
-        draw, self.early = random.Random(28), 0
+    def test_signals_at_random_moments(self):
+        """No signal ends a process at once and none is lost: after SIGHUP the file of that time is in force, after SIGTERM it exits with 0."""
+        generator, self.early = random.Random(28), 0
         for batch in range(BATCHES):
             plan = []
-            for n in range(AT_ONCE):
+            for n in range(BATCH_SIZE):
                 running = self.start(f"n{batch}-{n}")
-                numbers = draw.choice(((signal.SIGHUP,), (signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP)))
-                plan.append((running, numbers, draw.random() * MOMENTS_MS))
+                numbers = generator.choice(((signal.SIGHUP,), (signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP)))
+                plan.append((running, numbers, generator.random() * SIGNAL_WINDOW_MS))
             self.send(plan)
             for running, numbers, moment in plan:
                 with self.subTest(name=running.name, signals=numbers, moment=moment):
@@ -114,20 +117,20 @@
                         self.assertIsNone(running.process.poll(), running.log)
                         running.process.send_signal(signal.SIGTERM)
             for running, _, _ in plan:
-                self.assertEqual(running.process.wait(PATIENCE_S), 0, running.log)
-        self.assertGreater(self.early, AT_ONCE * BATCHES / 4, "signals were held before their handlers stood")
+                self.assertEqual(running.process.wait(WAIT_LIMIT_S), 0, running.log)
+        self.assertGreater(self.early, BATCH_SIZE * BATCHES / 4, "too few signals were sent before their handlers were installed")
 
     def send(self, plan):
-        """Each its signals, so long after it began to hold them: for SIGHUP the line that runs it sees to that, for SIGTERM its first statement."""
+        """Sends each process its signals at its moment after it began to hold them: the command's trap holds SIGHUP, the first statement SIGTERM."""
         held = {}
         while plan and len(held) < len(plan) or any(left for _, left in held.values()):
             now = time.monotonic() * 1000
             for running, numbers, moment in plan:
                 if running.name not in held:
                     names = ("SigBlk", "SigCgt") if signal.SIGTERM in numbers else ("SigIgn", "SigBlk", "SigCgt")
-                    if holds(running.process, numbers[0], *names):
+                    if holds_signal(running.process, numbers[0], *names):
                         held[running.name] = [now + moment, list(numbers)]
-                        self.early += holds(running.process, signal.SIGTERM, "SigBlk")
+                        self.early += holds_signal(running.process, signal.SIGTERM, "SigBlk")
                 elif now >= held[running.name][0] and held[running.name][1]:
                     running.write(4002)
                     for number in held[running.name][1]:
@@ -136,7 +139,7 @@
             self.read(0)
 
     def test_signals_as_it_ends(self):
-        """Until its very end a process that was told to stop is not ended by another signal."""
+        """Until its end a process that was signalled to stop is not ended by another signal."""
         for n in range(4):                                     # a second each
             running = self.start(f"n{n}")
             self.until(lambda: "runs at" in running.log, running.log)
@@ -146,14 +149,15 @@
                 self.read(0.0005)
             self.assertEqual(running.process.returncode, 0, running.log)
 
-    def test_a_file_with_a_fault(self):
+    def test_faulty_file(self):
+        """A start with a faulty file fails and names the fault; a running director refuses it and reads the next one."""
         bad = {"settings": configuration_file()["settings"] | {"Siblings": "many"}}
-        wrong = self.start("wrong")
-        wrong.process.kill()
-        wrong.process.wait()
-        wrong.write(4001, **bad)
-        again = subprocess.run(["/bin/sh", "-c", RUN.replace(".venv/bin/python", sys.executable)], cwd=ROOT, capture_output=True, timeout=PATIENCE_S,
-                               env=os.environ | {"PROXY_CONFIG": str(wrong.path)})
+        faulty = self.start("wrong")
+        faulty.process.kill()
+        faulty.process.wait()
+        faulty.write(4001, **bad)
+        again = subprocess.run(["/bin/sh", "-c", RUN.replace(".venv/bin/python", sys.executable)], cwd=ROOT, capture_output=True, timeout=WAIT_LIMIT_S,
+                               env=os.environ | {"PROXY_CONFIG": str(faulty.path)})
         self.assertEqual(again.returncode, 2)
         self.assertIn(b"Siblings", again.stderr)
         running = self.start("n0")
@@ -166,7 +170,7 @@
         running.process.send_signal(signal.SIGHUP)
         self.until(lambda: "configuration read again" in running.log, running.log)
         running.process.send_signal(signal.SIGTERM)
-        self.assertEqual(running.process.wait(PATIENCE_S), 0, running.log)
+        self.assertEqual(running.process.wait(WAIT_LIMIT_S), 0, running.log)
 
 
 if __name__ == "__main__":
