--- a/tests/test_orders_ends.py
+++ b/tests/test_orders_ends.py
@@ -1,4 +1,4 @@
-"""Ends that cross what they end: names used again, hand-overs overtaken, closes that wait. Real connections, the bad order every time."""
+"""Ends that cross what they end: session ids used again, late hand-overs, closes that wait. Real sockets; each test forces the bad order of events."""
 import contextlib
 import unittest
 
@@ -6,42 +6,45 @@
 from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
-END = binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10"))
+VIEWER_RELEASE = binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10"))
 
 
-class Ends(unittest.TestCase):
+class EndTests(unittest.TestCase):
+    """Ends of plays and of connections."""
+
     def setUp(self):
         self.now = [10_000.0]
         self.town = Town(self, now=lambda: self.now[0])
 
-    def pass_(self, ms):
+    def advance(self, ms):
         self.town.passes(self.now, ms)
 
-    def test_a_closed_connection_waits_for_who_reads_slowly_and_not_for_who_has_stopped(self):
-        """What is queued goes on as long as its peer takes something each five seconds; five without, and it ends."""
+    def test_a_closed_connection_waits_for_a_slow_reader_and_not_for_a_stopped_one(self):
+        """Its queue is sent for as long as the peer reads something every five seconds; after five seconds without, it ends."""
         for reads in True, False:
             with self.subTest(reads=reads):
                 self.setUp()
                 _, line = self.town.idle_line()
                 mine, = self.town.director.nodes.by_id["a"].connections
-                while mine.stream.queued < 8 << 20:      # far past what both systems hold
+                while mine.stream.queued < 8 << 20:      # far more than both kernels hold
                     mine.stream.write(rtsp.request("OPTIONS", "ping", "0" * 16) * 2_000)
                 mine.close()
                 for _ in range(3):
                     if reads:
                         had = mine.stream.taken
                         self.town.until(lambda: self.drained(line) and mine.stream.taken > had)
-                    self.pass_(3_000)
+                    self.advance(3_000)
                 self.assertEqual(mine.stream.sock is not None, reads)
 
     def drained(self, line):
+        """Reads a part of what waits at a node's end."""
         with contextlib.suppress(BlockingIOError):
             line.sock.recv(1 << 20)
         return True
 
-    def test_a_name_used_again_while_its_first_play_is_not_over(self):
-        """No connection may be opened, so the first play's set-up comes to nothing in the next turn; in that turn its viewer takes it back
-        and asks again under the same name. The decisions' account of the node holds what is there, and no more."""
+    def test_a_session_used_again_while_its_first_play_is_not_over(self):
+        """No connection may be opened, so the first play's set-up fails in the next turn; in that turn its viewer cancels it and requests
+        a play with the same session. The controller's load estimate of the node counts what runs there, and no more."""
         self.town.director.nodes.most = 0
         viewer = self.town.viewer()
         side = self.town.side(viewer)
@@ -49,30 +52,30 @@
         self.town.lies_there(side, len(set_up(2)))
         self.town.turn()
         self.assertEqual(len(self.town.director.controller.plays), 1)
-        viewer.write(END + set_up(2))
-        self.town.lies_there(side, len(END + set_up(2)))
+        viewer.write(VIEWER_RELEASE + set_up(2))
+        self.town.lies_there(side, len(VIEWER_RELEASE + set_up(2)))
         self.town.turns(6)
-        self.pass_(5_000)
+        self.advance(5_000)
         fleet = self.town.director.controller.fleet
         self.assertEqual((self.town.director.open_requests, self.town.director.controller.plays), ({}, {}))
         self.assertEqual([(round(node.own, 6), node.plays) for node in fleet.nodes.values()], [(0.0, {})])
 
-    def test_an_end_that_overtakes_its_hand_over(self):
-        """They come on two connections, and the end is read first: the play is released at its node, and its viewer hears that."""
+    def test_a_release_read_before_its_hand_over(self):
+        """They come on two connections, and the release is read first: the play is released at its node and to its viewer."""
         first, second = self.town.viewer(), self.town.viewer()
         sides = [self.town.side(first), self.town.side(second)]
         hand_over = set_up(2, figures="home:0;copies:3;top:2;at:a")
-        second.write(END)
-        self.town.lies_there(sides[1], len(END))
+        second.write(VIEWER_RELEASE)
+        self.town.lies_there(sides[1], len(VIEWER_RELEASE))
         self.town.turn()
         first.write(hand_over)
         self.town.lies_there(sides[0], len(hand_over))
-        self.pass_(1_000)
+        self.advance(1_000)
         self.assertEqual(self.town.director.running_plays, {})
         self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].hear()])
 
-    def stands(self):
-        """A play that stands at the node: its viewer, and the node's end of the connection."""
+    def start_play(self):
+        """Starts a play at the node; returns its viewer, and the node's end of the connection."""
         viewer = self.town.viewer()
         viewer.write(set_up(1))
         line, message = self.town.come("a")
@@ -81,40 +84,40 @@
         self.town.turns(3)
         return viewer, line
 
-    def tears(self):
-        """Turns until the node is told that the play is over."""
+    def run_until_released(self):
+        """Runs turns until the node has received releases; returns them."""
         for _ in range(300):
             if found := [m for _, m in self.town.nodes["a"].hear() if m.method == "TEARDOWN"]:
                 return found
-            self.pass_(10)
+            self.advance(10)
         return []
 
-    def test_a_release_that_is_on_its_way_as_its_connection_is_reset(self):
-        """The node's system had it and its process had not: it is told again on the next connection."""
-        viewer, line = self.stands()
+    def test_a_release_in_transit_as_its_connection_is_reset(self):
+        """The node's kernel had it and its process had not: it is sent again on the next connection."""
+        viewer, line = self.start_play()
         viewer.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
         self.town.until(lambda: not self.town.director.running_plays)
         self.town.turns(3)
         line.reset()
-        self.assertEqual([m.session for m in self.tears()], [f"{1:016x}"])
+        self.assertEqual([m.session for m in self.run_until_released()], [f"{1:016x}"])
 
-    def test_a_release_that_is_heard_is_not_told_again(self):
-        viewer, line = self.stands()
+    def test_an_acknowledged_release_is_not_sent_again(self):
+        viewer, line = self.start_play()
         viewer.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
-        message, = self.tears()
+        message, = self.run_until_released()
         line.write(rtsp.answer(200, "OK", "2", message.session))
         self.town.turns(3)
         line.reset()
-        self.pass_(3_000)
+        self.advance(3_000)
         self.assertEqual([m.method for _, m in self.town.nodes["a"].hear()], [])
 
-    def test_a_release_said_on_a_connection_that_never_comes_up(self):
-        """The only connection to the node is on its way, for another play: it comes to nothing in time, or that play's viewer leaves. The
-        release goes on the next one."""
+    def test_a_release_queued_for_a_connection_that_never_comes_up(self):
+        """The only connection to the node is being opened, for another play: it times out, or that play's viewer leaves. The release goes on
+        the next connection."""
         for leaves in False, True:
             with self.subTest(leaves=leaves):
                 self.setUp()
-                viewer, line = self.stands()
+                viewer, line = self.start_play()
                 node = self.town.director.nodes.by_id["a"]
                 mine, = node.connections
                 mine.plays["busy"] = None                # so that the next play has a connection of its own
@@ -129,37 +132,37 @@
                 viewer.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
                 self.town.until(lambda: not self.town.director.running_plays)
                 if leaves:
-                    viewer.write(END)
+                    viewer.write(VIEWER_RELEASE)
                     self.town.until(lambda: not self.town.director.open_requests)
                 else:
-                    self.pass_(400)
+                    self.advance(400)
                 self.town.loop.selector.select = select
-                self.assertEqual([m.session for m in self.tears()], [f"{1:016x}"])
+                self.assertEqual([m.session for m in self.run_until_released()], [f"{1:016x}"])
 
-    def test_a_release_that_waited_for_long_is_said_all_the_same(self):
-        """Past the time for which it is told again; and it is told once."""
-        viewer, line = self.stands()
+    def test_a_release_that_waited_long_is_still_sent(self):
+        """It is sent once, though the time for which it is sent again is over."""
+        viewer, line = self.start_play()
         line.close()
         node = self.town.director.nodes.by_id["a"]
         self.town.until(lambda: not node.connections or node.connections[0].up)
         self.town.director.nodes.waiting, node.words = {node: None}, [(rtsp.request("TEARDOWN", "x", f"{1:016x}"), f"{1:016x}", self.now[0] - 1.0)]
         for mine in list(node.connections):
             mine.end("cut")
-        self.assertEqual([m.session for m in self.tears()], [f"{1:016x}"])
+        self.assertEqual([m.session for m in self.run_until_released()], [f"{1:016x}"])
         self.assertTrue(node.connections)
 
-    def test_an_end_of_nothing_before_a_set_up_of_the_same_name(self):
-        """The end is looked at again for a hand-over; a play that is asked for behind it is another one."""
+    def test_a_release_of_no_play_before_a_set_up_of_the_same_session(self):
+        """The release is tried again for a late hand-over; a play that is requested after it is another one."""
         viewer = self.town.viewer()
-        viewer.write(END, set_up(2))
+        viewer.write(VIEWER_RELEASE, set_up(2))
         line, message = self.town.come("a")
-        self.pass_(200)
+        self.advance(200)
         line.write(answer(message.session))
         self.town.until(lambda: [m for m in viewer.hear() if m.kind == binary.ANSWER])
-        self.pass_(200)
+        self.advance(200)
         self.assertEqual((list(self.town.director.running_plays), viewer.hear()), ([f"{2:016x}"], []))
 
-    # Guards against losing an answer that came whole because its connection is reset in the read that brings it.
+    # Guards against losing a complete answer because its connection is reset in the read that brings it.
     def test_an_answer_with_the_end_of_its_connection_behind_it(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
@@ -172,8 +175,8 @@
         self.assertEqual([m.kind for m in heard], [binary.ANSWER])
         self.assertEqual([m.method for _, m in self.town.nodes["a"].hear()], [])
 
-    def test_a_connection_that_we_close_at_a_node_that_never_reads(self):
-        """What is queued for it never leaves: the connection ends all the same, and holds no descriptor."""
+    def test_a_closed_connection_to_a_node_that_never_reads(self):
+        """Its queue is never sent: the connection ends all the same, and holds no descriptor."""
         self.town.idle_line()
         line, = self.town.director.nodes.by_id["a"].connections
         while not line.stream.queued:
@@ -183,11 +186,11 @@
         viewer.write(set_up(2))
         self.town.until(lambda: self.town.director.open_requests)
         self.town.turns(2)
-        viewer.write(END)
-        self.town.lies_there(side, len(END))
+        viewer.write(VIEWER_RELEASE)
+        self.town.lies_there(side, len(VIEWER_RELEASE))
         self.town.turns(2)
         self.assertEqual(self.town.director.open_requests, {})
-        self.pass_(2_000)
+        self.advance(2_000)
         self.assertEqual((line.stream.sock, self.town.loop.lingering), (None, {}))
 
 
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -1,4 +1,4 @@
-"""A new file while plays are open and stand: what it changes, what it must leave alone. Real connections where something is said."""
+"""A new configuration file while plays are requested and run: what it changes and what it must not. Real sockets where messages are sent."""
 import json
 import pathlib
 import tempfile
@@ -13,9 +13,9 @@
 from tests.sites import RETRY_SAFETY, SITES, director_settings
 from tests.sockets_town import Town
 
-# What the file may change while the director runs, and how: each field is here, so that a new one cannot be forgotten.
-TAKEN_OVER = {"sockets", "changelog", "known_events", "last_event", "deployment", "products", "all_products", "kinds", "zones", "longest_limit_ms", "connect_ms", "idle_ms"}
-OF_THE_START = {"name", "listen", "seed"}    # a file with another address is refused; name and seed are a process's own
+# What the file may change while the director runs. Each field is in one of the two sets, so that a new one cannot be forgotten.
+CHANGEABLE_FIELDS = {"sockets", "changelog", "known_events", "last_event", "deployment", "products", "all_products", "kinds", "zones", "longest_limit_ms", "connect_ms", "idle_ms"}
+START_FIELDS = {"name", "listen", "seed"}    # a file with another address is refused; name and seed stay those of the start
 
 
 def terms(**changes):
@@ -32,12 +32,14 @@
     return configurations.parse(configuration_file(**{"listen": "127.0.0.1:1"} | changes))
 
 
-class Files(unittest.TestCase):
-    def test_each_field_is_taken_over_or_belongs_to_the_start(self):
-        self.assertEqual(set(configurations.Configuration._fields), TAKEN_OVER | OF_THE_START)
+class ConfigurationTests(unittest.TestCase):
+    """Configurations that are read, and read again."""
 
-    def test_names_are_read_as_they_are_told(self):
-        """Seen on the bench: products with accents and spaces in their names were refused, all of them: names were folded into words."""
+    def test_each_field_is_changeable_or_fixed_at_the_start(self):
+        self.assertEqual(set(configurations.Configuration._fields), CHANGEABLE_FIELDS | START_FIELDS)
+
+    def test_names_are_read_unchanged(self):
+        """Guards against names taken from the flattened settings: on the bench all products with accents and spaces were refused."""
         name, zone, kind = "relevé de notes", "quai Rhône, haut", "quatre cœurs"
         settings = terms(Grades=[BASE_SETTINGS["Grades"][0] | {"Name": name}, BASE_SETTINGS["Grades"][1]], Zones=["east", zone], Kinds=["std", kind])
         town = Town(self, settings=settings)
@@ -53,11 +55,11 @@
         refused, = town.until(viewer.hear)
         self.assertEqual(refused.parameters[binary.CAUSE][0], 95)
 
-    def test_names_that_cannot_be_told_apart_are_refused(self):
+    def test_names_that_cannot_be_told_apart_or_sent_are_refused(self):
         for settings in terms(Grades=grades("guide", "guide")), terms(Zones=["east", "east"]), terms(Kinds=["a\r\nb"]):
             self.assertRaises(configurations.ConfigurationError, found, settings=settings)
 
-    def test_a_fault_is_told_with_its_field_and_file(self):
+    def test_a_fault_is_reported_with_its_field_and_file(self):
         faults = {"listen": 7, "changelog": "x", "seed": "zz", "known": {"seq": 1, "results": [{"seq": 1, "fleet": {}}]}, "limits": {"sockets": "many"}}
         for field, value in faults.items():
             with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, f"^{field}"):
@@ -81,8 +83,8 @@
         with self.assertRaisesRegex(configurations.ConfigurationError, "PROXY_CONFIG"):
             configurations.read_file("")
 
-    def test_what_a_file_may_well_say_is_taken(self):
-        """Names with joiners and hard spaces, numbers with a point, no idle time: none is a reason not to start."""
+    def test_unusual_but_valid_entries_are_accepted(self):
+        """Names with joiners and no-break spaces, a number with a decimal point, no idle time: none is a reason not to start."""
         names = ["\u0646\u0645\u200c\u0627", "guide\u00a0court", "\u0e04\u0e39\u0e48\u0e21\u0e37\u0e2d"]
         settings = terms(Grades=[BASE_SETTINGS["Grades"][0] | {"Name": name} for name in names], Kinds=names, Zones=names)
         settings["Permissions"]["ConnIdle"] = 0
@@ -91,7 +93,7 @@
         self.assertEqual((read.sockets, read.idle_ms), (256, float("inf")))
 
     def test_products_in_another_order(self):
-        """Open, standing and asked-for plays keep their terms; what comes then has the new ones. Numbers keep their meaning."""
+        """Open requests and running plays keep their terms; later requests get the new ones. Numbers keep their meaning."""
         town = Town(self, settings=terms(Grades=grades("guide", "paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="paid"))
@@ -111,11 +113,11 @@
         viewer.write(set_up(3, product="live"))
         self.assertEqual(town.come("a")[1].session, f"{3:016x}")
         self.assertEqual(town.director.controller.plays[3].product.importance, 7.0)
-        line.write(answer(second.session, 500, b""))             # a paid play that may have run is not sent again, under any file
+        line.write(answer(second.session, 500, b""))             # a paid play that may have run is not retried, whatever the file says
         self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.until(viewer.hear)], [41])
 
-    def test_a_product_that_is_there_no_more(self):
-        """What stands goes on to its end; nobody is let in under it; it weighs nothing in the decisions, and comes back as it was."""
+    def test_a_product_that_a_new_file_leaves_out(self):
+        """Its running plays go on to their ends; new requests are refused; it has no importance for decisions, and comes back as it was."""
         town = Town(self, settings=terms(Grades=grades("guide", "paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="guide"))
@@ -138,7 +140,7 @@
         self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [1.0, 2.0])
 
     def test_kinds_and_zones_in_another_order(self):
-        """Nodes that were listed before keep their kind and zone, though the new file counts them otherwise; unknown ones get theirs."""
+        """Nodes listed before keep their kind and zone, though the new file numbers them otherwise; kinds and zones unknown before are resolved."""
         nodes = [member("a", 1) | {"host_port": "127.0.0.1:1", "flavor": "small", "locality": "west"},
                  member("b", 1, cell=1) | {"host_port": "127.0.0.1:1", "flavor": "huge", "locality": "north"}]
         known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": nodes}}]}
@@ -156,7 +158,7 @@
         self.assertEqual(seen(), [(11, True), (40, False)])
 
     def test_a_node_that_a_whole_list_left_out_stays_gone(self):
-        """Its last line called it ready; the file that names its kind anew must not bring it back while a play still stands there."""
+        """Its last entry said ready; a file that renumbers its kind must not bring it back while a play still runs there."""
         town = Town(self, nodes=("a", "b"))
         viewer = town.viewer()
         town.director.controller.fleet.nodes[2].rest = 1e12
@@ -173,8 +175,8 @@
         viewer.write(set_up(2))
         self.assertEqual(town.come("b")[1].session, f"{2:016x}")
 
-    def test_bounds(self):
-        """Descriptors and the time of a connection hold at once; who has plays open keeps its connection."""
+    def test_limits_apply_at_once(self):
+        """The descriptors and the time-out of connections; a viewer with open requests keeps its connection."""
         town = Town(self, limits={"sockets": 200})
         viewers = [town.viewer() for _ in range(90)]
         town.turns()
@@ -186,15 +188,15 @@
         self.assertEqual((town.director.nodes.connect_ms, len(town.director.open_requests)), (123.0, 1))
         self.assertIsNone(viewers[0].hear() or viewers[0].ended)
 
-    def test_what_cannot_change_leaves_all_as_it_was(self):
+    def test_a_refused_file_changes_nothing(self):
         town = Town(self)
         before, deployment = town.director.configuration, town.director.controller.fleet.d
         with self.assertRaisesRegex(configurations.ConfigurationError, "listens at"):
             town.director.apply_configuration(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
         self.assertEqual((town.director.configuration, town.director.controller.fleet.d), (before, deployment))
 
-    def test_longer_limits_of_before_hold_through_a_stop(self):
-        """A play taken on a long limit is decided as ever, though the file of the stop knows only short ones."""
+    def test_longer_earlier_limits_hold_through_a_stop(self):
+        """A request with a long limit is decided as usual, though the file at the stop has only short limits."""
         now = [0.0]
         town = Town(self, now=lambda: now[0], settings=terms(Grades=grades("paid")))
         viewer = town.viewer()
@@ -209,7 +211,7 @@
         self.assertEqual(len(town.director.open_requests), 1)
 
     def test_every_deployment_in_the_repository_is_read(self):
-        """Its names, limits and terms as a director's file tells them."""
+        """Its names, limits and terms, as a director's file has them."""
         paths = sorted(SITES.glob("*.toml"))
         self.assertGreaterEqual(len(paths), 2)
         for path in paths:
@@ -221,8 +223,8 @@
                 self.assertEqual([row.repeat for row in read.deployment.products], [RETRY_SAFETY[row["effect"]][1] for row in site["class"]])
                 self.assertEqual(read.deployment.fall_ms, site["rules"]["fall_ms"])
 
-    def test_nothing_is_kept_between_directors(self):
-        """Two directors of two deployments in one process: the second knows nothing of the first."""
+    def test_directors_share_no_state(self):
+        """Two directors of two deployments in one process: the second has no data of the first."""
         Town(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
         second = Town(self, settings=terms(Grades=grades("paid")))
         self.assertEqual((second.director.configuration.products, second.director.configuration.kinds), ({"paid": 0}, {"std": 0}))
--- a/tests/test_orders_last_close.py
+++ b/tests/test_orders_last_close.py
@@ -1,6 +1,6 @@
-"""Connections that come as a stopping director closes its own.
+"""Connections that arrive as a stopping director closes its own.
 
-Real connections, the bad order every time.
+Real sockets; each test forces the bad order of events.
 """
 
 import select
@@ -10,8 +10,8 @@
 from tests.sockets_town import Town
 
 
-class LastClose(unittest.TestCase):
-    """Who comes as the last connections are closed."""
+class LastCloseTests(unittest.TestCase):
+    """Viewers that connect as the last connections are closed."""
 
     def setUp(self):
         self.now = [0.0]
@@ -31,25 +31,25 @@
         self.assertEqual(
             [v.stream.peer for v in self.town.director.listener.viewers], [early.getsockname()]
         )
-        self.assertEqual(select.select([], [late], [], 0.05)[1], [], "it has come up")
+        self.assertEqual(select.select([], [late], [], 0.05)[1], [], "the connection has come up")
 
-    # Guards against a set-up that crosses a stop's close and is cut off a second time, on the new
-    # connection that it goes again on.
-    def test_who_comes_again_at_the_last_close_is_refused(self):
+    # Guards against a set-up that crosses the close of a stop, is retried on a new connection, and
+    # is cut off a second time.
+    def test_a_reconnect_at_the_last_close_is_refused(self):
         self.town.viewer()
         self.town.turns(3)
         listener, seen = self.town.director.listener, []
-        shut = listener.close_all
+        close_all = listener.close_all
 
-        def shut_and_come_again():
-            shut()
+        def close_and_reconnect():
+            close_all()
             try:
                 with socket.create_connection(self.town.address):
-                    seen.append("let in")
+                    seen.append("accepted")
             except ConnectionRefusedError:
                 seen.append("refused")
 
-        listener.close_all = shut_and_come_again
+        listener.close_all = close_and_reconnect
         self.town.director.stop()
         self.town.to_the_end(self.now)
         self.assertEqual(seen, ["refused"])
--- a/tests/test_orders_leaving.py
+++ b/tests/test_orders_leaving.py
@@ -1,4 +1,4 @@
-"""A viewer that has gone, by any way and at any moment: no allocation begins for it. Real connections, the bad order every time."""
+"""A viewer that leaves, in any way and at any moment: no allocation begins for it. Real sockets; each test forces the bad order of events."""
 import contextlib
 import select
 import socket
@@ -10,8 +10,8 @@
 from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
-SET_UP_NAMED = 80          # bytes of a set-up as a node gets it, to the end of its session's name
-GONE_MS = 100.0            # after this no attempt may begin for who has left: the users' term
+SET_UP_PREFIX_BYTES = 80   # of a set-up as a node gets it, to the end of its session id
+GONE_MS = 100.0            # no attempt may begin later than this after its viewer has left: the users' term
 RELEASE = binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10"))
 WAYS = {
     "closed": lambda viewer: viewer.close(),
@@ -21,16 +21,18 @@
 }
 
 
-def leaves(town, viewer, way, unread=0):
-    """Leaves, and sees to it that this lies there to be read behind `unread` bytes."""
+def leave(town, viewer, way, unread=0):
+    """Leaves, and waits until that can be read by the director, behind `unread` bytes."""
     side = town.side(viewer)
     WAYS[way](viewer)
     town.lies_there(side, unread + len(RELEASE) if way == "cancelled" else None)
 
 
-class Leaving(unittest.TestCase):
-    def test_left_behind_its_set_up(self):
-        """The set-up and the viewer's end lie there together; the node has an open connection: nothing may go out on it."""
+class LeavingTests(unittest.TestCase):
+    """A viewer leaves before or while its set-up is carried out."""
+
+    def test_left_right_behind_its_set_up(self):
+        """The set-up and the viewer's end can be read together; nothing may be sent on the open connection to the node."""
         for way in WAYS:
             with self.subTest(way):
                 town = Town(self)
@@ -38,13 +40,13 @@
                 viewer = town.viewer()
                 town.side(viewer)
                 viewer.write(set_up(2))
-                leaves(town, viewer, way, len(set_up(2)))
+                leave(town, viewer, way, len(set_up(2)))
                 town.turns()
                 self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
                 self.assertEqual((len(town.director.open_requests), len(town.director.controller.plays)), (0, 0))
 
     def test_left_behind_more_than_one_read(self):
-        """Hundreds of set-ups and the viewer's end behind them: the first of them were read turns before that end."""
+        """Hundreds of set-ups with the viewer's end behind them: the first ones are read some turns before that end."""
         for way in "closed", "half closed":
             with self.subTest(way):
                 town = Town(self)
@@ -55,13 +57,13 @@
                 viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
                 side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
                 viewer.write(b"".join(set_up(n) for n in range(2, 900)))
-                leaves(town, viewer, way)
+                leave(town, viewer, way)
                 town.turns(40)
                 self.assertEqual([m.method for _, m in town.nodes["a"].hear()], [])
                 self.assertEqual((len(town.director.open_requests), len(town.director.controller.plays)), (0, 0))
 
     def test_left_as_the_connection_to_the_node_comes_up(self):
-        """Both are told in one turn, the connection first: the set-up that waited on it may not leave before the end is read."""
+        """Both are reported in one turn, the connection first: the set-up that waited on it may not be sent before the end is read."""
         for way in WAYS:
             with self.subTest(way):
                 town = Town(self)
@@ -69,7 +71,7 @@
                 viewer = town.viewer()
                 viewer.write(set_up(2))
                 town.until(lambda: town.director.nodes.connections())
-                leaves(town, viewer, way)
+                leave(town, viewer, way)
                 line, = town.director.nodes.by_id["a"].connections
                 town.test.assertTrue(select.select([], [line.stream.sock], [], 20)[1])   # it has come up
                 town.turns()
@@ -77,7 +79,7 @@
                 self.assertEqual(len(town.director.open_requests), 0)
 
     def test_left_while_others_are_decided(self):
-        """Each decision takes 30 ms of this clock; viewers leave while the others' are made. Reading has its turn between them."""
+        """Each decision takes 30 ms of this clock; viewers leave while others are decided. The sockets are read between decisions."""
         now, begun, left = [0.0], {}, {}
         town = Town(self, now=lambda: now[0])
         viewers = {n: town.viewer() for n in range(1, 31)}
@@ -102,17 +104,16 @@
         self.assertGreater(len(begun), 5)
         self.assertEqual({n: begun[n] - left[n] for n in left if begun.get(n, 0) - left[n] > GONE_MS}, {})
 
-    def test_left_while_its_node_stands_still(self):
-        """The node reads nothing and its system takes no more; ours has taken the set-up. The viewer leaves at once, or when it has been
-        out for long; our own word that it is given up leaves, or waits as well. Then the node wakes, and reads all that comes: the set-up
-        never does."""
+    def test_left_while_its_node_is_stalled(self):
+        """The node reads nothing and its kernel takes no more; our kernel has taken the set-up. The viewer leaves at once, or when the set-up
+        has been out for long; our release of it is sent, or waits as well. Then the node reads all that arrives: the set-up must not."""
         for out_ms, behind, shared in (1.0, False, False), (500.0, False, False), (1.0, True, False), (1.0, False, True), (1.0, True, True):
             with self.subTest(out_ms, behind=behind, shared=shared):
                 now = [10_000.0]
                 town = Town(self, now=lambda: now[0])
                 _, line = town.idle_line()
                 stream, = [line.stream for line in town.director.nodes.by_id["a"].connections]
-                while not stream.queued:                 # to the brim; then as much is read as lets our system take the set-up, no more
+                while not stream.queued:                 # until full; then only as much is read as lets our kernel take the set-up
                     stream.write(rtsp.request("OPTIONS", "ping", "0" * 16) * 20)
                 stream.take_back(stream.out[0])
                 viewer = town.viewer()
@@ -132,9 +133,9 @@
                     other.write(set_up(3))
                     town.until(lambda: len(ply.connection.plays) == 2)
                 now[0] += out_ms
-                leaves(town, viewer, "closed")
+                leave(town, viewer, "closed")
                 town.turns()
-                now[0] += GONE_MS - DECISION_SLICE_MS             # what the viewer did may have lain unread for a turn
+                now[0] += GONE_MS - DECISION_SLICE_MS             # the viewer's end may have been unread for a turn
                 town.turns(3)
                 self.assertEqual((set(town.director.open_requests) - {f"{3:016x}"}, set(town.director.controller.plays) - {3}), (set(), set()))
                 self.assertTrue(shared or not town.director.open_requests)
@@ -143,11 +144,11 @@
                     while part := line.sock.recv(1 << 20):
                         data += part
                 self.assertIn(b"OPTIONS", data)
-                self.assertNotIn(rtsp.request("SETUP", "7f3a9c21e0b4d655", f"{2:016x}")[:SET_UP_NAMED], data)
+                self.assertNotIn(rtsp.request("SETUP", "7f3a9c21e0b4d655", f"{2:016x}")[:SET_UP_PREFIX_BYTES], data)
                 self.assertTrue(shared or b"SETUP" not in data)
 
-    # Guards against a set-up for a viewer whose wait ran out while its connection waited to be accepted by a process that stood still.
-    def test_a_wait_that_ran_out_before_its_connection_was_accepted(self):
+    # Guards against a set-up for a viewer whose patience ran out while its connection waited to be accepted by a stalled process.
+    def test_patience_that_ran_out_before_its_connection_was_accepted(self):
         now = [10_000.0]
         town = Town(self, now=lambda: now[0])
         town.turns(3)
@@ -158,8 +159,8 @@
         self.assertEqual([m.kind for m in viewer.hear()], [binary.RELEASE])
         self.assertEqual(town.nodes["a"].hear(), [])
 
-    def test_left_while_its_next_try_is_due(self):
-        """The node is full; the end of the viewer comes in the same turn as that answer: nobody is asked a second time."""
+    def test_left_while_its_retry_is_due(self):
+        """The node is full; the viewer's end comes in the same turn as that answer: no second set-up is sent."""
         for way in WAYS:
             with self.subTest(way):
                 town = Town(self, nodes=("a", "b"))
@@ -167,18 +168,18 @@
                 viewer.write(set_up(2))
                 node = town.until(lambda: next((name for name in town.nodes if (heard := town.nodes[name].hear()) and
                                                 heard[0][0].write(answer(heard[0][1].session, 453, b"")) is None), None))
-                leaves(town, viewer, way)
+                leave(town, viewer, way)
                 town.turns()
                 self.assertEqual([m.method for _, m in town.nodes["b" if node == "a" else "a"].hear()], [])
                 self.assertEqual(len(town.director.open_requests), 0)
 
-    def test_left_behind_more_than_one_read_with_a_further_try_due(self):
-        """The node refuses; the viewer's end lies behind hundreds of its other messages: it is read before anybody else is asked."""
+    def test_left_behind_more_than_one_read_with_a_retry_due(self):
+        """The node refuses; the viewer's end is behind hundreds of its other messages: it is read before a second set-up is sent."""
         for way in "closed", "half closed":
             with self.subTest(way):
                 town = Town(self, nodes=("a", "b"))
                 for name in "a", "b":
-                    town.director.nodes.by_id[name].dial()       # up, so that nothing waits
+                    town.director.nodes.by_id[name].dial()       # connections are up, so that nothing waits for one
                 town.until(lambda: all(line.up for node in town.director.nodes.by_id.values() for line in node.connections))
                 viewer = town.viewer()
                 side = town.side(viewer)
@@ -190,7 +191,7 @@
                 town.lies_there(town.director.open_requests[f"{2:016x}"].connection.stream, len(answer(f"{2:016x}", 453, b"")))
                 viewer.sock.setblocking(True)
                 viewer.write(binary.encode(binary.TEST, "0" * 16, (222, b"\0")) * 9_000)
-                leaves(town, viewer, way)
+                leave(town, viewer, way)
                 town.turns(40)
                 self.assertEqual([m.method for _, m in town.nodes["b" if name == "a" else "a"].hear()], [])
                 self.assertEqual((len(town.director.open_requests), len(town.director.controller.plays)), (0, 0))
--- a/tests/test_orders_scarce.py
+++ b/tests/test_orders_scarce.py
@@ -1,4 +1,4 @@
-"""Orders in which this process has no descriptor left: what it still owes is done all the same. Real connections, a real limit."""
+"""A process without a free descriptor still does what it must. Real sockets, a real limit; each test forces the bad order of events."""
 import contextlib
 import os
 import resource
@@ -9,12 +9,12 @@
 from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
-AWAY, TEST = 42, binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
+DECLINED, PING = 42, binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
 
 
 @contextlib.contextmanager
-def scarce(left=0):
-    """So many descriptors are left to this process, and no more, until the context ends."""
+def few_descriptors(left=0):
+    """Leaves `left` free descriptors to this process until the context ends."""
     before, held = resource.getrlimit(resource.RLIMIT_NOFILE), []
     highest = max(int(name) for name in os.listdir("/proc/self/fd"))
     resource.setrlimit(resource.RLIMIT_NOFILE, (highest + 1 + left, before[1]))
@@ -27,27 +27,29 @@
         yield
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
-        for one in held:
-            os.close(one)
+        for descriptor in held:
+            os.close(descriptor)
 
 
-class Scarce(unittest.TestCase):
+class FewDescriptorsTests(unittest.TestCase):
+    """A director whose process has no free descriptor."""
+
     def setUp(self):
         self.now = [10_000.0]
         self.town = Town(self, now=lambda: self.now[0])
 
-    def pass_(self, ms):
+    def advance(self, ms):
         self.town.passes(self.now, ms)
 
     def test_a_stop_while_the_listener_waits_for_a_descriptor(self):
-        """A connection that could not be accepted waits as the order to stop comes: the process ends, and it gets its answer and an end."""
+        """A connection that could not be accepted waits as the stop begins: the process ends, and the viewer gets its answer and an end."""
         first = self.town.viewer()
-        first.write(TEST)
+        first.write(PING)
         self.town.until(first.hear)
         late = socket.socket()
         self.addCleanup(late.close)
         late.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        with scarce():
+        with few_descriptors():
             late.connect(self.town.address)
             late.sendall(set_up(2))
             self.town.turns(3)
@@ -64,17 +66,17 @@
         while data := late.recv(4096):
             late_data += data
         reader.feed(late_data)
-        self.assertEqual(reader.next().parameters[binary.CAUSE], bytes([AWAY]))
+        self.assertEqual(reader.next().parameters[binary.CAUSE], bytes([DECLINED]))
 
     def test_closed_connections_give_way_to_the_change_log(self):
-        """Connections that we have closed wait for their peers' ends, which do not come, and hold the last descriptors."""
+        """Connections that we closed wait for their peers' ends, which do not come, and hold the last descriptors."""
         for _ in range(3):
             self.town.viewer().write(b"\xff" * 50)
             self.town.turns(3)
         self.assertEqual(len(self.town.loop.lingering), 3)
         self.town.director.follower.again("it breaks off")
-        with scarce():
-            self.pass_(60)
+        with few_descriptors():
+            self.advance(60)
             self.assertIsNotNone(self.town.director.follower.stream)
             self.assertEqual(len(self.town.loop.lingering), 2)
 
@@ -84,16 +86,16 @@
             self.town.turns(3)
         late = socket.socket()
         self.addCleanup(late.close)
-        with scarce():
+        with few_descriptors():
             late.connect(self.town.address)
             self.town.turns(3)
             self.assertEqual(len(self.town.director.listener.viewers), 1)
 
-    def test_a_dial_without_a_descriptor_tells_nothing_of_its_node(self):
-        """The node has done nothing: it is neither ill nor paced, and a later play goes there."""
+    def test_a_dial_without_a_descriptor_says_nothing_about_its_node(self):
+        """The node has done nothing: it counts neither as failing nor as paced, and a later play goes there."""
         viewer = self.town.viewer()
         self.town.side(viewer)
-        with scarce():
+        with few_descriptors():
             viewer.write(set_up(1))
             self.town.lies_there(self.town.side(viewer), len(set_up(1)))
             self.town.turns(6)
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -1,4 +1,4 @@
-"""The end of a director and of its connections: what came is answered, what was said arrives. Real connections, the bad order every time."""
+"""The end of a director and of its connections: what was received is answered, what was sent arrives. Real sockets; each test forces the bad order of events."""
 import socket
 import unittest
 
@@ -7,38 +7,41 @@
 from tests.platform_cluster import answer, set_up
 from tests.sockets_town import Town
 
-TEST = binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
-AWAY, BROKEN = 42, 41      # causes
-STOOD_STILL_MS = 800.0
-KILL_MS = 3_000.0 + 700.0  # earliest kill after the order: the longest time limit of the town's settings counts as 3 s, and 0.7 s
+PING = binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
+DECLINED, BROKEN = 42, 41  # causes
+STALL_MS = 800.0
+KILL_MS = 3_000.0 + 700.0  # earliest SIGKILL after SIGTERM: the longest time limit of the settings counts as 3 s, and 0.7 s more
 
 
-class Stopping(unittest.TestCase):
+class StoppingTests(unittest.TestCase):
+    """A director that was told to stop."""
+
     def setUp(self):
         self.now = [0.0]
         self.town = Town(self, now=lambda: self.now[0])
 
-    def to_the_end(self):
-        """Turns of 10 ms of the handed-in clock until the director has ended, then what its process does last; the time it took."""
+    def run_to_exit(self):
+        """Runs turns of 10 ms of the test's clock until the director has ended, then closes its loop; returns the time it took, ms."""
         return self.town.to_the_end(self.now)
 
     def in_the_last_turn(self, act):
-        """Does something when all of the last turn's reading is over."""
-        leave, done = self.town.director.exit_when_acknowledged, []
+        """Calls `act` when the last turn has read all its sockets."""
+        exit_when_acknowledged, done = self.town.director.exit_when_acknowledged, []
 
         def last(latest):
             if not done:
                 done.append(act())
-            return leave(latest)
+            return exit_when_acknowledged(latest)
         self.town.director.exit_when_acknowledged = last
 
     def causes(self, viewer, digits=1):
+        """Returns (end of the session id, cause) of the releases that a viewer has received."""
         return [(m.session[-digits:], m.parameters[binary.CAUSE][0]) for m in viewer.hear() if m.kind == binary.RELEASE]
 
-    def test_what_comes_in_the_very_last_turn_is_answered(self):
+    def test_requests_of_the_last_turn_are_answered(self):
         """On an open connection, on one that waits to be accepted, and on hundreds that do."""
         open_one, late = self.town.viewer(), []
-        open_one.write(TEST)
+        open_one.write(PING)
         self.town.until(open_one.hear)
 
         def act():
@@ -49,13 +52,13 @@
         self.town.director.listener.max_connections = 1000
         self.in_the_last_turn(act)
         self.town.director.stop()
-        self.to_the_end()
-        self.assertEqual((self.causes(open_one), open_one.ended), ([("2", AWAY)], "end"))
-        # (300 sessions of one name: the first is turned away as all are, none is open)
-        self.assertEqual([(self.causes(one), one.ended) for one in late], [([("3", AWAY)], "end")] * 300)
+        self.run_to_exit()
+        self.assertEqual((self.causes(open_one), open_one.ended), ([("2", DECLINED)], "end"))
+        # 300 requests of one session: the first is declined like all others, so none is open
+        self.assertEqual([(self.causes(one), one.ended) for one in late], [([("3", DECLINED)], "end")] * 300)
 
-    def test_more_than_one_read_in_the_very_last_turn(self):
-        """Hundreds of set-ups lie on one connection: each is declined, also those behind what one read takes."""
+    def test_more_than_one_read_in_the_last_turn(self):
+        """Hundreds of set-ups wait on one connection: each is declined, also those that the first read does not reach."""
         viewer = self.town.viewer()
         side = self.town.side(viewer)
         viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
@@ -69,34 +72,34 @@
             self.town.lies_there(side, len(data))
         self.in_the_last_turn(act)
         self.town.director.stop()
-        self.to_the_end()
-        self.assertEqual(len({session for session, cause in self.causes(viewer, 16) if cause == AWAY}), 900)
+        self.run_to_exit()
+        self.assertEqual(len({session for session, cause in self.causes(viewer, 16) if cause == DECLINED}), 900)
 
-    def test_a_play_handed_over_in_the_very_last_turn_is_released(self):
-        """It would stand at its node with nobody to hold it."""
+    def test_a_play_handed_over_in_the_last_turn_is_released(self):
+        """Otherwise it would go on at its node without a director."""
         viewer = self.town.viewer()
-        viewer.write(TEST)
+        viewer.write(PING)
         self.town.until(viewer.hear)
         self.in_the_last_turn(lambda: viewer.write(set_up(5, figures="home:0;copies:3;top:2;at:a")))
         self.town.director.stop()
-        self.to_the_end()
+        self.run_to_exit()
         self.assertEqual((self.causes(viewer), viewer.ended), ([("5", BROKEN)], "end"))
         self.assertEqual([m.method for _, m in self.town.nodes["a"].hear()], ["TEARDOWN"])
 
     def test_an_answer_beside_bytes_that_are_not_read(self):
-        """The last thing said to a viewer is not taken from it by a reset, though it goes on talking."""
+        """The last message to a viewer is not lost by a reset, though the viewer goes on sending."""
         viewer = self.town.viewer()
         self.town.turns(3)
         self.town.director.stop()
         viewer.write(set_up(2))
         self.town.turns(3)
-        part = self.town.director.exit_when_closed
-        self.town.director.exit_when_closed = lambda latest: (viewer.write(TEST * 5), part(latest))
-        self.to_the_end()
-        self.assertEqual((self.causes(viewer), viewer.ended), ([("2", AWAY)], "end"))
+        exit_when_closed = self.town.director.exit_when_closed
+        self.town.director.exit_when_closed = lambda latest: (viewer.write(PING * 5), exit_when_closed(latest))
+        self.run_to_exit()
+        self.assertEqual((self.causes(viewer), viewer.ended), ([("2", DECLINED)], "end"))
 
-    def test_what_a_node_is_told_last_leaves(self):
-        """The viewer has heard of the end of its play at once; the connection on which its node is to hear of it is still coming up."""
+    def test_the_last_message_to_a_node_is_sent(self):
+        """The viewer has acknowledged its release at once; the connection that is to carry the release to its node is still coming up."""
         viewer = self.town.viewer()
         viewer.write(set_up(1))
         line, message = self.town.come("a")
@@ -107,16 +110,16 @@
         self.in_the_last_turn(lambda: self.town.director.listener.releases.acknowledged(message.session))
         say, node = self.town.director.allocating.say, self.town.director.nodes.by_id["a"]
 
-        def told(where, data, *ends):
+        def close_and_say(where, data, *ends):
             for line in list(node.connections):        # the node has just closed it
                 node.connections.remove(line)
                 line.stream.abort()
             return say(where, data, *ends)
-        self.town.director.allocating.say = told
-        self.to_the_end()
+        self.town.director.allocating.say = close_and_say
+        self.run_to_exit()
         self.assertEqual([m.method for _, m in self.town.nodes["a"].hear() if m.method != "OPTIONS"], ["TEARDOWN"])
 
-    def test_a_viewer_that_does_not_read_holds_nobody_up(self):
+    def test_a_viewer_that_does_not_read_does_not_delay_the_exit(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
         line, message = self.town.come("a")
@@ -124,13 +127,13 @@
         self.town.turns(5)
         stream = next(iter(self.town.director.listener.viewers)).stream
         while not stream.queued:
-            stream.write(b"\0\x09\x06" + b"\0" * 8)      # progress, which means nothing
+            stream.write(b"\0\x09\x06" + b"\0" * 8)      # progress, which has no effect
         self.town.director.stop()
-        self.assertLess(self.to_the_end(), 3_000 + 350 + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
+        self.assertLess(self.run_to_exit(), 3_000 + 350 + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
         self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].hear()])
 
-    def test_a_set_up_half_read_as_the_order_comes(self):
-        """Its rest comes after the order to stop: it is taken then, and declined; a rest that never comes holds nobody up."""
+    def test_a_set_up_half_read_as_the_stop_begins(self):
+        """Its rest comes after the signal to stop: it is declined then; a rest that never comes does not delay the exit."""
         viewer, other = self.town.viewer(), self.town.viewer()
         data = set_up(2)
         viewer.write(data[:40])
@@ -140,27 +143,27 @@
         self.town.director.stop()
         self.town.turns(2)
         viewer.write(data[40:])
-        self.assertEqual(self.town.until(lambda: self.causes(viewer)), [("2", AWAY)])
-        self.assertLess(self.to_the_end(), MIN_STOP_MS + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
+        self.assertEqual(self.town.until(lambda: self.causes(viewer)), [("2", DECLINED)])
+        self.assertLess(self.run_to_exit(), MIN_STOP_MS + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
         self.assertEqual((viewer.hear(), viewer.ended, other.hear(), other.ended), ([], "end", [], "end"))
 
-    # Guards against a stop that begins to count when a process that stood still hears of it, and is killed before its end.
-    def test_an_order_to_stop_that_waited_while_the_process_stood_still(self):
+    # Guards against a stop that is counted from when a stalled process handles the signal, and is killed before its end.
+    def test_a_signal_to_stop_that_waited_while_the_process_was_stalled(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
         line, message = self.town.come("a")
         line.write(answer(message.session))
         self.town.until(viewer.hear)
-        self.now[0] += STOOD_STILL_MS
+        self.now[0] += STALL_MS
         self.town.loop.soon(self.town.director.stop)
         self.town.turn()
-        ordered = self.now[0] - STOOD_STILL_MS
-        while not (heard := self.causes(viewer)) and self.now[0] - ordered < KILL_MS:
+        signalled_at = self.now[0] - STALL_MS
+        while not (received := self.causes(viewer)) and self.now[0] - signalled_at < KILL_MS:
             self.town.passes(self.now, 10.0)
-        self.assertEqual(heard, [("1", BROKEN)])
+        self.assertEqual(received, [("1", BROKEN)])
 
     def test_signals_together(self):
-        """SIGTERM twice, SIGHUP during a stop, SIGTERM in the turn of a SIGHUP: one end, at the first order's time."""
+        """SIGTERM twice, SIGHUP during a stop, SIGTERM in the turn of a SIGHUP: one end, at the time of the first SIGTERM."""
         director = self.town.director
         for orders in ("stop", "stop"), ("stop", "change", "stop"), ("change", "stop"):
             with self.subTest(orders):
@@ -170,11 +173,11 @@
                     director.stop() if order == "stop" else director.apply_configuration(director.configuration._replace(changelog=("127.0.0.1", 9)))
                     self.now[0] += 100.0
                     self.town.turns(2)
-                took = self.to_the_end()
+                took = self.run_to_exit()
                 self.assertLess(abs(took - (MIN_STOP_MS - 100.0 * sum(1 for _ in orders[orders.index("stop"):]))), CLOSE_WAIT_MS + 50)
 
     def test_a_node_that_answers_as_its_set_up_is_given_up(self):
-        """Its answer lies unread as we give the set-up up: it is told so, and no reset takes that from it."""
+        """Its answer is unread as we give the set-up up: our release reaches the node, and no reset discards it."""
         viewer = self.town.viewer()
         viewer.write(set_up(1, product="paid"))
         line, message = self.town.come("a")
@@ -192,9 +195,11 @@
         self.assertEqual(len(self.town.loop.lingering), 0)
 
 
-class Closing(unittest.TestCase):
+class ClosingTests(unittest.TestCase):
+    """Connections that the director closes."""
+
     def test_a_refusal_before_a_close_arrives(self):
-        """A viewer that sends on behind what cannot be read hears its refusal all the same, then the end."""
+        """A viewer that goes on sending behind a malformed message still gets its refusal, then the end."""
         town = Town(self)
         viewer = town.viewer()
         viewer.write(set_up(2, product="none") + b"\xff" * 50)
@@ -204,7 +209,7 @@
         self.assertEqual(([m.parameters[binary.CAUSE][0] for m in found], viewer.ended), ([95], "end"))
 
     def test_closed_connections_hold_few_descriptors(self):
-        """Peers that never end their side, by hundreds: the oldest are cut off; the last ones too, in time."""
+        """Hundreds of peers that never end their side: the oldest are aborted; in time the last ones, too."""
         now = [0.0]
         town = Town(self, now=lambda: now[0])
         for n in range(200):
@@ -217,7 +222,7 @@
         self.assertEqual(len(town.loop.lingering), 0)
 
     def test_a_viewer_that_does_not_read_is_closed_at_once(self):
-        """It held its connection, and its plays, for as long as it liked: a close waited for what was queued."""
+        """Guards against a close that waits for its queue: a viewer that did not read held its connection, and its plays, for as long as it liked."""
         town = Town(self)
         viewer = town.viewer()
         town.turns(2)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The real director in memory: its list and configuration, its end, its tables; what it does is a kept trace."""
+"""The platform's director in memory: its fleet list and configuration, its end, its tables. Traces are compared with kept ones."""
 import json
 import subprocess
 import sys
@@ -14,12 +14,14 @@
 from tests.platform_cluster import BASE_SETTINGS, member, event, configuration_file, set_up, PlatformCluster
 
 
-class Directing(TraceTest):
+class DirectorTests(TraceTest):
+    """A director's fleet list, configuration and end."""
+
     def test_change_log(self):
         town = PlatformCluster(nodes=("a", "b", "c"))
         town.run(20)
         c = member("c", 1, cell=2)
-        town.lines.append("# told twice, cut in the middle, silent: begun again from the last event, each taken once")
+        town.lines.append("# repeated, cut off in the middle, silent: resumed from the last event, each event applied once")
         town.log_connection.tell(event(2, c), event(2, c), {"seq": 2})
         town.run(20)
         town.log_connection.stream.write(b'{"seq":3,"fleet":{"rev')
@@ -29,7 +31,7 @@
         town.log_connection.tell(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
         town.run(20)
         self.assertEqual({n.id: (n.gone) for n in town.director.nodes.by_id.values()}, {"a": False, "b": True, "c": False})
-        town.lines.append("# all go to the one that is left")
+        town.lines.append("# all plays go to the remaining node")
         viewer = town.viewer()
         viewer.stream.write(set_up(1) + set_up(2))
         town.run(50)
@@ -40,7 +42,7 @@
         self.same("platform_log", town)
 
     def test_a_list_of_1024_nodes(self):
-        """Nothing is left out, half of them change in one event, and a play finds its holder among them."""
+        """All nodes are taken, half of them change in one event, and a play is placed at the node that holds its title."""
         names = [f"n{i:04}" for i in range(1024)]
         terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"] |= {"Positions": 1024, "RackKb": 9e6}
@@ -59,7 +61,7 @@
         self.assertTrue(any("node n0007 gets SETUP 1" in line for line in town.lines), town.lines)
 
     def test_new_configuration(self):
-        """Another change log and other terms hold from then on; a bad file is refused whole."""
+        """Another change log and other terms are in force from then on; a faulty file is refused whole."""
         town = PlatformCluster()
         town.hosts["log two"] = town.world.host("log two")
         town.hosts["log two"].listen(("log two", 1), town.log_came)
@@ -70,13 +72,13 @@
         town.run(200)
         self.assertEqual(town.director.controller.fleet.d.seen_after_ms, 700.0)
         self.assertEqual(sum("log gets since 1" in line for line in town.lines), 2)
-        for bad in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": BASE_SETTINGS | {"Siblings": "many"}}, {"seed": "zz"}):
-            with self.subTest(bad), self.assertRaises(configurations.ConfigurationError):
-                configurations.parse(configuration_file(**bad))
+        for changes in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": BASE_SETTINGS | {"Siblings": "many"}}, {"seed": "zz"}):
+            with self.subTest(changes), self.assertRaises(configurations.ConfigurationError):
+                configurations.parse(configuration_file(**changes))
         self.assertRaises(configurations.ConfigurationError, configurations.parse, [])
 
     def test_stop(self):
-        """Takes nothing new, answers what is open, ends when nothing stands, or past the longest time limit."""
+        """Declines new requests, answers open ones, ends when no play runs or past the longest time limit."""
         town = PlatformCluster()
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
@@ -88,9 +90,9 @@
         self.same("platform_stop", town)
         self.assertFalse(town.hosts["director"].running)
 
-    def test_releases_at_the_end_are_heard(self):
-        """Seen on sockets: the process ended with what viewers had said unread, and the resets took 60 releases along."""
-        for hears in True, False:
+    def test_exit_waits_for_release_acknowledgements(self):
+        """Guards against an exit that loses releases: on sockets, connections were reset with viewers' messages unread, and 60 releases were lost."""
+        for acknowledges in True, False:
             town = PlatformCluster()
             viewer = town.viewer()
             viewer.stream.write(set_up(1))
@@ -99,15 +101,15 @@
             town.run(3351 - 50 + 60)
             self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines))
             self.assertTrue(town.hosts["director"].running)
-            if hears:
+            if acknowledges:
                 viewer.stream.write(binary.encode(binary.HEARD, f"{1:016x}"))
             town.run(20)
-            self.assertEqual(town.hosts["director"].running, not hears)
+            self.assertEqual(town.hosts["director"].running, not acknowledges)
             town.run(300)
             self.assertFalse(town.hosts["director"].running)
 
-    def test_module_fails(self):
-        """All that is open is answered, and all that stands is released."""
+    def test_controller_fails(self):
+        """All open requests are answered and all running plays are released."""
         town = PlatformCluster()
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
@@ -128,8 +130,10 @@
         self.assertTrue(town.director.broken)
 
 
-class Tables(unittest.TestCase):
-    def test_what_proves_that_it_never_ran(self):
+class TableTests(unittest.TestCase):
+    """Tables and decoders without sockets."""
+
+    def test_events_that_prove_that_a_set_up_never_ran(self):
         never = {face.FULL, face.UNREACHABLE, face.NEVER_SENT}
         for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.TAKEN_BACK, life.FULL, life.MOOT):
             self.assertIn(life.outcome(life.UNSENT, fact), never, fact)
@@ -140,7 +144,7 @@
         self.assertEqual([life.end(c) for c in (16, 31, 41, 0)], [life.ENDED, life.LEFT, life.BROKEN_OFF, life.BROKEN_OFF])
         self.assertEqual([life.answer(s) for s in (200, 453, 599)], [life.THERE, life.FULL, life.ERROR])
 
-    def test_one_decoder_for_both_ways(self):
+    def test_one_decoder_for_json_and_lines(self):
         values = settings.flatten(BASE_SETTINGS)
         self.assertEqual((values["Grades.count"], values["Grades.1.Name"], values["Specifics.LadderKb"], values["Permissions.Probes"], values["Zones"]),
                          ("2", "paid", "100.0,200.0,400.0", "false", "east,west_wing"))
@@ -153,7 +157,7 @@
         self.assertEqual(found.play_request, face.Asked(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
 
     def test_imports_only_what_it_needs(self):
-        """Start time and memory: nothing of other fronts, no framework, no threads of its own."""
+        """Start time and memory: no modules of other fronts, no framework, no threads of its own."""
         code = "import sys, laddergw.platform.__main__; print(*sorted(m for m in sys.modules))"
         loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split()
         ours = {m for m in loaded if m.startswith("laddergw.") and m.split(".")[1] not in ("platform", "signalling", "loop", "control", "interface", "settings", "hosting")}
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -1,4 +1,4 @@
-"""The real director and its viewers, in memory: what they are answered, whatever they do; a kept trace."""
+"""The platform's director and its viewers in memory: what viewers are answered, whatever they do. Traces are compared with kept ones."""
 import unittest
 
 from laddergw.signalling import binary
@@ -8,8 +8,10 @@
 from tests.platform_cluster import LISTEN, set_up, PlatformCluster, answer, release, DiscardedLines
 
 
-class Viewers(TraceTest):
-    def test_ways_of_a_play(self):
+class ViewerTests(TraceTest):
+    """What viewers are answered."""
+
+    def test_courses_of_a_play(self):
         told = []
 
         def scene(text, *asked, wait=50.0, **answers):
@@ -20,31 +22,31 @@
                 viewer.stream.write(data)
                 town.run(wait)
             return town, viewer
-        town, viewer = scene("a test, then a play to its end; the node's description goes through",
+        town, viewer = scene("a ping, then a play to its end; the node's description is passed on",
                              binary.encode(binary.TEST, "0" * 16, (222, b"\0")) + set_up(1))
         town.connections["node a"].stream.write(release(1, 16))
         town.run(50)
-        scene("the node is full, the other takes it", set_up(1), a=453)
-        town, viewer = scene("notes on a short link step it down; then the viewer leaves", set_up(1))
+        scene("the node is full, the other one accepts", set_up(1), a=453)
+        town, viewer = scene("notes on a short link lower the rung; then the viewer leaves", set_up(1))
         for kind, figure in ("level", "2"), ("port", "9.5"), ("got", "0.5"), ("other", "1"), ("port", "nan"):
             town.connections["node a"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", kind), ("Figure", figure))))
             town.run(100)
         viewer.stream.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
         town.run(50)
-        town, viewer = scene("its end as left by its viewer is told to it all the same: our answer may still be on its way", set_up(1))
+        town, viewer = scene("a play that its node calls left is released to its viewer too: our answer may still be on its way", set_up(1))
         town.connections["node a"].stream.write(release(1, 31))
         town.run(50)
-        scene("no answer: given up at the module's time-out, then elsewhere", set_up(1, patience="3000"), wait=1200, a=0)
-        scene("a paid play without an answer is not sent again; it fails in time", set_up(1, product="paid", patience="700"), wait=1200, a=0)
-        scene("nothing answers: declined when there is no other node, with a time to come back", set_up(1, patience="3000"), wait=2500, a=0, b=0)
-        town, viewer = scene("the viewer gives up, a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
+        scene("no answer: given up at the controller's time-out, then retried elsewhere", set_up(1, patience="3000"), wait=1200, a=0)
+        scene("a paid play without an answer is not retried; it fails in time", set_up(1, product="paid", patience="700"), wait=1200, a=0)
+        scene("no node answers: declined when there is no other node, with a retry-after time", set_up(1, patience="3000"), wait=2500, a=0, b=0)
+        town, viewer = scene("the viewer gives up; a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
         town.connections["node a"].stream.write(answer(f"{1:016x}"))
         town.run(50)
         self.same("platform_ways", town)
         self.assertEqual((len(town.director.open_requests), len(town.director.running_plays), len(town.director.controller.plays)), (0, 0, 0))
 
     def test_bad_viewers(self):
-        """Each has its refusal or its close within 3 s; the usual viewer's play beside them is not touched."""
+        """Each is refused or closed within 3 s; the play of a well-behaved viewer beside them is unaffected."""
         town = PlatformCluster()
         good = town.viewer("good")
         good.stream.write(set_up(1))
@@ -63,15 +65,15 @@
         town.run(2500)
         self.same("platform_bad_viewers", town)
 
-    def test_a_release_is_told_until_it_is_heard(self):
-        """Seen on sockets: a release went on a connection that ended with it unread, and its viewer never knew."""
+    def test_a_release_is_sent_until_it_is_acknowledged(self):
+        """Guards against losing a release: on sockets, one went on a connection that ended with it unread, and its viewer never got it."""
         town = PlatformCluster()
         first = town.viewer("first")
         first.stream.write(set_up(1) + set_up(2) + set_up(3))
         town.run(50)
         town.viewer("second").stream.write(set_up(4))
         town.run(50)
-        town.lines.append("# both go on the first; one is heard; then it ends: the other goes again, on a proven one")
+        town.lines.append("# both releases go on the first connection; one is acknowledged; then it ends: the other is sent again on one that has served a play")
         side = next(iter(town.connections[name] for name in ("node a", "node b") if name in town.connections))
         for session in 1, 2:
             town.connections[f"node {town.director.running_plays[f'{session:016x}'].node.id}"].stream.write(release(session, 16))
@@ -80,7 +82,7 @@
         town.run(10)
         first.stream.abort()
         town.run(10)
-        town.lines.append("# no connection is left: it waits for the next that asks for a play, not for one that says nothing")
+        town.lines.append("# no connection is left: it waits for the next one that requests a play, not for a silent one")
         town.connections["second"].stream.abort()
         town.run(10)
         side.stream.write(release(3, 16))
@@ -94,7 +96,7 @@
         self.assertEqual(len(town.director.listener.releases.pending), 0)
 
     def test_floods(self):
-        """Hundreds of silent connections, and hundreds of set-ups on one: bounded, and others are served."""
+        """Hundreds of silent connections, and hundreds of set-ups on one connection, are bounded; other viewers are served."""
         town = PlatformCluster()
         town.lines = DiscardedLines()
         for n in range(300):
@@ -113,7 +115,7 @@
         self.assertLessEqual(len(town.director.listener.viewers), 2)
 
     def test_a_new_connection_is_not_closed_for_others(self):
-        """Seen on sockets: of two that came together the first was closed for the second, its set-up unread."""
+        """Guards against closing a connection with its set-up unread: on sockets, of two that came together the first was closed for the second."""
         town = PlatformCluster()
         for n in range(32):
             viewer = town.viewer(f"stayed {n}")
@@ -130,8 +132,8 @@
         self.assertEqual([line.split()[1] for line in town.lines if "closed" in line], ["stayed"] * 3)
         self.assertEqual(sorted(line.split()[1] for line in town.lines if " gets 9 20" in line), ["one", "three", "two"])
 
-    # Guards against passing on the answer of a session that its node calls left in the same breath: no client takes it for a final one.
-    def test_a_play_that_is_left_as_it_begins_is_over_for_its_viewer(self):
+    # Guards against passing on the answer of a session that its node calls left right behind it: no client takes it for a final answer.
+    def test_a_play_left_as_it_begins_is_over_for_its_viewer(self):
         town = PlatformCluster(nodes=("a",))
         town.answers["a"] = lambda s, m: s.stream.write(answer(m.session) + release(int(m.session, 16), 31))
         town.viewer().stream.write(set_up(1))
@@ -141,8 +143,8 @@
         self.assertEqual((len(town.director.running_plays), town.director.controller.plays), (0, {}))
         self.assertFalse(any(node.plays for node in town.director.controller.fleet.nodes.values()))
 
-    # Guards against ending, with a cause that is no final answer, what its viewer left while our answer was on its way.
-    def test_a_play_that_is_left_while_its_answer_is_on_its_way_ends_with_a_final_answer(self):
+    # Guards against ending a play with a cause that is no final answer when its viewer left while the answer was on its way.
+    def test_a_play_left_while_its_answer_is_in_transit_ends_with_a_final_answer(self):
         for after_ms, cause in (1, 41), (18, 41), (40, 16), (300, 16):
             with self.subTest(after_ms=after_ms):
                 town = PlatformCluster(nodes=("a",))
@@ -155,7 +157,7 @@
                 gets = [line.split(maxsplit=1)[1] for line in town.lines if "viewer gets" in line]
                 self.assertEqual(gets[1:], [f"viewer gets 12 1 cause {cause}"])
 
-    def test_a_play_that_ends_as_it_begins_is_played_and_over_for_its_viewer(self):
+    def test_a_play_that_ends_as_it_begins_is_answered_and_released(self):
         town = PlatformCluster(nodes=("a",))
         town.answers["a"] = lambda s, m: s.stream.write(answer(m.session) + release(int(m.session, 16), 16))
         town.viewer().stream.write(set_up(1))
@@ -164,8 +166,8 @@
                          ["viewer gets 9 1 description 'v=0\\r\\n'", "viewer gets 12 1 cause 16"])
         self.assertEqual(len(town.director.running_plays), 0)
 
-    def test_a_tester_is_no_way_to_viewers(self):
-        """Seen on sockets: a release went on the connection of a front's test, where nobody heard it."""
+    def test_no_release_goes_on_a_connection_that_only_pings(self):
+        """Guards against a lost release: on sockets, one went on the connection of a front's ping, where no viewer read it."""
         town = PlatformCluster()
         first, second = town.viewer("first"), town.viewer("second")
         for side, session in (first, 1), (second, 2):
@@ -180,9 +182,9 @@
         town.run(20)
         self.assertEqual([line.split()[1] for line in town.lines if "gets 12 1" in line], ["second"])
 
-    def test_who_asked_is_not_closed_as_of_no_use(self):
-        """Seen on sockets: connections that had handed plays over were closed 2 s later, all at once; a set-up that came just then
-        was lost, and so was a release at a director that was left without a connection."""
+    def test_a_connection_that_made_requests_is_not_closed_as_useless(self):
+        """Guards against closing connections that only handed plays over: on sockets, all of them were closed 2 s later. A set-up that came
+        at that moment was lost, and so was a release of a director that was left without a connection."""
         town = PlatformCluster()
         front, other = town.viewer("front"), town.viewer("other")
         front.stream.write(set_up(1, figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:a"))
