--- a/laddergw/platform/allocation.py
+++ b/laddergw/platform/allocation.py
@@ -1,15 +1,14 @@
-"""An allocation's life on the platform: a table from what is seen on the sockets to its outcome. No
-I/O.
+"""The table from what is observed of an allocation on the sockets to its outcome. Does no I/O.
 
-UNSENT: not all bytes of its set-up have left, so a node can make nothing of it. SENT: all have.
-RUNNING: it stands.
+States of an allocation: UNSENT, not every byte of its set-up has left, so that the node cannot act
+on it; SENT, every byte has left; RUNNING, its play runs at the node.
 """
 
 from laddergw import interface
 
 UNSENT, SENT, RUNNING = "unsent", "out", "held"
-# What is seen: answers to the set-up, ends told by the node, and what becomes of its connection or
-# its wait.
+# Events: answers to the set-up, ends reported by the node, and what becomes of the connection or of
+# the wait for an answer.
 (
     ACCEPTED,
     FULL,
@@ -42,10 +41,13 @@
     "lost",
 )
 
-ANSWERS = {200: ACCEPTED, 453: FULL, 500: ERROR, 454: SESSION_UNKNOWN, 504: RESET}
-CAUSES = {16: ENDED, 31: VIEWER_LEFT}  # of a release by the node; every other tells a cut
+# By the status of an answer to a set-up; every other status is an error.
+EVENT_BY_STATUS = {200: ACCEPTED, 453: FULL, 500: ERROR, 454: SESSION_UNKNOWN, 504: RESET}
+# By the cause in a release from the node; every other cause reports an interruption.
+EVENT_BY_CAUSE = {16: ENDED, 31: VIEWER_LEFT}
 
-SAID = {
+# Outcomes of a set-up by events that mean the same whether all of it had left or not.
+SET_UP_OUTCOMES = {
     FULL: interface.FULL,
     ERROR: interface.ERROR,
     SESSION_UNKNOWN: interface.NEVER_SENT,
@@ -55,9 +57,10 @@
     INTERRUPTED: interface.BROKEN,
     CANCELLED: interface.CANCELLED,
 }
-LIFE = {
-    # A set-up of which the node has not every byte runs nothing, whatever became of its connection
-    UNSENT: SAID
+OUTCOMES = {
+    # A node that has not received every byte of a set-up runs nothing of it, whatever became of the
+    # connection.
+    UNSENT: SET_UP_OUTCOMES
     | {
         CONNECTION_LOST: interface.UNREACHABLE,
         MALFORMED: interface.UNREACHABLE,
@@ -65,14 +68,15 @@
         NODE_LOST: interface.UNREACHABLE,
         WITHDRAWN: interface.NEVER_SENT,
     },
-    SENT: SAID
+    SENT: SET_UP_OUTCOMES
     | {
         CONNECTION_LOST: interface.BROKEN,
         MALFORMED: interface.ERROR,
         TIMED_OUT: interface.TIMED_OUT,
         NODE_LOST: interface.BROKEN,
     },
-    # Connections come and go while a play stands: only its node's word, or its node's end, ends it
+    # Connections come and go while a play runs: only a message of its node, or the end of the node
+    # itself, ends it.
     RUNNING: {
         ENDED: interface.SERVED,
         VIEWER_LEFT: interface.CANCELLED,
@@ -84,13 +88,18 @@
 
 
 def event_of_status(status: int) -> str:
-    return ANSWERS.get(status, ERROR)
+    """The event that an answer to a set-up is, by its status."""
+    return EVENT_BY_STATUS.get(status, ERROR)
 
 
 def event_of_cause(cause: int) -> str:
-    return CAUSES.get(cause, INTERRUPTED)
+    """The event that a release from the node is, by its cause."""
+    return EVENT_BY_CAUSE.get(cause, INTERRUPTED)
 
 
-def outcome(state: str, fact: str) -> str | None:
-    """How it has ended by that, in the module's words, or None where it goes on."""
-    return LIFE[state].get(fact)
+def outcome(state: str, event: str) -> str | None:
+    """How an allocation in that state ends by the event, as interface.py names it.
+
+    None where the event does not end it.
+    """
+    return OUTCOMES[state].get(event)
--- a/laddergw/platform/allocator.py
+++ b/laddergw/platform/allocator.py
@@ -1,12 +1,14 @@
-"""The nodes' side of plays: set-ups go out and end, and the module is told how; an allocation's
-facts become outcomes in allocation.py.
+"""Carries out allocations of plays at media nodes.
+
+Sends set-ups and releases, handles what nodes report, and ends set-ups that time out or are
+cancelled. allocation.py maps what is observed of an allocation to its outcome.
 """
 
 import logging
 
 from laddergw import interface
 from laddergw.platform import allocation, reports, requests
-from laddergw.platform.answers import Answers
+from laddergw.platform.answers import AnswerHandler
 from laddergw.platform.causes import ENDED
 from laddergw.platform.connection import Connection
 from laddergw.platform.ending import Ending
@@ -14,11 +16,10 @@
 from laddergw.platform.plays import Play
 from laddergw.signalling import rtsp
 
-# what a node's system has not told to have after this it shall not get: acknowledgements wait 40 ms
-# at most, and
-ARRIVE_MS = 60.0
-# nothing may begin 100 ms after its viewer has left, of which a turn may have passed before we read
-# that
+# What a node's kernel has not acknowledged after this must not reach the node any more:
+# acknowledgements are delayed by 40 ms at most, and no set-up may begin 100 ms after its viewer has
+# left, of which a loop turn may have passed before we read that.
+DELIVERY_LIMIT_MS = 60.0
 
 
 log = logging.getLogger("laddergw.platform")
@@ -30,9 +31,10 @@
     def __init__(self, director):
         self.director, self.count = director, director.count
         self.ending = Ending(director)
-        self.answers = Answers(director, self.ending, self.report_of)
+        self.answer_handler = AnswerHandler(director, self.ending, self.load_report)
 
     def allocate(self, play: Play, verdict: interface.Verdict) -> None:
+        """Sends a play's set-up to the verdict's node, or ends the allocation as never sent."""
         play.number, play.sent_at = play.number + 1, self.director.loop.now
         play.answer = None
         node = play.node = self.director.nodes.by_number.get(verdict.node)
@@ -54,27 +56,27 @@
                 else "left no time",
             )
             return self.ending.tell_end(play, interface.NEVER_SENT)
-        r = play.request
+        request = play.request
         node.open_set_ups[play.session], play.connection = play, connection
         connection.set_up(
             play,
             rtsp.request(
                 "SETUP",
-                r.title,
+                request.title,
                 play.session,
                 (
-                    ("Subject", r.product),
+                    ("Subject", request.product),
                     ("X-Patience", str(max(1, int(verdict.timeout_ms)))),
                     ("Rate-Step", str(verdict.rung)),
                 ),
-                r.description,
+                request.description,
             ),
         )
         log.debug(
             "%s.%d %s: to node %s on %s, time-out %.0f ms",
             play.session,
             play.number,
-            r.product,
+            request.product,
             node.id,
             play.connection,
             verdict.timeout_ms,
@@ -83,11 +85,15 @@
             verdict.timeout_ms, lambda: self.set_up_timed_out(play)
         )
 
-    def send_to_node(self, node: Node, data: bytes, ends: str = "") -> None:
-        """To a node about a play that stands, or that this `ends`, on any connection."""
-        self.director.nodes.say(node, data, ends)
+    def send_to_node(self, node: Node, data: bytes, released: str = "") -> None:
+        """Sends a message about a running play on any connection to its node.
+
+        `released`: the session where the message ends it.
+        """
+        self.director.nodes.send(node, data, released)
 
     def release(self, play: Play) -> None:
+        """Releases a running play at its node."""
         log.debug("%s.%d: release to node %s", play.session, play.number, play.node.id)
         self.send_to_node(
             play.node,
@@ -97,12 +103,12 @@
             play.session,
         )
 
-    def report_of(self, message: rtsp.Message) -> tuple[float, ...]:
-        """The load report that a message carries, or nothing."""
-        return reports.report_of(message, self.director.assignment.deployment.reports)
+    def load_report(self, message: rtsp.Message) -> tuple[float, ...]:
+        """The load report that a message carries, or an empty tuple."""
+        return reports.parse_load_report(message, self.director.assignment.deployment.reports)
 
-    def told(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
-        """A media node speaks of a play: a note, or its release."""
+    def handle_request(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
+        """Handles a media node's request about a play: a note on it, or its release."""
         play = node.running_plays.get(message.session) or node.open_set_ups.get(message.session)
         if message.method == "TEARDOWN":
             connection.stream.write(
@@ -110,17 +116,17 @@
             )
             if play is None:
                 log.debug(
-                    "%s: released by node %s on %s, held by nobody",
+                    "%s: released by node %s on %s, not held by this director",
                     message.session,
                     node.id,
                     connection,
                 )
                 self.count("released by its node, held by nobody")
             else:
-                self.released(play, connection, message)
+                self.handle_release(play, connection, message)
         elif message.method == "ANNOUNCE" and play is not None and play.stands:
             kind, value = (
-                reports.NOTES.get(message.headers.get("x-note", "")),
+                reports.NOTE_KINDS.get(message.headers.get("x-note", "")),
                 message.headers.get("figure", ""),
             )
             if kind is not None and requests.FIGURE.fullmatch(value):
@@ -133,9 +139,11 @@
                     float(value),
                 )
 
-    def released(self, play: Play, connection: Connection, message: rtsp.Message) -> None:
-        """A media node has released a play, or one whose set-up is open: on any connection, so
-        maybe before its answer is read.
+    def handle_release(self, play: Play, connection: Connection, message: rtsp.Message) -> None:
+        """Handles a media node's release of a running play, or of one whose set-up is open.
+
+        It comes on any connection, so possibly before the answer to the set-up is read. An answer
+        that is still on its way on another connection is ignored.
         """
         cause = message.headers.get("reason", "").removeprefix("cause=")
         log.debug(
@@ -145,64 +153,69 @@
             connection,
             cause[:8],
         )
-        fact, report = (
+        event, report = (
             allocation.event_of_cause(int(cause) if cause.isdigit() else 0),
-            self.report_of(message),
+            self.load_report(message),
         )
         if play.stands:
-            self.ending.ended(play, allocation.RUNNING, fact, report)
+            self.ending.ended(play, allocation.RUNNING, event, report)
         elif play.connection is connection and play.answer is not None:
-            self.answers.ended_behind(play, fact, report)
+            self.answer_handler.ended_after_answer(play, event, report)
         elif play.connection is connection:
-            self.ending.ended(play, connection.state(play.session), fact, report)
+            self.ending.ended(play, connection.state(play.session), event, report)
         elif play.connection.state(play.session) == allocation.SENT:
-            self.drop_set_up(
-                play, fact, report
-            )  # an answer that is still on its way belongs to nobody
+            self.drop_set_up(play, event, report)
 
     def set_up_timed_out(self, play: Play) -> None:
-        """The module's time-out for this allocation."""
+        """Ends a set-up that the controller's time-out for this allocation has passed."""
         play.timer = None
         self.drop_set_up(play, allocation.TIMED_OUT)
 
     def cancel(self, play: Play) -> None:
-        """Nobody waits for it any more: what is out ends, and the module hears of what has ended,
-        before its name can come again.
+        """Ends a play's allocation, if there is one: its viewer no longer waits.
+
+        The controller is told of an end at once, before the session's name can come again.
         """
         if play.connection is not None:
             self.drop_set_up(play, allocation.CANCELLED)
         elif play.untold is not None:
             self.ending.tell(play)
 
-    def drop_set_up(self, play: Play, fact: str, report: tuple = ()) -> None:
-        """Gives a set-up up. Its connection ends too: what may still come on it belongs to nobody.
-        While its node's system has not
-        all of what left, the connection is cut off, or a node that stood still or was away would
-        begin it when it is back.
+    def drop_set_up(self, play: Play, event: str, report: tuple = ()) -> None:
+        """Withdraws an open set-up, and closes its connection once no other set-up is open there:
+        what still comes on it belongs to no play.
+
+        The connection is aborted while the node's kernel has not received the whole set-up: a node
+        that stood still or was away would begin it when it is back.
         """
         connection = play.connection
         log.debug(
             "%s.%d: %s on %s, set-up ends at byte %d",
             play.session,
             play.number,
-            fact,
+            event,
             connection,
-            connection.ends[play.session],
+            connection.set_up_ends[play.session],
         )
-        end = connection.ends[play.session]
-        state = connection.give_up(play.session)
-        late = self.director.loop.now - play.sent_at >= ARRIVE_MS
-        away = (
+        end = connection.set_up_ends[play.session]
+        state = connection.withdraw_set_up(play.session)
+        overdue = self.director.loop.now - play.sent_at >= DELIVERY_LIMIT_MS
+        undelivered = (
             state == allocation.SENT
             and not connection.plays
-            and late
+            and overdue
             and not connection.arrived(end)
         )
-        if state == allocation.SENT and not away:
+        if state == allocation.SENT and not undelivered:
             connection.stream.write(rtsp.request("TEARDOWN", play.request.title, play.session))
         if not connection.plays and connection in connection.node.connections:
-            connection.end(allocation.CONNECTION_LOST) if away else connection.close(ARRIVE_MS)
-            connection.node.renew()
-        elif state == allocation.SENT:  # others share it
-            self.director.loop.after(ARRIVE_MS, lambda: connection.cut_unless_arrived(end))
-        self.ending.ended(play, state, fact, report)
+            connection.abort(allocation.CONNECTION_LOST) if undelivered else connection.close(
+                DELIVERY_LIMIT_MS
+            )
+            connection.node.replace_connection()
+        # Other set-ups share the connection.
+        elif state == allocation.SENT:
+            self.director.loop.after(
+                DELIVERY_LIMIT_MS, lambda: connection.abort_unless_arrived(end)
+            )
+        self.ending.ended(play, state, event, report)
--- a/laddergw/platform/answers.py
+++ b/laddergw/platform/answers.py
@@ -1,7 +1,7 @@
-"""Takes media nodes' answers to set-ups, each once all is read that came with it.
+"""Handles media nodes' answers to set-ups, each once everything that was read with it is known.
 
-What stands behind an answer may change what it means: its rest, where its length is too short, or
-the end of the session that it begins.
+What follows an answer can change its meaning: the rest of a description whose stated length is too
+short, or the end of the session that the answer begins.
 """
 
 import logging
@@ -16,83 +16,92 @@
 from laddergw.platform.plays import Play
 from laddergw.signalling import description, rtsp
 
-# a description that may be cut short is passed on once so long nothing more has come
-REST_MS = 250.0
+# A description that may be cut short is passed on once nothing more has come for so long.
+MORE_BODY_WAIT_MS = 250.0
 
 log = logging.getLogger("laddergw.platform")
 
 
-class Answers:
-    """Answers to the director's set-ups; `report_of` reads the load report of a message."""
+class AnswerHandler:
+    """Handles answers to the director's set-ups; `load_report` reads a message's load report."""
 
-    def __init__(self, director, ending: Ending, report_of: Callable[[rtsp.Message], tuple]):
-        self.director, self.ending, self.report_of = director, ending, report_of
+    def __init__(self, director, ending: Ending, load_report: Callable[[rtsp.Message], tuple]):
+        self.director, self.ending, self.load_report = director, ending, load_report
 
-    def answered(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
-        """A media node has answered an open set-up."""
+    def handle_answer(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
+        """Handles a media node's answer to an open set-up, at once or when it is known to be whole.
+
+        Of several answers to one set-up the first counts.
+        """
         play = connection.plays[message.session]
-        if play.answer is not None:  # the first of several counts
+        if play.answer is not None:
             return None
         if allocation.event_of_status(message.status) != allocation.ACCEPTED or not message.body:
-            return self.take(node, connection, message)
+            return self.apply_answer(node, connection, message)
 
-        def take_later() -> None:
+        def apply_later() -> None:
             if connection.plays.get(play.session) is play:
-                self.take(node, connection, message)
+                self.apply_answer(node, connection, message)
 
         play.answer = message
-        cut = description.may_be_cut(message.body, play.request.description)
-        if cut and not connection.reader.another_begun():
-            self.director.loop.after(REST_MS, take_later)
+        may_be_cut = description.may_be_cut(message.body, play.request.description)
+        if may_be_cut and not connection.reader.another_begun():
+            self.director.loop.after(MORE_BODY_WAIT_MS, apply_later)
         else:
-            self.director.loop.soon(take_later)
+            self.director.loop.soon(apply_later)
         return None
 
-    def take(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
-        """Settles a set-up by its answer."""
+    def apply_answer(self, node: Node, connection: Connection, message: rtsp.Message) -> None:
+        """Closes a set-up by its answer: its play runs, or its allocation has ended.
+
+        An answer that accepts the set-up without a description has nothing to pass on to the
+        viewer: its connection ends as malformed.
+        """
         play = connection.plays[message.session]
-        fact = allocation.event_of_status(message.status)
-        if fact == allocation.ACCEPTED and not message.body:  # nothing that could be passed on
-            connection.end(allocation.MALFORMED)
-            return node.renew()
+        event = allocation.event_of_status(message.status)
+        if event == allocation.ACCEPTED and not message.body:
+            connection.abort(allocation.MALFORMED)
+            return node.replace_connection()
         state = self.close_set_up(play)
         waited = self.director.loop.now - play.sent_at
         log.debug(
             "%s.%d: node %s answers %d after %.0f ms",
             *(play.session, play.number, node.id, message.status, waited),
         )
-        if fact == allocation.ACCEPTED:
+        if event == allocation.ACCEPTED:
             return self.director.admission.stand(play, message.body)
-        return self.ending.ended(play, state, fact, self.report_of(message))
+        return self.ending.ended(play, state, event, self.load_report(message))
 
     def connection_ended(self, connection: Connection) -> None:
-        """Answers that have come whole before the connection's end are taken all the same."""
+        """Applies the answers that have come whole before the end of their connection."""
         for play in list(connection.plays.values()):
             if play.answer is None:
                 continue
             if not description.may_be_cut(play.answer.body, play.request.description):
-                self.take(play.node, connection, play.answer)
+                self.apply_answer(play.node, connection, play.answer)
 
     def close_set_up(self, play: Play) -> str:
-        """Its set-up is open no more; says whether all of it had left."""
+        """Removes a play's open set-up; returns the state of the allocation (allocation.py)."""
         state = play.connection.close_set_up(play.session)
         play.connection, play.answer = None, None
         play.node.open_set_ups.pop(play.session, None)
         return state
 
-    def ended_behind(self, play: Play, fact: str, report: tuple) -> None:
-        """The session is over by a word right behind the answer that is not passed on yet.
+    def ended_after_answer(self, play: Play, event: str, report: tuple) -> None:
+        """Handles the end of a session that follows an answer not yet passed on.
 
-        A viewer that has left, by its node's word, gets one final answer and no session: the answer
-        to a session that is over is not taken for one.
+        Where the viewer has left, as the node reports, it gets one final answer and no session: it
+        would not take the answer of a session that is over for one.
         """
-        log.debug("%s.%d: over by a word behind its answer: %s", play.session, play.number, fact)
-        self.director.count("over behind their answer: " + fact)
-        if fact == allocation.ENDED:  # it has run to its end
-            self.take(play.node, play.connection, play.answer)
-            return self.ending.ended(play, allocation.RUNNING, fact, report)
-        if fact != allocation.VIEWER_LEFT:
-            return self.ending.ended(play, self.close_set_up(play), fact, report)
+        log.debug(
+            "%s.%d: session ended right after its answer: %s", play.session, play.number, event
+        )
+        self.director.count("over behind their answer: " + event)
+        if event == allocation.ENDED:
+            self.apply_answer(play.node, play.connection, play.answer)
+            return self.ending.ended(play, allocation.RUNNING, event, report)
+        if event != allocation.VIEWER_LEFT:
+            return self.ending.ended(play, self.close_set_up(play), event, report)
         self.close_set_up(play)
         self.director.admission.finish(play, FAILED)
         return self.ending.tell_end(play, interface.CANCELLED, report)
--- a/laddergw/platform/causes.py
+++ b/laddergw/platform/causes.py
@@ -1,7 +1,12 @@
-"""Causes that a release tells a viewer (parameter 222 of the platform's binary messages)."""
+"""Causes of a release sent to a viewer (parameter 222 of the platform's binary messages)."""
 
-DECLINED = 42  # refused: trying again is harmless
-FAILED = 41  # of a set-up that was given its final answer without a session
-ENDED = 16  # the session has come to its end
-BROKEN = 41  # the session was cut
-UNUSABLE = 95  # the set-up makes no sense: trying it again helps nobody
+# Refused: a retry does no harm.
+DECLINED = 42
+# The set-up gets its final answer without a session.
+FAILED = 41
+# The session has run to its end.
+ENDED = 16
+# The session was interrupted.
+BROKEN = 41
+# The set-up is invalid: a retry would be refused as well.
+UNUSABLE = 95
--- a/laddergw/platform/connection.py
+++ b/laddergw/platform/connection.py
@@ -14,155 +14,186 @@
 
 
 class Connection:
-    """See the module."""
+    """A connection to one media node, as the owner of its stream."""
 
     def __init__(self, node: "Node", limit_ms: float):
-        self.node, self.loop, self.reader, self.up, self.test = (
+        self.node, self.loop, self.reader, self.up, self.ping = (
             node,
             node.fleet.loop,
             rtsp.Reader(),
             False,
+            # session of the ping that the node has not answered yet
             None,
         )
-        self.since = self.used = self.loop.now
-        self.plays: dict[str, Any] = {}  # whose set-ups are open on it
-        self.ends: dict[str, int] = {}  # where in the stream each of their set-ups ends
-        self.set_ups: dict[str, bytes] = {}
-        self.said: dict[
-            str, tuple[bytes, float]
-        ] = {}  # releases that it has not told to have heard, and until when they are told again
+        self.dialled_at = self.last_used = self.loop.now
+        # plays whose set-ups are open on it, by session
+        self.plays: dict[str, Any] = {}
+        # where in the stream each of their set-ups ends, bytes
+        self.set_up_ends: dict[str, int] = {}
+        self.set_up_data: dict[str, bytes] = {}
+        # releases that the node has not acknowledged, and until when each is sent again
+        self.unacknowledged_releases: dict[str, tuple[bytes, float]] = {}
         self.stream = self.loop.dial(node.address, self, limit_ms)
 
     def __str__(self) -> str:
         stream = self.stream
         state = "up" if self.up else "coming up"
-        sent = f"{stream.taken} of {stream.asked} bytes gone"
+        sent = f"{stream.taken} of {stream.asked} bytes sent"
         return f"connection {id(self):x} ({state}, {sent}, {len(self.plays)} set-ups)"
 
     def opened(self, stream) -> None:
-        self.up, self.node.owes_connection = True, False
+        """Stream callback: sends the messages that waited for a connection to the node."""
+        self.up, self.node.needs_connection = True, False
         log.debug(
-            "node %s: %s opened after %.0f ms", self.node.id, self, self.loop.now - self.since
+            "node %s: %s opened after %.0f ms",
+            self.node.id,
+            self,
+            self.loop.now - self.dialled_at,
         )
-        self.speaks()
-        words, self.node.queued_messages = self.node.queued_messages, []
-        for word in words:
-            self.say(*word)
-        if words:
+        self.mark_alive()
+        messages, self.node.queued_messages = self.node.queued_messages, []
+        for message in messages:
+            self.send(*message)
+        if messages:
             self.emptied(stream)
 
-    def say(self, data: bytes, ends: str, until: float) -> None:
-        """`ends`: the session that it releases, or nothing."""
+    def send(self, data: bytes, released: str, expires_at: float) -> None:
+        """Writes a message; `released` is the session that it releases, or empty.
+
+        A release is kept until the node acknowledges it or `expires_at` (loop clock) has passed: a
+        node need not acknowledge one.
+        """
         self.stream.write(data)
-        if ends:
-            self.said[ends] = data, until
+        if released:
+            self.unacknowledged_releases[released] = data, expires_at
             for session in [
-                session for session, (_, until) in self.said.items() if until <= self.loop.now
-            ]:  # a node need not say
-                del self.said[session]  # that it has heard
-
-    def leave(self) -> None:
-        """It is none of its node's any more: what waits to be told there waits for the next one."""
+                session
+                for session, (_, expires_at) in self.unacknowledged_releases.items()
+                if expires_at <= self.loop.now
+            ]:
+                del self.unacknowledged_releases[session]
+
+    def detach(self) -> None:
+        """Removes it from its node; messages queued there wait for the next connection."""
         self.node.connections.remove(self)
         if self.node.queued_messages and not self.node.connections:
             self.node.fleet.awaiting_connection[self.node] = None
 
     def emptied(self, stream) -> None:
+        """Stream callback: an unused connection may give way to one of another node."""
         if not (stream.queued or self.plays):
-            self.node.fleet.give_way(self)
+            self.node.fleet.yield_connection(self)
 
-    def speaks(self) -> None:
-        self.node.unanswered_dials, self.node.heard = 0, self.loop.now
-        self.used = self.loop.now
+    def mark_alive(self) -> None:
+        """Records that the node answers."""
+        self.node.unanswered_dials, self.node.last_heard_at = 0, self.loop.now
+        self.last_used = self.loop.now
 
     def got(self, stream, data: bytes) -> None:
-        self.speaks()
+        """Stream callback: passes whole messages on; malformed ones end the connection."""
+        self.mark_alive()
         self.reader.feed(data)
         try:
             while (message := self.reader.next()) is not None:
-                self.node.said(self, message)
+                self.node.handle_message(self, message)
         except rtsp.MalformedError as error:
             self.node.fleet.count("spoilt")
             log.info("node %s: %s", self.node.id, error)
-            self.end(allocation.MALFORMED)
-            self.node.renew()
+            self.abort(allocation.MALFORMED)
+            self.node.replace_connection()
 
     def state(self, session: str) -> str:
-        return allocation.SENT if self.stream.taken >= self.ends[session] else allocation.UNSENT
+        """Whether all of an open set-up has left: SENT or UNSENT."""
+        return (
+            allocation.SENT if self.stream.taken >= self.set_up_ends[session] else allocation.UNSENT
+        )
 
     def set_up(self, play, data: bytes) -> None:
-        self.plays[play.session], self.set_ups[play.session], self.used = play, data, self.loop.now
+        """Sends a play's set-up, which is open on this connection from now on."""
+        self.plays[play.session], self.set_up_data[play.session], self.last_used = (
+            play,
+            data,
+            self.loop.now,
+        )
         self.stream.write(data)
-        self.ends[play.session] = self.stream.asked
+        self.set_up_ends[play.session] = self.stream.asked
 
     def close_set_up(self, session: str) -> str:
-        """Its set-up is open no more; says whether all of it had left."""
+        """Removes an open set-up; returns whether all of it had left (SENT or UNSENT)."""
         state = self.state(session)
-        del self.plays[session], self.ends[session], self.set_ups[session]
+        del self.plays[session], self.set_up_ends[session], self.set_up_data[session]
         return state
 
-    def give_up(self, session: str) -> str:
-        """Settles a set-up, and of one that is told as never sent no byte leaves any more:
+    def withdraw_set_up(self, session: str) -> str:
+        """Removes an open set-up and its unsent bytes; returns whether all of it had left.
 
-        `close` would still write it out.
+        No byte of a set-up that is reported as never sent may leave later: `close` would still
+        write it out.
         """
-        data, end = self.set_ups[session], self.ends[session]
+        data, end = self.set_up_data[session], self.set_up_ends[session]
         state = self.close_set_up(session)
         if state == allocation.UNSENT and self.stream.take_back(data):
-            self.ends = {other: at - len(data) * (at > end) for other, at in self.ends.items()}
-        elif state == allocation.UNSENT:  # a part of it has left: what is open beside it ends too
-            self.end(allocation.CONNECTION_LOST)
-            self.node.renew()
+            self.set_up_ends = {
+                other: other_end - len(data) * (other_end > end)
+                for other, other_end in self.set_up_ends.items()
+            }
+        # A part of it has left: the other set-ups on the connection end with it.
+        elif state == allocation.UNSENT:
+            self.abort(allocation.CONNECTION_LOST)
+            self.node.replace_connection()
         return state
 
     def arrived(self, end: int) -> bool:
-        """Whether its node's system has told to have all up to there."""
+        """Whether the node's kernel has acknowledged the stream up to that byte."""
         return self.stream.taken - self.stream.unacknowledged() >= end
 
-    def cut_unless_arrived(self, end: int) -> None:
-        """A set-up that was given up and has not arrived must not begin later; what shares its
-        connection ends with it.
+    def abort_unless_arrived(self, end: int) -> None:
+        """Ends the connection where a withdrawn set-up that ends at that byte has not arrived.
+
+        It must not begin later; the other set-ups on the connection end with it.
         """
         if self in self.node.connections and not self.arrived(end):
-            self.end(allocation.CONNECTION_LOST)
-            self.node.renew()
+            self.abort(allocation.CONNECTION_LOST)
+            self.node.replace_connection()
 
     def close(self, deliver_ms: float | None = None) -> None:
-        """Ends in good order, with nothing open on it; see Stream.close."""
+        """Closes the connection gracefully, with nothing open on it; see Stream.close."""
         log.debug("node %s: %s closed by us in good order", self.node.id, self)
-        self.leave()
+        self.detach()
         self.stream.close(deliver_ms)
 
-    def end(self, fact: str) -> None:
-        """Closes at once. What was open on it ends by that."""
+    def abort(self, event: str) -> None:
+        """Closes at once; the set-ups open on it end by the event.
+
+        Releases that the node has not acknowledged may be lost with it and are sent again.
+        """
         if self in self.node.connections:
             log.debug(
                 "node %s: %s ends, what was open on it as %s; %d releases go again",
                 self.node.id,
                 self,
-                fact,
-                len(self.said),
+                event,
+                len(self.unacknowledged_releases),
             )
-            self.node.fleet.count("connections to nodes ended: " + fact)
-            self.leave()
+            self.node.fleet.count("connections to nodes ended: " + event)
+            self.detach()
             plays = [
                 (play, self.close_set_up(session)) for session, play in list(self.plays.items())
             ]
             self.stream.abort()
-            for ends, (
-                data,
-                until,
-            ) in self.said.items():  # it may have taken along what was said on it last
-                if until > self.loop.now:
-                    self.node.fleet.say(self.node, data, ends, until)
+            for released, (data, expires_at) in self.unacknowledged_releases.items():
+                if expires_at > self.loop.now:
+                    self.node.fleet.send(self.node, data, released, expires_at)
             for play, state in plays:
-                self.node.fleet.ended(play, state, fact)
+                self.node.fleet.allocation_ended(play, state, event)
 
     def closed(self, stream, why: str | None) -> None:
+        """Stream callback: ends what was open on it.
+
+        Where we had no descriptor for it, the node has received nothing and is not at fault.
+        """
         if self in self.node.connections:
             log.debug("node %s: %s: %s", self.node.id, self, why or "closed by its node")
-            self.node.fleet.answers.connection_ended(self)
-            self.end(
-                allocation.WITHDRAWN if why == SHORT else allocation.CONNECTION_LOST
-            )  # without a descriptor its node has heard nothing, and has no part in it
+            self.node.fleet.answer_handler.connection_ended(self)
+            self.abort(allocation.WITHDRAWN if why == SHORT else allocation.CONNECTION_LOST)
             self.node.connection_ended(self, why)
--- a/laddergw/platform/fleet_list.py
+++ b/laddergw/platform/fleet_list.py
@@ -1,4 +1,4 @@
-"""Takes events of the change log into the list of media nodes, and tells the module."""
+"""Applies events of the change log to the list of media nodes, and updates the controller."""
 
 import logging
 from zlib import crc32
@@ -14,52 +14,58 @@
 
 
 class FleetList:
-    """The list of media nodes as the change log tells it."""
+    """The list of media nodes by the events of the change log."""
 
     def __init__(self, director):
         self.director = director
 
     def apply_event(self, event: changes.Event) -> None:
-        """Takes up one event, tells the module, takes back what has not left for who stopped."""
-        stopped = self.unnamed(event) if event.whole else []
-        lines = []
+        """Applies one event: updates the nodes, then the controller.
+
+        Set-ups that have not left yet are withdrawn from the nodes that no longer serve.
+        """
+        stopped = self.mark_missing(event) if event.whole else []
+        entries = []
         for member in event.members:
             if member.state == "DELETED" and member.id not in self.director.nodes.by_id:
                 continue
-            node = self.take(member, event.number)
+            node = self.update_node(member, event.number)
             if member.state != "SERVING":
                 stopped.append(node)
-            lines.append(self.entry_of(node))
+            entries.append(self.entry_of(node))
         self.director.feed(
-            self.director.controller.listed, self.director.loop.now, lines, event.whole
+            self.director.controller.listed, self.director.loop.now, entries, event.whole
         )
         for node in stopped:
-            self.take_back(node)
+            self.withdraw_unsent(node)
 
-    def unnamed(self, event: changes.Event) -> list[Node]:
-        """Nodes that a whole list leaves out: they are gone."""
+    def mark_missing(self, event: changes.Event) -> list[Node]:
+        """Marks the nodes that a complete list leaves out as gone, and returns them."""
         named = {member.id for member in event.members}
-        found = [node for node in self.director.nodes.by_id.values() if node.id not in named]
-        for node in found:
-            self.director.nodes.is_gone(node)
-        return found
+        missing = [node for node in self.director.nodes.by_id.values() if node.id not in named]
+        for node in missing:
+            self.director.nodes.mark_gone(node)
+        return missing
 
-    def take(self, member: changes.Member, number: int) -> Node:
-        """One member of an event, as its node."""
-        node = self.director.nodes.node_of(member)
-        if member.since > node.since:  # another process: what stood at the last is over
-            node.lose("started anew")
-            node.since = member.since
+    def update_node(self, member: changes.Member, number: int) -> Node:
+        """Updates the node of one member, in the event of that number, and returns it.
+
+        A later start is another process: the plays that ran at the last one are over.
+        """
+        node = self.director.nodes.node_for(member)
+        if member.since > node.started_ms:
+            node.lose_plays("started anew")
+            node.started_ms = member.since
         node.gone = False
         if node.member.state != member.state or node.member is member:
             log.debug("node %s: %s at event %d", node.id, member.state, number)
         if member.state == "DELETED":
-            self.director.nodes.is_gone(node)
+            self.director.nodes.mark_gone(node)
         node.member = member
         return node
 
-    def take_back(self, node: Node) -> None:
-        """Set-ups that have not left yet do not go there any more."""
+    def withdraw_unsent(self, node: Node) -> None:
+        """Withdraws the set-ups to a node that have not left yet."""
         for play in list(node.open_set_ups.values()):
             if (
                 play.connection is not None
@@ -68,9 +74,10 @@
                 self.director.allocator.drop_set_up(play, allocation.WITHDRAWN)
 
     def entry_of(self, node: Node) -> interface.NodeLine:
-        """The module's line of a node, by the names in force.
+        """The controller's entry of a node, with kind and zone as numbered in the configuration in
+        force.
 
-        `mark`: by its id, which every director hears alike.
+        Its `mark` is made of the node's id, which is the same at every director.
         """
         m = node.member
         return interface.NodeLine(
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -1,9 +1,8 @@
-"""One media node of the list, our connections to it, and what the ends of those prove.
+"""One media node of the fleet list, our connections to it, and what their ends prove.
 
-A play that stands belongs to no connection. It is over when its node says so, when the node's port
-refuses (the
-process has died, and with it all that it held), or when the node's machine answers nothing any
-more.
+A running play belongs to no connection. It is over when its node says so, when the node's port
+refuses connections (the process has died, and everything it held with it), or when the node's
+machine no longer answers.
 """
 
 import logging
@@ -14,20 +13,19 @@
 from laddergw.platform.connection import Connection
 from laddergw.signalling import rtsp
 
-# a connection is not used for its last so long before the node closes it as idle: a set-up that
-# crosses its
-IDLE_LESS_MS = 500.0
-# end may have run, for all we know, and a paid play then fails
-# what a node says proves that it lives; so long after its last word it is tested. With a look (each
-# LOOK_MS), the
-QUIET_MS = 1_500.0
-TEST_MS = (
-    1_000.0  # test (it passes at once: unanswered for so long its connection is dead), another look
-)
-# and so many connections in a row that never come up, a machine is found gone within 6 s of the 8
-SILENCES = 2
-# wait for a connection that carries no set-up: a late one still brings what its node has to tell
-HOLD_DIAL_MS = 1_000.0
+# A connection is not used so shortly before the node closes it as idle: a set-up that crosses the
+# close may have run, for all we know, and a paid play then fails.
+IDLE_CLOSE_MARGIN_MS = 500.0
+# A message from a node proves that it is alive; so long after its last one it is pinged. An answer
+# passes at once: a connection whose ping is unanswered for PING_TIMEOUT_MS is dead. With the checks
+# (each nodes.CHECK_INTERVAL_MS) before both, and so many connections in a row that never come up, a
+# machine is found gone within 6 s of the 8 s after which its plays count as lost.
+PING_AFTER_MS = 1_500.0
+PING_TIMEOUT_MS = 1_000.0
+MAX_UNANSWERED_DIALS = 2
+# Limit of dialling a connection that carries no set-up: one that comes up late still brings what
+# its node has to report.
+IDLE_DIAL_TIMEOUT_MS = 1_000.0
 
 if TYPE_CHECKING:
     from laddergw.platform.nodes import Nodes
@@ -45,136 +43,154 @@
             member.id,
             (member.host, member.port),
         )
-        self.member, self.since, self.gone, self.unanswered_dials, self.connections = (
+        self.member, self.started_ms, self.gone, self.unanswered_dials, self.connections = (
             member,
             member.since,
             False,
             0,
             [],
         )
-        self.heard = fleet.loop.now
-        self.running_plays: dict[str, Any] = {}  # plays that stand there
-        self.open_set_ups: dict[str, Any] = {}  # plays whose set-up is open there
-        self.queued_messages: list[
-            tuple[bytes, str, float]
-        ] = []  # what waits for a connection to be said (Connection.say)
-        # one has ended that may have taken along what the node said: it says that again on a new
-        # one
-        self.owes_connection = False
-
-    def dial(self, limit_ms: float = HOLD_DIAL_MS) -> Connection:
+        self.last_heard_at = fleet.loop.now
+        # plays that run there, by session
+        self.running_plays: dict[str, Any] = {}
+        # plays whose set-up is open there, by session
+        self.open_set_ups: dict[str, Any] = {}
+        # what waits for a connection to be sent: the arguments of Connection.send
+        self.queued_messages: list[tuple[bytes, str, float]] = []
+        # a connection has ended that may have lost a message of the node: the node repeats it on a
+        # new one
+        self.needs_connection = False
+
+    def dial(self, limit_ms: float = IDLE_DIAL_TIMEOUT_MS) -> Connection:
+        """Dials another connection to the node."""
         connection = Connection(self, limit_ms)
         self.connections.append(connection)
         return connection
 
-    def dial_owed(self) -> None:
-        """Opens the connection that is owed, unless one is coming up or none may be opened: then
-        the next look does.
+    def dial_if_needed(self) -> None:
+        """Dials the connection that the node needs, unless one is coming up already.
+
+        Where no more may be opened the next check dials it.
         """
-        self.owes_connection = self.owes_connection and bool(self.running_plays) and not self.gone
+        self.needs_connection = self.needs_connection and bool(self.running_plays) and not self.gone
         coming_up = any(not connection.up for connection in self.connections)
         if (
-            self.owes_connection
+            self.needs_connection
             and not coming_up
             and self.fleet.connections() < self.fleet.max_connections
         ):
             self.dial()
 
     def free_connection(self) -> Connection | None:
-        """An idle connection that is up, and not so idle that its node is about to close it, else a
-        new one; where no more may be
-        opened, the least used here, if there is one."""
+        """A connection for a set-up: an idle one that the node will not close yet, else a new one.
+
+        Where no more may be opened it is the least used one of this node, or None without any.
+        """
         idle_ms = self.fleet.idle_ms
-        fresh_ms = max(idle_ms - IDLE_LESS_MS, idle_ms / 2)
+        usable_ms = max(idle_ms - IDLE_CLOSE_MARGIN_MS, idle_ms / 2)
         idle = [
-            one for one in self.connections if not one.plays and one.loop.now - one.used < fresh_ms
+            one
+            for one in self.connections
+            if not one.plays and one.loop.now - one.last_used < usable_ms
         ]
-        up = [one for one in idle if one.up and one.test is None] or [
-            one for one in idle if one.up or self.soon_up(one)
+        usable = [one for one in idle if one.up and one.ping is None] or [
+            one for one in idle if one.up or self.is_coming_up(one)
         ]
-        if up:
-            return up[0]
+        if usable:
+            return usable[0]
         if self.fleet.make_room(include_serving=not self.connections):
             return self.dial(self.fleet.connect_ms)
         return min(self.connections, key=lambda connection: len(connection.plays), default=None)
 
-    def soon_up(self, connection: Connection) -> bool:
+    def is_coming_up(self, connection: Connection) -> bool:
+        """Whether a connection that is not up yet can be expected to come up."""
         return (
             self.unanswered_dials == 0
-            and connection.loop.now - connection.since < self.fleet.connect_ms
+            and connection.loop.now - connection.dialled_at < self.fleet.connect_ms
         )
 
-    def said(self, connection: Connection, message: rtsp.Message) -> None:
+    def handle_message(self, connection: Connection, message: rtsp.Message) -> None:
+        """Handles a request or an answer from the node.
+
+        An answer to a set-up that has not left whole is malformed: were it believed, the rest of
+        the set-up would leave all the same.
+        """
         if (
             message.session in connection.plays
             and connection.state(message.session) == allocation.UNSENT
         ):
-            raise rtsp.MalformedError(
-                "an answer to what has not left yet"
-            )  # believed, the rest would leave all the same
+            raise rtsp.MalformedError("an answer to a set-up that has not left yet")
         if message.method:
-            return self.fleet.told(self, connection, message)
+            return self.fleet.handle_request(self, connection, message)
         if (
             message.sequence == "2"
             and message.status
-            and connection.said.pop(message.session, None)
+            and connection.unacknowledged_releases.pop(message.session, None)
         ):
-            log.debug("%s: release heard by node %s", message.session, self.id)
-        if message.target == "" and connection.test == message.session:
-            connection.test = None
+            log.debug("%s: release acknowledged by node %s", message.session, self.id)
+        if message.target == "" and connection.ping == message.session:
+            connection.ping = None
         elif (
             message.session in connection.plays
             and message.status >= 200
             and message.sequence == "1"
         ):
-            self.fleet.answered(self, connection, message)
+            self.fleet.handle_answer(self, connection, message)
 
     def connection_ended(self, connection: Connection, why: str | None) -> None:
-        """What the end of a connection proves of the plays that stand."""
-        if why == SHORT:  # the next look dials again, when there may be room
+        """Concludes from the end of a connection what has become of the running plays.
+
+        Without a descriptor it proves nothing; the next check dials again, when there may be one.
+        `why` is None where the connection was closed in good order.
+        """
+        if why == SHORT:
             return
-        self.fleet.let_speak(1)
+        self.fleet.dial_waiting(1)
         if not connection.up:
             self.unanswered_dials += why != REFUSED
-            if why == REFUSED or (self.unanswered_dials >= SILENCES and not self.connections):
-                return self.lose(why)
+            if why == REFUSED or (
+                self.unanswered_dials >= MAX_UNANSWERED_DIALS and not self.connections
+            ):
+                return self.lose_plays(why)
         if self.running_plays and not self.connections:
-            self.dial() if not self.gone else self.lose("gone from the list")
-        elif connection.up and why is not None:  # not in good order
-            self.renew()
+            self.dial() if not self.gone else self.lose_plays("gone from the list")
+        elif connection.up and why is not None:
+            self.replace_connection()
         else:
-            self.dial_owed()
+            self.dial_if_needed()
+
+    def replace_connection(self) -> None:
+        """Opens a new connection after one that may have lost a release from its node.
 
-    def renew(self) -> None:
-        """After a connection that may have taken along a release of its node: that comes again on
-        the next one that opens.
+        The node repeats that release on the next connection that opens.
         """
-        self.owes_connection = True
-        self.dial_owed()
+        self.needs_connection = True
+        self.dial_if_needed()
 
-    def lose(self, why: str | None) -> None:
+    def lose_plays(self, why: str | None) -> None:
+        """Ends all plays that run there: their node or its process is gone."""
         self.queued_messages = []
         if self.running_plays:
             log.info("node %s: %d plays lost: %s", self.id, len(self.running_plays), why)
         for play in list(self.running_plays.values()):
-            self.fleet.ended(play, allocation.RUNNING, allocation.NODE_LOST)
+            self.fleet.allocation_ended(play, allocation.RUNNING, allocation.NODE_LOST)
 
-    def look(self, now: float) -> None:
-        """Whether its machine still answers, while plays stand there."""
+    def check(self, now: float) -> None:
+        """Checks that the node's machine still answers, while plays run there."""
         for connection in [
             connection
             for connection in self.connections
-            if connection.test is not None and now - connection.tested >= TEST_MS
+            if connection.ping is not None and now - connection.pinged_at >= PING_TIMEOUT_MS
         ]:
-            log.info("node %s: a test was not answered", self.id)
-            connection.end(allocation.CONNECTION_LOST)
-            self.renew()
+            log.info("node %s: a ping was not answered", self.id)
+            connection.abort(allocation.CONNECTION_LOST)
+            self.replace_connection()
         up = [connection for connection in self.connections if connection.up]
-        if up and up[0].test is None and now - self.heard >= QUIET_MS:
-            up[0].test, up[0].tested = self.fleet.test_name(), now
-            up[0].stream.write(rtsp.request("OPTIONS", "ping", up[0].test))
+        if up and up[0].ping is None and now - self.last_heard_at >= PING_AFTER_MS:
+            up[0].ping, up[0].pinged_at = self.fleet.next_ping_name(), now
+            up[0].stream.write(rtsp.request("OPTIONS", "ping", up[0].ping))
         elif not self.connections and self.gone:
-            self.lose("gone from the list")
+            self.lose_plays("gone from the list")
         elif not self.connections and self.fleet.make_room(include_serving=True):
             self.dial()
-        self.dial_owed()
+        self.dial_if_needed()
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -1,5 +1,5 @@
-"""All media nodes of the list: how many connections they may have together, and whose turn it is to
-have one.
+"""All media nodes of the fleet list: how many connections they may have together, and which node
+gets the next one.
 """
 
 import logging
@@ -8,16 +8,17 @@
 from laddergw.platform.connection import Connection
 from laddergw.platform.node import Node
 
-# a release that its node has not told to have heard is told again for so long: what stood then
-# counts as lost
-AGAIN_MS = 8_000.0
-LOOK_MS = 500.0  # pace of looking after nodes that hold plays
+# A release that its node has not acknowledged is sent again for so long: what ran then counts as
+# lost.
+RELEASE_RETRY_MS = 8_000.0
+# Time between checks of the nodes where plays run.
+CHECK_INTERVAL_MS = 500.0
 
 log = logging.getLogger("laddergw.platform")
 
 
 class Nodes:
-    """All nodes of the list. `allocator` carries out what comes of them."""
+    """All nodes of the fleet list. `allocator` handles what they send."""
 
     def __init__(self, loop, allocator, max_connections: int, connect_ms: float, idle_ms: float):
         self.loop, self.max_connections, self.connect_ms, self.idle_ms = (
@@ -28,28 +29,30 @@
         )
         self.by_id: dict[str, Node] = {}
         self.by_number: dict[int, Node] = {}
-        self.awaiting_connection: dict[
-            Node, None
-        ] = {}  # that have something to be told and no connection; in this order they get one
-        self.by_address: dict[tuple[str, int], Node] = {}  # the one that the list named there last
-        self.numbers = self.tests = 0
-        self.count, self.ended, self.told, self.answered = (
+        # nodes that have queued messages and no connection, in the order in which they get one
+        self.awaiting_connection: dict[Node, None] = {}
+        # the node that the list named last at each address
+        self.by_address: dict[tuple[str, int], Node] = {}
+        self.last_number = self.pings_named = 0
+        self.count, self.allocation_ended, self.handle_request, self.handle_answer = (
             allocator.count,
             allocator.ending.ended,
-            allocator.told,
-            allocator.answers.answered,
+            allocator.handle_request,
+            allocator.answer_handler.handle_answer,
         )
-        self.answers = allocator.answers
-        loop.after(LOOK_MS, self.look)
+        self.answer_handler = allocator.answer_handler
+        loop.after(CHECK_INTERVAL_MS, self.check)
 
     def connections(self) -> int:
+        """Number of connections to all nodes, also of those that are not up yet."""
         return sum(len(node.connections) for node in self.by_number.values())
 
     def make_room(self, include_serving: bool) -> bool:
-        """Whether one more may be opened. Over the bound the oldest idle one makes room, first
-        where nothing stands. `include_serving`: also
-        where plays stand: what their node has to tell comes on the next connection, and each of
-        them has its turn.
+        """Whether one more connection may be opened.
+
+        At the limit the oldest idle one is closed for it, first one of a node where no play runs.
+        With `include_serving` it may be one of a node where plays run: what that node has to report
+        comes on its next connection, and each of these nodes gets its turn.
         """
         if self.connections() < self.max_connections:
             return True
@@ -60,125 +63,148 @@
             for connection in node.connections
             if connection.up
             and not connection.plays
-            and connection.test is None
-            and self.loop.now - connection.since >= LOOK_MS
+            and connection.ping is None
+            and self.loop.now - connection.dialled_at >= CHECK_INTERVAL_MS
         ]
         if not idle:
             return False
         oldest = min(
-            idle, key=lambda connection: (bool(connection.node.running_plays), connection.since)
+            idle,
+            key=lambda connection: (
+                bool(connection.node.running_plays),
+                connection.dialled_at,
+            ),
         )
         self.count("closed for room")
         oldest.close()
         return True
 
-    def say(self, node: Node, data: bytes, ends: str = "", until: float | None = None) -> None:
-        """On any connection that is up, or on the next that opens; one is opened past the bound
-        too: what ends a play must leave.
+    def send(
+        self, node: Node, data: bytes, released: str = "", expires_at: float | None = None
+    ) -> None:
+        """Sends a message to a node on any connection that is up, or on the next that opens.
+
+        For one that ends a play (`released`: its session) a connection is opened past the limit
+        too. `expires_at`: until when a release is sent again, by the loop's clock.
         """
         up = [connection for connection in node.connections if connection.up]
         connection = next((connection for connection in up if not connection.plays), None) or next(
             iter(up), None
         )
-        word = data, ends, self.loop.now + AGAIN_MS if until is None else until
+        message = (
+            data,
+            released,
+            self.loop.now + RELEASE_RETRY_MS if expires_at is None else expires_at,
+        )
         if connection is not None:
-            connection.say(*word)
+            connection.send(*message)
         elif not node.gone:
-            node.queued_messages.append(word)
+            node.queued_messages.append(message)
             self.awaiting_connection[node] = None
-            self.let_speak(1)
+            self.dial_waiting(1)
 
-    def let_speak(self, most: int) -> None:
-        """Dials for so many of those who wait.
+    def dial_waiting(self, limit: int) -> None:
+        """Dials for up to so many of the nodes that wait for a connection.
 
-        Who finds no descriptor waits on, until another connection gives way.
+        One that finds no descriptor waits on, until another connection is closed.
         """
-        for node in list(self.awaiting_connection)[:most]:
+        for node in list(self.awaiting_connection)[:limit]:
             del self.awaiting_connection[node]
             if node.queued_messages and not node.connections and not node.gone:
                 self.make_room(include_serving=True)
                 node.dial()
 
-    def give_way(self, connection: Connection) -> None:
-        """It has said all, and nothing is open on it: one of those who wait gets its descriptor."""
+    def yield_connection(self, connection: Connection) -> None:
+        """Closes a connection without anything to send or open on it where a node waits for one."""
         if self.awaiting_connection and connection in connection.node.connections:
             connection.close()
-            self.let_speak(1)
+            self.dial_waiting(1)
 
     def has_unsent(self) -> bool:
+        """Whether messages to nodes have not left yet."""
         nodes = self.by_number.values()
         return any(node.queued_messages and not node.gone for node in nodes) or any(
             connection.stream.queued for node in nodes for connection in node.connections
         )
 
     def shut_down(self) -> None:
-        """The process's end: what was said to nodes goes out, then every connection ends in good
-        order.
+        """Closes all connections at the process's end, after what is queued for their nodes.
+
+        Every connection is closed gracefully.
         """
-        self.let_speak(len(self.awaiting_connection))
+        self.dial_waiting(len(self.awaiting_connection))
         for node in self.by_number.values():
             connections, node.connections = node.connections, []
             for connection in connections:
-                words, node.queued_messages = (
+                messages, node.queued_messages = (
                     ([], node.queued_messages) if connection.up else (node.queued_messages, [])
                 )
-                for data, *_ in words:
+                for data, *_ in messages:
                     connection.stream.write(data)
                 connection.stream.close()
 
-    def test_name(self) -> str:
-        self.tests += 1
-        return f"{self.tests:016x}"
+    def next_ping_name(self) -> str:
+        """The session name that the next ping is sent under."""
+        self.pings_named += 1
+        return f"{self.pings_named:016x}"
 
-    def node_of(self, member) -> Node:
-        """Its node, new where the list names it for the first time."""
+    def node_for(self, member) -> Node:
+        """The node of a member of the list, a new one for a new id or another address."""
         node = self.by_id.get(member.id)
         if node is None or (
             node.address != (member.host, member.port) and member.state != "DELETED"
         ):
-            self.numbers += 1
-            number = self.numbers if node is None else node.number
+            self.last_number += 1
+            number = self.last_number if node is None else node.number
             if node is not None:
-                self.close(node)
+                self.drop_connections(node)
             node = self.by_id[member.id] = self.by_number[number] = Node(self, number, member)
-            before, self.by_address[node.address] = self.by_address.get(node.address), node
-            if before is not None and before.gone:
-                self.close(before)
+            previous, self.by_address[node.address] = self.by_address.get(node.address), node
+            if previous is not None and previous.gone:
+                self.drop_connections(previous)
         return node
 
-    def is_gone(self, node: Node) -> None:
-        """The list tells so. What stands there ends with its connections; where another node has
-        its address, what answers there is that
-        one, and proves nothing of it."""
+    def mark_gone(self, node: Node) -> None:
+        """Marks a node that the list no longer names; its plays end with its connections.
+
+        Where another node has its address, what answers there is that one and proves nothing of
+        this one: its connections and plays end now.
+        """
         node.gone = True
         if self.by_address.get(node.address) is not node:
-            self.close(node)
+            self.drop_connections(node)
 
-    def close(self, node: Node) -> None:
+    def drop_connections(self, node: Node) -> None:
+        """Ends a node's connections and its plays: it is not at its address any more."""
         for connection in list(node.connections):
-            connection.end(allocation.CONNECTION_LOST)
-        node.lose("another address")
+            connection.abort(allocation.CONNECTION_LOST)
+        node.lose_plays("another address")
         self.awaiting_connection.pop(node, None)
 
-    def forget_gone(self) -> None:
+    def remove_gone(self) -> None:
+        """Removes the nodes that are gone from the list and serve no play any more."""
         for node in [
             n
             for n in self.by_number.values()
             if n.gone and not n.running_plays and not n.open_set_ups
         ]:
             for connection in list(node.connections):
-                connection.end(allocation.CONNECTION_LOST)
+                connection.abort(allocation.CONNECTION_LOST)
             del self.by_number[node.number]
             if self.by_address.get(node.address) is node:
                 del self.by_address[node.address]
             if self.by_id.get(node.id) is node:
                 del self.by_id[node.id]
 
-    def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
-        self.let_speak(len(self.awaiting_connection))
+    def check(self) -> None:
+        """Checks the nodes where plays run, the one that was heard longest ago first.
+
+        Connections may be fewer than nodes: that one has had no turn for longest.
+        """
+        self.loop.after(CHECK_INTERVAL_MS, self.check)
+        self.dial_waiting(len(self.awaiting_connection))
         for node in sorted(
-            (n for n in self.by_number.values() if n.running_plays), key=lambda n: n.heard
-        ):  # who had no turn for longest first
-            node.look(self.loop.now)
-        self.forget_gone()
+            (n for n in self.by_number.values() if n.running_plays), key=lambda n: n.last_heard_at
+        ):
+            node.check(self.loop.now)
+        self.remove_gone()
--- a/laddergw/platform/reports.py
+++ b/laddergw/platform/reports.py
@@ -1,4 +1,4 @@
-"""What media nodes tell of their load: reports on answers, notes on plays. No I/O."""
+"""What media nodes report of their load: reports on answers, notes on plays. Does no I/O."""
 
 from collections.abc import Sequence
 
@@ -6,8 +6,8 @@
 from laddergw.platform import requests
 from laddergw.signalling import rtsp
 
-# The kinds of notes, by their names on the wire
-NOTES = {
+# The kinds of notes by their names on the wire.
+NOTE_KINDS = {
     "got": interface.DELIVERED,
     "level": interface.RUNG_NOW,
     "port": interface.LINK_ASKED,
@@ -15,14 +15,14 @@
 }
 
 
-def report_of(message: rtsp.Message, names: Sequence[str]) -> tuple[float, ...]:
-    """The load report of a message, its values in the order of `names`, or nothing.
+def parse_load_report(message: rtsp.Message, names: Sequence[str]) -> tuple[float, ...]:
+    """The load report of a message, its values in the order of `names`, or an empty tuple.
 
-    A report that lacks one of the values, or holds none that is a figure, is no report.
+    A report that lacks one of the values, or has no value that is a number, counts as none.
     """
     values = {}
-    for part in message.headers.get("x-state", "").split(";"):
-        name, _, text = part.partition(":")
+    for field in message.headers.get("x-state", "").split(";"):
+        name, _, text = field.partition(":")
         if requests.FIGURE.fullmatch(text):
             values[name] = float(text)
     if not values or any(name not in values for name in names):
--- a/tests/test_orders_ends.py
+++ b/tests/test_orders_ends.py
@@ -144,7 +144,7 @@
         self.town.run_until(lambda: not node.connections or node.connections[0].up)
         self.town.director.nodes.awaiting_connection, node.queued_messages = {node: None}, [(rtsp.request("TEARDOWN", "x", f"{1:016x}"), f"{1:016x}", self.now[0] - 1.0)]
         for mine in list(node.connections):
-            mine.end("cut")
+            mine.abort("cut")
         self.assertEqual([m.session for m in self.tears()], [f"{1:016x}"])
         self.assertTrue(node.connections)
 
