--- a/tests/director_process.py
+++ b/tests/director_process.py
@@ -1,7 +1,7 @@
-"""One director as a process by the deploy file's own line, with viewers and media nodes that a test
-plays message by message.
+"""One director as a process, started by the deploy file's own line, with viewers and media nodes
+that a test plays message by message.
 
-What is sent is ordered by what has been heard: a test that wants one message read before another
+What is sent is ordered by what has been received: a test that wants one message read before another
 waits for the answer to the first.
 """
 
@@ -19,17 +19,18 @@
 from tests.socket_harness import Node, Peer
 from tests.test_platform_start import Running
 
-PATIENCE_S = 20.0  # of the test, for any one message
+# Longest time that a test waits for one message.
+WAIT_LIMIT_S = 20.0
 TEST = binary.encode(binary.TEST, "0" * 16, (binary.CAUSE, b"\0"))
 
 
-def name_of(number):
-    """A session as messages name it."""
+def session_name(number):
+    """The name of a session in messages."""
     return f"{number:016x}"
 
 
 class DirectorProcess:
-    """A director and its peers; everything ends with the test."""
+    """A director process and its peers; all of them end with the test."""
 
     def __init__(self, test, nodes=("a",), **changes):
         self.test, self.nodes, self.peers = test, {name: Node(name) for name in nodes}, []
@@ -56,46 +57,48 @@
         self.running.end()
         if sys.exc_info()[0] is not None:
             print(self.running.log, file=sys.stderr)
-        for held in [
+        for resource in [
             self.change_log,
             *(peer.sock for peer in self.every_peer()),
             *(node.sock for node in self.nodes.values()),
         ]:
-            held.close()
+            resource.close()
 
     def viewer(self):
+        """A new connection of a viewer."""
         peer = Peer(socket.create_connection(("127.0.0.1", self.running.port)), binary.Reader())
         self.peers.append(peer)
         return peer
 
-    def pump(self):
-        """Takes up all that has come: messages stay in their peer's `heard` until a test takes them
-        out.
+    def receive_all(self):
+        """Receives all that has come: messages stay in their peer's `received` until a test takes
+        them out.
         """
         for node in self.nodes.values():
             node.accept()
         for peer in self.every_peer():
-            peer.heard = [*getattr(peer, "heard", ()), *peer.receive()]
+            peer.received = [*getattr(peer, "received", ()), *peer.receive()]
         with contextlib.suppress(BlockingIOError):
             self.running.log += os.read(self.running.process.stderr.fileno(), 1 << 16).decode()
 
     def every_peer(self):
-        return [*self.peers, *(side for node in self.nodes.values() for side in node.connections)]
+        """The test's ends of all connections, to viewers and nodes."""
+        return [*self.peers, *(peer for node in self.nodes.values() for peer in node.connections)]
 
-    def wait(self, found, what, seconds=PATIENCE_S):
-        """What `found` returns once it is true; the test fails where that takes longer."""
-        latest = time.monotonic() + seconds
+    def wait(self, condition, what, seconds=WAIT_LIMIT_S):
+        """What `condition` returns once it is true; the test fails where that takes longer."""
+        deadline = time.monotonic() + seconds
         while True:
-            self.pump()
-            if result := found():
+            self.receive_all()
+            if result := condition():
                 return result
-            left = latest - time.monotonic()
-            self.test.assertGreater(left, 0, f"in {seconds:g} s not seen: {what}")
-            open_ones = [peer.sock for peer in self.every_peer() if peer.ended is None]
+            left = deadline - time.monotonic()
+            self.test.assertGreater(left, 0, f"not seen within {seconds:g} s: {what}")
+            open_sockets = [peer.sock for peer in self.every_peer() if peer.ended is None]
             select.select(
                 [
                     self.running.process.stderr,
-                    *open_ones,
+                    *open_sockets,
                     *(node.sock for node in self.nodes.values()),
                 ],
                 [],
@@ -103,52 +106,50 @@
                 left,
             )
 
-    def take(self, peers, fits):
-        """(peer, message) of the first message that fits, which is taken out of what was heard, or
+    def take_message(self, peers, fits):
+        """(peer, message) of the first message that fits, which is taken out of those received, or
         None.
         """
         for peer in peers:
-            for message in getattr(peer, "heard", ()):
+            for message in getattr(peer, "received", ()):
                 if fits(message):
-                    peer.heard.remove(message)
+                    peer.received.remove(message)
                     return peer, message
         return None
 
-    def hears(self, peer, kind, session, seconds=PATIENCE_S):
-        """The message of that kind on that session, once the viewer has heard it."""
+    def wait_for_message(self, peer, kind, session, seconds=WAIT_LIMIT_S):
+        """The message of that kind on that session, once the viewer has received it."""
 
         def fits(m):
-            return (m.kind, m.session) == (kind, name_of(session))
+            return (m.kind, m.session) == (kind, session_name(session))
 
         return self.wait(
-            lambda: self.take([peer], fits), f"message {kind} on session {session}", seconds
+            lambda: self.take_message([peer], fits), f"message {kind} on session {session}", seconds
         )[1]
 
-    def asked(self, node, method, session, seconds=PATIENCE_S):
-        """(the node's end of the connection, message) of what the director sends a node on a
+    def wait_for_request(self, node, method, session, seconds=WAIT_LIMIT_S):
+        """(the node's end of the connection, message) of the director's request to a node on a
         session.
         """
 
         def fits(m):
-            return (m.method, m.session) == (method, name_of(session))
+            return (m.method, m.session) == (method, session_name(session))
 
         return self.wait(
-            lambda: self.take(self.nodes[node].connections, fits),
+            lambda: self.take_message(self.nodes[node].connections, fits),
             f"{method} of session {session} at node {node}",
             seconds,
         )
 
-    def acknowledged(self, side, session):
-        """The director's 200 to what a node has told it of a session: the node's message has been
-        read.
-        """
+    def wait_for_acknowledgement(self, connection, session):
+        """The director's 200 to a node's request on a session: the request has been read."""
 
         def fits(m):
-            return m.status == 200 and m.session == name_of(session)
+            return m.status == 200 and m.session == session_name(session)
 
-        return self.wait(lambda: self.take([side], fits), f"200 on session {session}")
+        return self.wait(lambda: self.take_message([connection], fits), f"200 on session {session}")
 
-    def set_up(self, viewer, session, node="a", **fields):
-        """Asks for a play; the node's end of the connection that its set-up comes on."""
+    def request_play(self, viewer, session, node="a", **fields):
+        """Requests a play; returns the node's end of the connection that its set-up comes on."""
         viewer.write(set_up(session, **fields))
-        return self.asked(node, "SETUP", session)[0]
+        return self.wait_for_request(node, "SETUP", session)[0]
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -1,122 +1,124 @@
-"""Requests that were lost under faults: a real director as a process, the fault's order forced by
-its peers.
+"""Requests that were lost under faults: a real director as a process, with the order of messages of
+each fault forced by its peers.
 """
 
 import unittest
 
 from laddergw.platform.causes import FAILED
 from laddergw.signalling import binary
-from tests.director_process import DirectorProcess, name_of
+from tests.director_process import DirectorProcess, session_name
 from tests.platform_town import answer, release, set_up
 
-# what stood and is over: its viewer's release comes so long after its node's, by the protocol page
-RELEASED_S = 1.0
-SLACK_S = 0.05  # each of the protocol's time limits grows by this
-# longer than a message may take from its first byte to its last, and than the pace of looking for
-# it
-HALF_S = 2.5
+# By the protocol page the viewer of a play that is over gets its release within this of its node's.
+RELEASE_LIMIT_S = 1.0
+# Each of the protocol's time limits grows by this.
+SLACK_S = 0.05
+# Longer than the 2 s that a message may take from its first byte to its last, and than the interval
+# of the check for it.
+PARTIAL_MESSAGE_S = 2.5
 
 
 class LostRequests(unittest.TestCase):
-    """One order of messages a test."""
+    """Each test forces one order of messages."""
 
     def setUp(self):
-        self.town = DirectorProcess(self)
+        self.director = DirectorProcess(self)
 
-    def plays(self, viewer, session):
-        """A play that stands at the node: the node's end of its connection."""
-        side = self.town.set_up(viewer, session)
-        side.write(answer(name_of(session)))
-        self.town.hears(viewer, binary.ANSWER, session)
-        return side
+    def start_play(self, viewer, session):
+        """Starts a play at the node; returns the node's end of its connection."""
+        connection = self.director.request_play(viewer, session)
+        connection.write(answer(session_name(session)))
+        self.director.wait_for_message(viewer, binary.ANSWER, session)
+        return connection
 
-    # Guards against a play that stands for ever because its node's release overtook its node's
-    # answer on another connection.
+    # Guards against a play that is kept for ever because its node's release overtook the answer to
+    # its set-up, which comes on another connection.
     def test_a_release_that_overtakes_its_answer_on_another_connection(self):
-        viewer = self.town.viewer()
-        first = self.town.set_up(viewer, 1)
-        second = self.town.set_up(viewer, 2)
+        viewer = self.director.viewer()
+        first = self.director.request_play(viewer, 1)
+        second = self.director.request_play(viewer, 2)
         self.assertIsNot(first, second)
         second.write(release(1, 16))
-        self.town.acknowledged(second, 1)
-        first.write(answer(name_of(1)))
-        self.town.hears(viewer, binary.RELEASE, 1, RELEASED_S + SLACK_S)
+        self.director.wait_for_acknowledgement(second, 1)
+        first.write(answer(session_name(1)))
+        self.director.wait_for_message(viewer, binary.RELEASE, 1, RELEASE_LIMIT_S + SLACK_S)
 
-    # Guards against a release that waits although a viewer that was declined has an open connection
-    # to carry it.
+    # Guards against a release that waits although a viewer whose request was declined has an open
+    # connection to carry it.
     def test_a_release_goes_to_a_viewer_that_is_declined(self):
-        first = self.town.viewer()
-        side = self.plays(first, 1)
+        first = self.director.viewer()
+        connection = self.start_play(first, 1)
         first.close()
-        side.write(release(1, 16))
-        self.town.acknowledged(side, 1)
-        second = self.town.viewer()
+        connection.write(release(1, 16))
+        self.director.wait_for_acknowledgement(connection, 1)
+        second = self.director.viewer()
         second.write(set_up(2))
-        self.town.hears(second, binary.RELEASE, 1, RELEASED_S + SLACK_S)
+        self.director.wait_for_message(second, binary.RELEASE, 1, RELEASE_LIMIT_S + SLACK_S)
 
-    # Guards against a play that stands for ever because a reset took its node's release along while
-    # another connection was up.
-    def test_a_release_that_a_reset_took_along_comes_on_a_new_connection(self):
-        viewer = self.town.viewer()
-        first, _ = self.both_play(viewer)
+    # Guards against a play that is kept for ever because its node's release was lost in a reset of
+    # its connection while another connection was up.
+    def test_a_release_lost_in_a_reset_comes_on_a_new_connection(self):
+        viewer = self.director.viewer()
+        first, _ = self.start_two_plays(viewer)
         first.reset()
-        node, known = self.town.nodes["a"], len(self.town.nodes["a"].connections)
-        self.town.wait(
+        node, known = self.director.nodes["a"], len(self.director.nodes["a"].connections)
+        self.director.wait(
             lambda: len(node.connections) > known,
             "a new connection to the node",
-            RELEASED_S + SLACK_S,
+            RELEASE_LIMIT_S + SLACK_S,
         )
         node.connections[-1].write(release(1, 16))
-        self.town.hears(viewer, binary.RELEASE, 1, RELEASED_S + SLACK_S)
-
-    def both_play(self, viewer):
-        """Two plays that stand, on two connections of the node."""
-        first, second = self.town.set_up(viewer, 1), self.town.set_up(viewer, 2)
-        for session, side in (1, first), (2, second):
-            side.write(answer(name_of(session)))
-            self.town.hears(viewer, binary.ANSWER, session)
+        self.director.wait_for_message(viewer, binary.RELEASE, 1, RELEASE_LIMIT_S + SLACK_S)
+
+    def start_two_plays(self, viewer):
+        """Starts two plays, on two connections to the node; returns the node's ends of them."""
+        first, second = self.director.request_play(viewer, 1), self.director.request_play(viewer, 2)
+        for session, connection in (1, first), (2, second):
+            connection.write(answer(session_name(session)))
+            self.director.wait_for_message(viewer, binary.ANSWER, session)
         return first, second
 
-    # Guards against a node's release that waits for good because the new connection for it did not
-    # come up at its first try.
-    def test_a_new_connection_that_does_not_come_up_is_tried_again(self):
-        viewer, node = self.town.viewer(), self.town.nodes["a"]
-        first, _ = self.both_play(viewer)
+    # Guards against a node's release that is never read because the new connection for it did not
+    # come up at the first attempt.
+    def test_a_new_connection_that_does_not_come_up_is_dialled_again(self):
+        viewer, node = self.director.viewer(), self.director.nodes["a"]
+        first, _ = self.start_two_plays(viewer)
         node.stop_accepting()
         first.reset()
-        self.town.wait(
-            lambda: "no connection in time" in self.town.running.log,
+        self.director.wait(
+            lambda: "no connection in time" in self.director.running.log,
             "a connection that does not come up",
         )
-        node.accept_again()
+        node.resume_accepting()
         known = len(node.connections)
-        self.town.wait(lambda: len(node.connections) > known, "another new connection to the node")
+        self.director.wait(
+            lambda: len(node.connections) > known, "another new connection to the node"
+        )
 
-    # Guards against plays that are told as lost because two connections in a row came up late,
-    # though their node answers on another.
+    # Guards against plays that are reported as lost because two connections in a row came up late,
+    # although their node answers on a third.
     def test_connections_that_come_up_late_end_no_plays_of_a_node_that_answers(self):
-        viewer, node = self.town.viewer(), self.town.nodes["a"]
-        self.plays(viewer, 1)
-        side = self.town.set_up(
-            viewer, 2, product="paid", patience="6000"
-        )  # one connection is up, and busy
+        viewer, node = self.director.viewer(), self.director.nodes["a"]
+        self.start_play(viewer, 1)
+        # One connection is up, and busy
+        connection = self.director.request_play(viewer, 2, product="paid", patience="6000")
         node.stop_accepting()
         viewer.write(set_up(3) + set_up(4))
         for session in 3, 4:
-            self.town.hears(viewer, binary.RELEASE, session)
-        side.write(answer(name_of(2)))
-        self.town.hears(viewer, binary.ANSWER, 2)
-        self.assertEqual([m for m in viewer.heard if m.session == name_of(1)], [])
-
-    # Guards against a node that is never told of a play's end because a reset took the word along
-    # while another connection was up.
-    def test_a_teardown_that_a_reset_took_along_goes_on_the_other_connection(self):
-        viewer = self.town.viewer()
-        self.both_play(viewer)
-        viewer.write(binary.encode(binary.RELEASE, name_of(1), (binary.CAUSE, b"\x10")))
-        side, _ = self.town.asked("a", "TEARDOWN", 1)
-        side.reset()
-        self.town.asked("a", "TEARDOWN", 1, RELEASED_S + SLACK_S)
+            self.director.wait_for_message(viewer, binary.RELEASE, session)
+        connection.write(answer(session_name(2)))
+        self.director.wait_for_message(viewer, binary.ANSWER, 2)
+        self.assertEqual([m for m in viewer.received if m.session == session_name(1)], [])
+
+    # Guards against a node that never learns of a play's end because the TEARDOWN was lost in a
+    # reset of its connection while another connection was up.
+    def test_a_teardown_lost_in_a_reset_goes_on_the_other_connection(self):
+        viewer = self.director.viewer()
+        self.start_two_plays(viewer)
+        viewer.write(binary.encode(binary.RELEASE, session_name(1), (binary.CAUSE, b"\x10")))
+        connection, _ = self.director.wait_for_request("a", "TEARDOWN", 1)
+        connection.reset()
+        self.director.wait_for_request("a", "TEARDOWN", 1, RELEASE_LIMIT_S + SLACK_S)
 
     # Guards against passing on a description cut short by a wrong length whose rest comes in
     # another segment.
@@ -125,70 +127,76 @@
         body = offer.replace(b"31000", b"47553")
         first_line, second_line = body.index(b"c="), body.index(b"m=")
         sizes = first_line, second_line, second_line + 9, len(body) - 1
-        like_a_message = (
-            body.index(b"RTP/"),
-            1,
-        )  # what follows may begin a message, by its first byte
+        # By its first byte, what follows may begin a message
+        like_a_message = (body.index(b"RTP/"), 1)
         for size, more in [*((size, 0) for size in sizes), like_a_message]:
             with self.subTest(size=size, more=more):
                 self.setUp()
-                viewer = self.town.viewer()
-                first, second = (self.town.set_up(viewer, number, text=offer) for number in (1, 2))
-                whole = answer(name_of(1), body=body).replace(
+                viewer = self.director.viewer()
+                first, second = (
+                    self.director.request_play(viewer, number, text=offer) for number in (1, 2)
+                )
+                whole = answer(session_name(1), body=body).replace(
                     b"Length: %d" % len(body), b"Length: %d" % size
                 )
                 end = len(whole) - len(body) + size + more
                 first.write(whole[:end])
-                for unknown in 38, 39:  # the second is read in a later turn than the first segment
+                # The second is read in a later turn than the first segment
+                for unknown in 38, 39:
                     second.write(release(unknown, 16))
-                    self.town.acknowledged(second, unknown)
+                    self.director.wait_for_acknowledgement(second, unknown)
                 first.write(whole[end:])
-                second.write(answer(name_of(2), body=body))
-                self.town.hears(viewer, binary.ANSWER, 2)
+                second.write(answer(session_name(2), body=body))
+                self.director.wait_for_message(viewer, binary.ANSWER, 2)
                 self.assertEqual(
-                    [m for m in viewer.heard if (m.kind, m.session) == (binary.ANSWER, name_of(1))],
+                    [
+                        m
+                        for m in viewer.received
+                        if (m.kind, m.session) == (binary.ANSWER, session_name(1))
+                    ],
                     [],
                 )
 
-    # Guards against the answer of a session that its node calls left in the same read: its client
-    # takes neither that answer nor a release behind it for a final one.
-    def test_an_answer_with_the_word_that_its_viewer_has_left_behind_it(self):
-        viewer = self.town.viewer()
-        side = self.town.set_up(viewer, 1, product="paid")
-        side.write(answer(name_of(1)) + release(1, 31))
-        message = self.town.hears(viewer, binary.RELEASE, 1)
+    # Guards against passing on the answer of a session whose node reports in the same read that the
+    # viewer has left: its client takes neither that answer nor a release after it as final.
+    def test_an_answer_followed_by_the_release_of_a_viewer_that_has_left(self):
+        viewer = self.director.viewer()
+        connection = self.director.request_play(viewer, 1, product="paid")
+        connection.write(answer(session_name(1)) + release(1, 31))
+        message = self.director.wait_for_message(viewer, binary.RELEASE, 1)
         self.assertEqual(message.parameters[binary.CAUSE], bytes([FAILED]))
-        self.assertEqual([m for m in viewer.heard if m.kind == binary.ANSWER], [])
+        self.assertEqual([m for m in viewer.received if m.kind == binary.ANSWER], [])
 
-    # Guards against holding back for good a description that ends within a line and is whole.
+    # Guards against holding back for ever a description that ends within a line but is whole.
     def test_a_description_without_a_line_end_is_passed_on(self):
-        viewer = self.town.viewer()
-        self.town.set_up(viewer, 1).write(answer(name_of(1), body=b"v=0"))
-        message = self.town.hears(viewer, binary.ANSWER, 1)
+        viewer = self.director.viewer()
+        self.director.request_play(viewer, 1).write(answer(session_name(1), body=b"v=0"))
+        message = self.director.wait_for_message(viewer, binary.ANSWER, 1)
         self.assertEqual(message.parameters[binary.DESCRIPTION], b"v=0")
 
-    # Guards against closing a connection with a set-up open on it because another message on it is
+    # Guards against closing a connection with an open set-up because another message on it is
     # written slowly.
     def test_a_slow_writer_keeps_its_open_set_up(self):
-        viewer = self.town.viewer()
-        side = self.town.set_up(viewer, 1, product="paid", patience="6000")
+        viewer = self.director.viewer()
+        connection = self.director.request_play(viewer, 1, product="paid", patience="6000")
         viewer.write(set_up(2)[:20])
-        with self.assertRaises(
-            AssertionError
-        ):  # nothing is heard, no end either, while a message may take 2 s
-            self.town.wait(lambda: viewer.heard or viewer.ended, "an answer or an end", HALF_S)
-        side.write(answer(name_of(1)))
-        self.town.hears(viewer, binary.ANSWER, 1)
-
-    # Guards against closing a connection for bytes that are no message without an answer to the
-    # set-ups open on it.
-    def test_open_set_ups_are_answered_before_a_connection_is_closed_for_what_cannot_be_read(self):
-        viewer = self.town.viewer()
-        self.town.set_up(viewer, 1, product="paid")
+        # Neither a message nor the connection's end comes while a message may take 2 s
+        with self.assertRaises(AssertionError):
+            self.director.wait(
+                lambda: viewer.received or viewer.ended, "an answer or an end", PARTIAL_MESSAGE_S
+            )
+        connection.write(answer(session_name(1)))
+        self.director.wait_for_message(viewer, binary.ANSWER, 1)
+
+    # Guards against closing a connection for malformed bytes without answering the set-ups that are
+    # open on it.
+    def test_open_set_ups_are_answered_before_a_connection_is_closed_for_malformed_bytes(self):
+        viewer = self.director.viewer()
+        self.director.request_play(viewer, 1, product="paid")
         viewer.write(b"\x00\x00\x00\x00")
-        message = self.town.hears(viewer, binary.RELEASE, 1)
+        message = self.director.wait_for_message(viewer, binary.RELEASE, 1)
         self.assertEqual(message.parameters[binary.CAUSE], bytes([FAILED]))
-        self.town.wait(lambda: viewer.ended == "end", "the connection's end in good order")
+        self.director.wait(lambda: viewer.ended == "end", "the connection's end in good order")
 
 
 if __name__ == "__main__":
