--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -102,7 +102,7 @@
         for text in [text for _, text, _, rule in BROKEN if rule == "budget"]:
             for allowed in text, "(limits)":
                 town = Replay(allowed)
-                town.plan = deque(["refused"] * 100)
+                town.moves = deque(["refused"] * 100)
                 for number in range(6):
                     Ask(town, 0, key=f"v{number}")
                     town.run(1_300)
@@ -114,7 +114,7 @@
         for text in "(limits (cold-pace 9))", "(limits)":
             town = Replay(text, nodes=1)
             town.start_node(50, cold=True)
-            town.script(50)
+            town.script_node(50)
             asked = []
             for number in range(120):
                 asked.append(Ask(town, number % 2, product="paid", key=f"v{number}", title=number, home=0, copies=1))
--- a/tests/test_platform_fleet.py
+++ b/tests/test_platform_fleet.py
@@ -1,4 +1,4 @@
-"""Many real processes of the platform's director while parts fail: what passed on their sockets keeps every term."""
+"""Many real processes of the platform's director during faults: what passed on their sockets is judged by every term."""
 import sys
 import unittest
 
@@ -12,46 +12,47 @@
 
 
 def replace(names, successors, drain_ms=1_500.0):
-    """Nodes drain, others begin cold in their places, and the old processes end."""
-    def act(town):
-        town.log.tell(*(town.nodes[name].line("DRAINING") for name in names))
-        town.log.tell(*(town.node(new, town.nodes[old].cell, True).line("SERVING") for old, new in zip(names, successors)))
-        town.loop.after(drain_ms, lambda: town.log.tell(*(town.nodes[name].line("DELETED") for name in names)))
-        town.loop.after(drain_ms + 300.0, lambda: [town.nodes[name].die() for name in names])
+    """Returns a step: nodes drain, cold successors take their places, and the old processes end."""
+    def act(trial):
+        trial.log.tell(*(trial.nodes[name].line("DRAINING") for name in names))
+        trial.log.tell(*(trial.node(new, trial.nodes[old].cell, True).line("SERVING") for old, new in zip(names, successors)))
+        trial.loop.after(drain_ms, lambda: trial.log.tell(*(trial.nodes[name].line("DELETED") for name in names)))
+        trial.loop.after(drain_ms + 300.0, lambda: [trial.nodes[name].die() for name in names])
     return act
 
 
 def each(numbers, act):
-    return lambda town: [act(town.directors[number]) for number in numbers if town.directors[number].takes]
+    """Returns a step: acts on those of the directors that take plays."""
+    return lambda trial: [act(trial.directors[number]) for number in numbers if trial.directors[number].takes]
 
 
 BAD_DAY = [
     (1_000.0, replace([f"s{n}" for n in range(6)], [f"s{n}" for n in range(12, 18)])),
     (1_500.0, each((0, 1), lambda director: director.stop())),
     (2_500.0, each((2, 3), lambda director: director.stop())),
-    (2_700.0, lambda town: [town.nodes[name].reset() for name in ("s6", "s7", "s12")]),
+    (2_700.0, lambda trial: [trial.nodes[name].reset() for name in ("s6", "s7", "s12")]),
     (3_500.0, each((4, 5, 6), lambda director: director.kill())),
-    (4_000.0, lambda town: town.log.go()),
-    (4_200.0, lambda town: town.nodes["s8"].hang()),
-    (5_700.0, lambda town: town.nodes["s8"].wake()),
+    (4_000.0, lambda trial: trial.log.go()),
+    (4_200.0, lambda trial: trial.nodes["s8"].hang()),
+    (5_700.0, lambda trial: trial.nodes["s8"].wake()),
     (4_500.0, replace(("s9",), ("s18",), 6_000.0)),
     (5_000.0, each((7,), lambda director: director.freeze(600.0))),
-    (5_500.0, lambda town: [town.nodes[name].reset() for name in ("s10", "s13", "s14")]),
-    (6_500.0, lambda town: town.log.come()),
+    (5_500.0, lambda trial: [trial.nodes[name].reset() for name in ("s10", "s13", "s14")]),
+    (6_500.0, lambda trial: trial.log.come()),
     (7_000.0, each((8, 9, 10), lambda director: director.stop())),
-    (7_500.0, lambda town: town.nodes["s11"].die()),
+    (7_500.0, lambda trial: trial.nodes["s11"].die()),
     (8_000.0, each((11,), lambda director: director.kill())),
 ]
 
 
 class Fleets(unittest.TestCase):
     def test_a_bad_day(self):
-        """A release, restarts and kills of directors, the change log away, connections cut, a node that stands still and one that dies."""
+        """A rollout, restarts and kills of directors, the change log away, connections reset, a node that hangs and one that dies."""
         records = Trial(DIRECTORS, NODES, RATE, SECONDS, BAD_DAY, SEED, terms=TERMS).run()
         self.assertEqual(judge(records, TERMS), [])
         whats = [what for _, what, _ in records]
         played = sum(facts["answer"] == "plays" for _, what, facts in records if what == "answered")
-        self.assertGreater(played, 0.4 * whats.count("asked"))       # a fleet that refuses everybody keeps every term
+        self.assertGreater(played, 0.4 * whats.count("asked"))       # a fleet that refuses everybody would keep every term
         self.assertGreater(whats.count("left"), 20)
         self.assertGreaterEqual(whats.count("director ready"), DIRECTORS + 9)
         print(f"bad day: asked {whats.count('asked')}, played {played}, left {whats.count('left')}, cut {whats.count('cut')}, set-ups {whats.count('arrived')}, "
