--- a/laddergw/signalling/__init__.py
+++ b/laddergw/signalling/__init__.py
@@ -1,4 +1,4 @@
-"""Codecs of the platform's protocol, sans-I/O: bytes in, messages out, and back.
+"""Codecs of the platform's protocols, sans-I/O: bytes in, messages out, and back.
 
-Bounded; nothing of ours is imported.
+All input is bounded; nothing else of this project is imported.
 """
--- a/laddergw/signalling/binary.py
+++ b/laddergw/signalling/binary.py
@@ -1,10 +1,13 @@
-"""The viewers' binary messages: length:2 type:1 session:8 parameters, each parameter code:1
-length:2 value; big-endian.
+"""Codec of the viewers' binary messages.
+
+A message is length:2 type:1 session:8 and parameters, each parameter code:1 length:2 value.
+Integers are big-endian; a length does not count itself.
 """
 
 import struct
 from typing import NamedTuple
 
+# Message types
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, NOTE, MOVE, PING, PONG, RUNG = (
     1,
     6,
@@ -17,6 +20,7 @@
     53,
     60,
 )
+# Parameter codes
 PRODUCT, WAIT_LIMIT, TITLE, ATTRIBUTES, RETRY_AFTER, HINT, CAUSE, DESCRIPTION = (
     180,
     183,
@@ -28,20 +32,25 @@
     225,
 )
 KINDS = {SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, NOTE, MOVE, PING, PONG, RUNG}
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, by the protocol
+# By the protocol
+MAX_MESSAGE_BYTES = 16 * 1024
 HEADER, PARAMETER = struct.Struct(">HBQ"), struct.Struct(">BH")
-MIN_LENGTH = HEADER.size - 2  # what the length counts of a message without parameters
+# The length field of a message without parameters
+MIN_LENGTH = HEADER.size - 2
 
 
 class MalformedError(Exception):
-    """Bytes that are no messages of this protocol; what follows them on the connection cannot be
-    read either.
+    """Bytes that are no message of this protocol.
+
+    What follows them on the connection cannot be read either.
     """
 
 
 class Message(NamedTuple):
-    """`parameters` is None where they do not fit into the message: it is whole, but cannot be
-    understood.
+    """One message; the session is 16 hexadecimal digits.
+
+    `parameters` is None where they do not fit into the message: the message is complete, but its
+    content cannot be decoded.
     """
 
     kind: int
@@ -50,44 +59,47 @@
 
 
 def encode(kind: int, session: str, *parameters: tuple[int, bytes]) -> bytes:
+    """Encodes a message with parameters given as (code, value)."""
     body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in parameters)
     return HEADER.pack(MIN_LENGTH + len(body), kind, int(session, 16)) + body
 
 
 def decode_parameters(body: bytes) -> dict[int, bytes] | None:
-    found, at = {}, 0
-    while at < len(body):
-        if at + PARAMETER.size > len(body):
+    """Decodes parameters by code; None where one does not fit or occurs twice."""
+    parameters, offset = {}, 0
+    while offset < len(body):
+        if offset + PARAMETER.size > len(body):
             return None
-        code, size = PARAMETER.unpack_from(body, at)
-        at += PARAMETER.size + size
-        if at > len(body) or code in found:
+        code, size = PARAMETER.unpack_from(body, offset)
+        offset += PARAMETER.size + size
+        if offset > len(body) or code in parameters:
             return None
-        found[code] = body[at - size : at]
-    return found
+        parameters[code] = body[offset - size : offset]
+    return parameters
 
 
 class Reader:
-    """Takes bytes as they come and hands out whole messages."""
+    """Takes bytes as they arrive and returns complete messages."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
+        """Adds bytes that have arrived."""
         self.buffer += data
 
     def next(self) -> Message | None:
-        """The next whole message, or None while it is not all here.
+        """Returns the next complete message, or None while it is incomplete.
 
-        What starts wrong is refused before its end.
+        A message with an invalid length or type raises MalformedError before its end has arrived.
         """
         buffer = self.buffer
         if len(buffer) >= 2:
             length = buffer[0] << 8 | buffer[1]
             if not MIN_LENGTH <= length <= MAX_MESSAGE_BYTES - 2:
-                raise MalformedError(f"a message of {length} bytes")
+                raise MalformedError(f"a message of {length} bytes, outside the allowed lengths")
         if len(buffer) >= 3 and buffer[2] not in KINDS:
-            raise MalformedError(f"a message of type {buffer[2]}")
+            raise MalformedError(f"a message of unknown type {buffer[2]}")
         if len(buffer) < HEADER.size or len(buffer) < length + 2:
             return None
         _, kind, session = HEADER.unpack_from(buffer)
--- a/laddergw/signalling/description.py
+++ b/laddergw/signalling/description.py
@@ -1,8 +1,7 @@
 """Session descriptions (RFC 4566, as far as the platform writes them): lines, of which each `m=`
 line describes one stream.
 
-Descriptions pass on unchanged; what is looked at here is only whether one may have been cut short.
-No I/O.
+Descriptions are passed on unchanged; they are examined only for signs of truncation. No I/O.
 """
 
 LINE_END = b"\n"
@@ -10,12 +9,14 @@
 
 
 def count_media_lines(description: bytes) -> int:
-    """How many streams a description describes."""
+    """Returns how many streams a description describes."""
     return sum(line.startswith(MEDIA) for line in description.split(LINE_END))
 
 
 def may_be_truncated(answer: bytes, offer: bytes) -> bool:
-    """Whether an answer may lack its end: it stops within a line, or describes fewer streams than
-    the offer (RFC 3264, section 6:
-    an answer has as many `m=` lines as its offer)."""
+    """Returns whether an answer may lack its end.
+
+    That is so where it stops within a line, or describes fewer streams than the offer: an answer
+    has as many `m=` lines as its offer (RFC 3264, section 6).
+    """
     return not answer.endswith(LINE_END) or count_media_lines(answer) < count_media_lines(offer)
--- a/laddergw/signalling/rtsp.py
+++ b/laddergw/signalling/rtsp.py
@@ -1,30 +1,44 @@
-"""RTSP as the platform's media nodes speak it: requests and answers with Content-Length, matched by
-Session.
+"""Codec of RTSP as the platform's media nodes use it.
+
+Requests and responses carry Content-Length and are matched by their Session header.
 """
 
 import re
 from typing import NamedTuple
 
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, by the protocol
-MOST_HEADERS = 64  # lines of one message: ours have six
-FIRST_LINE = re.compile(
+# By the protocol
+MAX_MESSAGE_BYTES = 16 * 1024
+# Lines of one message; the director's own messages have six
+MAX_HEADERS = 64
+START_LINE = re.compile(
     rb"RTSP/1\.0 ([1-5]\d\d)(?: [\x20-\x7e]*)?|"
     rb"([A-Z_]{3,20}) (rtsp://media/[\x21-\x7e]*|\*) RTSP/1\.0"
 )
 HEADER = re.compile(rb"([A-Za-z0-9-]{1,40}): ?([\x20-\x7e]*)")
 SESSION = re.compile(r"[0-9a-f]{16}")
-PREFIX = b"RTSP/1.0 "
-METHODS = (b"SETUP ", b"TEARDOWN ", b"OPTIONS ", b"ANNOUNCE ", b"REDIRECT ", b"SET_PARAMETER ")
-SEQUENCE = {"SETUP": 1, "TEARDOWN": 2, "OPTIONS": 3}  # else it is free
-OTHER_SEQUENCE = 4
+STATUS_LINE_START = b"RTSP/1.0 "
+REQUEST_LINE_STARTS = (
+    b"SETUP ",
+    b"TEARDOWN ",
+    b"OPTIONS ",
+    b"ANNOUNCE ",
+    b"REDIRECT ",
+    b"SET_PARAMETER ",
+)
+# CSeq by method; any number may be chosen for other methods
+CSEQ_BY_METHOD = {"SETUP": 1, "TEARDOWN": 2, "OPTIONS": 3}
+OTHER_CSEQ = 4
 
 
 class MalformedError(Exception):
-    """Bytes that are no message of this protocol; the connection serves no further use."""
+    """Bytes that are no message of this protocol; the connection cannot be used any further."""
 
 
 class Message(NamedTuple):
-    """`status` is 0 in a request, `method` empty in an answer. Headers in lower case."""
+    """A request or a response; header names are in lower case.
+
+    `status` is 0 in a request, `method` and `target` are empty in a response.
+    """
 
     status: int
     method: str
@@ -34,10 +48,12 @@
 
     @property
     def session(self) -> str:
+        """The Session header, which every message has."""
         return self.headers["session"]
 
     @property
     def cseq(self) -> str:
+        """The CSeq header, or an empty string."""
         return self.headers.get("cseq", "")
 
 
@@ -48,20 +64,21 @@
     headers: tuple[tuple[str, str], ...] = (),
     body: bytes = b"",
 ) -> bytes:
+    """Encodes a request; `target` is the part of the URL behind rtsp://media/."""
     lines = [
         f"{method} rtsp://media/{target} RTSP/1.0",
-        f"CSeq: {SEQUENCE.get(method, OTHER_SEQUENCE)}",
+        f"CSeq: {CSEQ_BY_METHOD.get(method, OTHER_CSEQ)}",
         f"Session: {session}",
     ]
     lines += [f"{name}: {value}" for name, value in headers]
     return "\r\n".join([*lines, f"Content-Length: {len(body)}", "", ""]).encode() + body
 
 
-def encode_response(status: int, reason: str, sequence: str, session: str) -> bytes:
-    """An answer without a body."""
+def encode_response(status: int, reason: str, cseq: str, session: str) -> bytes:
+    """Encodes a response without a body."""
     lines = (
         f"RTSP/1.0 {status} {reason}",
-        f"CSeq: {sequence}",
+        f"CSeq: {cseq}",
         f"Session: {session}",
         "Content-Length: 0",
     )
@@ -69,25 +86,28 @@
 
 
 def parse_head(head: bytes, header: re.Pattern[bytes] = HEADER) -> tuple:
-    """The parts of a message's first lines; `header` matches a line's name and text."""
+    """Parses the start line and headers: status, method, target, headers, length of the body.
+
+    `header` matches a header line's name and value. Raises MalformedError.
+    """
     first, *lines = head.split(b"\r\n")
-    match = FIRST_LINE.fullmatch(first)
-    if match is None or len(lines) > MOST_HEADERS:
-        raise MalformedError(f"first line {first[:60]!r}")
+    match = START_LINE.fullmatch(first)
+    if match is None or len(lines) > MAX_HEADERS:
+        raise MalformedError(f"invalid start line or too many headers: {first[:60]!r}")
     headers = {}
     for line in lines:
         parts = header.fullmatch(line)
         if parts is None:
-            raise MalformedError(f"header {line[:60]!r}")
+            raise MalformedError(f"invalid header line {line[:60]!r}")
         name = parts[1].decode().lower()
         if name in headers:
-            raise MalformedError(f"two headers {name}")
+            raise MalformedError(f"duplicate header {name}")
         headers[name] = parts[2].decode().strip()
     length = headers.get("content-length", "")
     if not length.isdigit() or len(length) > 6 or int(length) > MAX_MESSAGE_BYTES:
-        raise MalformedError(f"a length of {length[:20]!r}")
+        raise MalformedError(f"invalid Content-Length {length[:20]!r}")
     if not SESSION.fullmatch(headers.get("session", "")):
-        raise MalformedError(f"session {headers.get('session', '')[:20]!r}")
+        raise MalformedError(f"invalid Session {headers.get('session', '')[:20]!r}")
     status, method, target = match.groups()
     return (
         int(status or 0),
@@ -99,17 +119,24 @@
 
 
 class Reader:
-    """Takes bytes as they come and hands out whole messages."""
+    """Takes bytes as they arrive and returns complete messages.
+
+    `header` matches a header line's name and value.
+    """
 
     def __init__(self, header: re.Pattern[bytes] = HEADER) -> None:
         self.buffer, self.header = bytearray(), header
         self.head: tuple | None = None
 
     def feed(self, data: bytes) -> None:
+        """Adds bytes that have arrived."""
         self.buffer += data
 
     def next(self) -> Message | None:
-        """The next whole message, or None while it is not all here."""
+        """Returns the next complete message, or None while it is incomplete.
+
+        Raises MalformedError.
+        """
         if self.head is None:
             end = self.buffer.find(b"\r\n\r\n", 0, MAX_MESSAGE_BYTES)
             if end < 0:
@@ -121,17 +148,26 @@
             return None
         body, self.head = bytes(self.buffer[:length]), None
         del self.buffer[:length]
-        self.check_start()  # what follows a message shows whether its length was right
+        # What follows a message shows whether its length was right
+        self.check_start()
         return Message(*parts, body)
 
     def next_message_started(self) -> bool:
-        """Whether what has come behind the last message surely begins another one."""
-        return any(self.buffer.startswith(word) for word in (PREFIX, *METHODS))
+        """Returns whether the bytes behind the last message certainly begin another one."""
+        return any(
+            self.buffer.startswith(word) for word in (STATUS_LINE_START, *REQUEST_LINE_STARTS)
+        )
 
     def check_start(self) -> None:
-        """Refuses what can become no message, before it has come to an end or grown without one."""
+        """Raises MalformedError for bytes that can become no message.
+
+        They are rejected before their end has arrived, and where they grow without an end.
+        """
         start = bytes(self.buffer[:16])
-        if start and not any(start.startswith(word[: len(start)]) for word in (PREFIX, *METHODS)):
-            raise MalformedError(f"a message that starts with {start!r}")
+        if start and not any(
+            start.startswith(word[: len(start)])
+            for word in (STATUS_LINE_START, *REQUEST_LINE_STARTS)
+        ):
+            raise MalformedError(f"message starts with {start!r}")
         if len(self.buffer) >= MAX_MESSAGE_BYTES:
-            raise MalformedError("lines without an end")
+            raise MalformedError("header lines exceed the maximum length")
