--- a/laddergw/machines/__init__.py
+++ b/laddergw/machines/__init__.py
@@ -1,3 +1,4 @@
-"""The pure machines that the directors run and the search that proves a file calls: an allocation,
-a try, the door, paces, budgets.
+"""Pure state machines that the directors run; the search that proves a limits file runs them too.
+
+They cover an allocation, a viewer's attempt, admission, concurrency limits and retry budgets.
 """
--- a/laddergw/machines/admission.py
+++ b/laddergw/machines/admission.py
@@ -1,14 +1,13 @@
-"""Decides who is let in: the director's own limits, its readiness and its stopping. No I/O; time
-and chance handed in.
+"""Decides which plays a director admits, by its own limits, its readiness and whether it stops.
 
-The door is not a second placement policy: it turns away only what the process itself cannot hold,
-and what it
-turns away gets its answer at once.
+Admission is not a second placement policy: it rejects only what the process itself cannot hold, and
+answers what it rejects at once. No I/O; time and random numbers are handed in.
 """
 
 from typing import NamedTuple
 
-FULL, STOPPING, PAID_RAN, WAITS, SLOW = (
+# Reasons of rejections, as viewers are told them
+DIRECTOR_FULL, DIRECTOR_STOPPING, MAY_HAVE_RUN, ATTEMPT_UNSETTLED, NODES_SLOW = (
     "director is full",
     "director stops",
     "an earlier set-up may have run",
@@ -18,23 +17,26 @@
 
 
 class DirectorLimits(NamedTuple):
-    """What a director takes on itself. Times in ms."""
-
-    max_waiting_viewers: int = 2_000  # viewers that wait for an answer: 5 s of 400 a second
-    max_plays: int = 20_000  # plays under way; each holds a viewer's connection
-    max_connections: int = 25_000  # at the door, held plays included
-    max_lease_ms: float = (
-        2_000.0  # longest time for which a set-up may be out: over the usual first-frame targets
-    )
-    answer_margin_ms: float = 40.0  # kept of a viewer's wait for the way back
-    retry_after_ms: float = (
-        1_000.0  # come-back time of those turned away at the door, drawn from its upper half
-    )
-    finish_ms: float = 10_000.0  # plays under way may go on so long after a SIGTERM
+    """Limits of one director's process. Times in ms."""
+
+    # Viewers that wait for an answer: 5 s of 400 a second
+    max_waiting_viewers: int = 2_000
+    # Plays being served; each holds a viewer's connection
+    max_plays: int = 20_000
+    # Viewers' connections, those of plays being served included
+    max_connections: int = 25_000
+    # Longest time for which a set-up may be out: over the usual first-frame targets
+    max_lease_ms: float = 2_000.0
+    # Part of a viewer's wait that is kept for the way of the answer
+    answer_margin_ms: float = 40.0
+    # When rejected viewers may ask again: drawn from the upper half of this
+    retry_after_ms: float = 1_000.0
+    # Plays being served may go on for so long after a SIGTERM
+    finish_ms: float = 10_000.0
 
 
 class Rejection(NamedTuple):
-    """A play that is not let in: the answer's kind and when to come back."""
+    """A play that is not admitted: failed or declined, when to ask again (ms), and the reason."""
 
     failed: bool
     retry_after_ms: float | None
@@ -42,41 +44,49 @@
 
 
 def check_capacity(
-    bounds: DirectorLimits, tries: int, held: int, stopping: bool, chance: float
+    limits: DirectorLimits, waiting: int, plays: int, stopping: bool, jitter: float
 ) -> Rejection | None:
-    """Whether a play is turned away at the door; `chance` in [0, 1) spreads the returns."""
-    wait = bounds.retry_after_ms * (1 + chance) / 2
+    """Rejects a play while the director is full or stops.
+
+    `waiting`: viewers without an answer; `plays`: plays being served; `jitter` in [0, 1) spreads
+    the retries.
+    """
+    retry_after_ms = limits.retry_after_ms * (1 + jitter) / 2
     if stopping:
-        return Rejection(False, wait, STOPPING)
-    if tries >= bounds.max_waiting_viewers or held >= bounds.max_plays:
-        return Rejection(False, wait, FULL)
+        return Rejection(False, retry_after_ms, DIRECTOR_STOPPING)
+    if waiting >= limits.max_waiting_viewers or plays >= limits.max_plays:
+        return Rejection(False, retry_after_ms, DIRECTOR_FULL)
     return None
 
 
-def check_node_latency(slow: bool, bounds: DirectorLimits, chance: float) -> Rejection | None:
-    """Turned away while nodes answer slowly: concurrency.py says who goes first."""
-    return Rejection(False, bounds.retry_after_ms * (1 + chance) / 2, SLOW) if slow else None
+def check_node_latency(slow: bool, limits: DirectorLimits, jitter: float) -> Rejection | None:
+    """Rejects a play while nodes answer slowly; concurrency.py decides which plays those are."""
+    return Rejection(False, limits.retry_after_ms * (1 + jitter) / 2, NODES_SLOW) if slow else None
 
 
-def check_earlier_attempt(paid: bool, ran: bool) -> Rejection | None:
-    """A paid play whose earlier set-up may have run is not set up again, and not declined: that
-    would say it is harmless.
+def check_earlier_attempt(paid: bool, may_have_run: bool) -> Rejection | None:
+    """Rejects a paid play of which an earlier set-up may have run: it must not be set up again.
+
+    It is failed, not declined: declining would tell that a retry is harmless.
     """
-    return Rejection(True, None, PAID_RAN) if paid and ran else None
+    return Rejection(True, None, MAY_HAVE_RUN) if paid and may_have_run else None
 
 
 def defer_retry(unsettled_ms: float, max_lease_ms: float) -> Rejection | None:
-    """A retry whose earlier try, unanswered, may still hold an allocation elsewhere: told when to
-    come back, ms. No allocation
-    outlives the longest lease. It is not held here: a play is taken when it is let in, and the
-    budget counts from then.
+    """Declines a retry whose earlier, unanswered attempt may still hold an allocation elsewhere.
+
+    The viewer is told when to ask again, ms; no allocation outlives the longest lease. The retry is
+    not kept waiting here: a play counts as taken when it is admitted, and the retry budget counts
+    from then.
     """
-    hold = min(unsettled_ms, max_lease_ms)
-    return Rejection(False, hold, WAITS) if hold > 0 else None
+    retry_after_ms = min(unsettled_ms, max_lease_ms)
+    return Rejection(False, retry_after_ms, ATTEMPT_UNSETTLED) if retry_after_ms > 0 else None
+
 
+def remaining_wait_ms(wait_ms: float, unread_ms: float, margin_ms: float) -> float:
+    """Returns how long a viewer still waits, ms.
 
-def remaining_wait_ms(wait_ms: float, late_ms: float, margin_ms: float) -> float:
-    """What a viewer still waits, ms: its own figure less what its request lay unread while we stood
-    still.
+    That is the viewer's own figure less the time for which its request lay unread while the
+    director stood still, and less the margin for the answer's way.
     """
-    return max(0.0, wait_ms - late_ms - margin_ms)
+    return max(0.0, wait_ms - unread_ms - margin_ms)
--- a/laddergw/machines/allocation.py
+++ b/laddergw/machines/allocation.py
@@ -1,16 +1,14 @@
-"""Decides what becomes of one allocation: a state machine without I/O, fed with facts from the
-sockets.
+"""State machine of one allocation, without I/O; events from the sockets are fed in.
 
     WAITING --sent--> OUT --set up in time--> HELD --ended, released, lost--> GONE
        |               |--refused, error, never ran------------------------> GONE
-       |               `--time-out, cut, viewer left--> ENDING --acknowledged, or its lease over-->
-       GONE
-       `--taken back, no connection--------------------------------------> GONE
-
-An allocation may be out until the node has acknowledged its release or can no longer hold it: its
-lease, told in the
-node's own clock, is over. Only then is its end told (`AllocationActions.ended`), so that what
-the module does next never stands beside it. Times are ms of the director's clock, handed in.
+       |               `--time-out, cut, viewer left--> ENDING --acknowledged, lease over--> GONE
+       `--withdrawn, no connection-----------------------------------------> GONE
+
+A node may hold an allocation until it has acknowledged its release, or until its lease, told in the
+node's own clock, is over. Only then is the allocation's end reported (`AllocationActions.ended`),
+so that the next allocation of the play never exists beside it. Times are ms of the director's
+clock, handed in.
 """
 
 import math
@@ -19,35 +17,41 @@
 from laddergw import interface
 
 WAITING, OUT, HELD, ENDING, GONE = "waiting", "out", "held", "ending", "gone"
-CONFIRM_GRACE_MS = (
-    60.0  # a lease outlives its time-out by this: an answer just in time can still be confirmed
-)
+# A lease outlives its set-up's time-out by this: an answer just in time can still be confirmed
+CONFIRM_GRACE_MS = 60.0
+# Outcomes by the status of a refusal; by the protocol, a refused set-up never ran
 REFUSAL_OUTCOMES = {
     503: interface.FULL,
     410: interface.FULL,
     409: interface.UNREACHABLE,
     429: interface.FULL,
-}  # by the protocol: it never ran
+}
 
 
 class AllocationActions(NamedTuple):
-    """What follows from a fact.
+    """What the host has to do after an event.
 
-    `ended`: the outcome to tell the module; the others are things to do.
+    `ended`: the outcome to report to the controller; `drop_call`: the set-up's request is no longer
+    needed.
     """
 
     ended: str | None = None
     playing: bool = False
     confirm: bool = False
     release: bool = False
-    drop_call: bool = False  # the set-up's request is of no more use
+    drop_call: bool = False
 
 
 NO_ACTIONS = AllocationActions()
 
 
 class Allocation:
-    """One allocation of a play."""
+    """One allocation of a play.
+
+    `now` is when its set-up is due to be sent, `timeout_ms` how long its answer may take after
+    that, `grace_ms` how long its lease outlives the time-out, and `release_ms` how long a release
+    may stay unacknowledged.
+    """
 
     def __init__(
         self,
@@ -57,55 +61,58 @@
         node: int,
         rung: int,
         now: float,
-        timeout: float,
-        grace: float = CONFIRM_GRACE_MS,
+        timeout_ms: float,
+        grace_ms: float = CONFIRM_GRACE_MS,
         release_ms: float = math.inf,
     ):
         self.name, self.number, self.play, self.node, self.rung = name, number, play, node, rung
         self.state, self.reason = WAITING, None
-        self.requested_at, self.set_up_deadline = now, now + timeout
-        self.grace_ms, self.release_ms = grace, release_ms
-        self.lease_ends_at = self.release_deadline = now + timeout + grace
-        self.ran = self.confirmed = (
-            False  # the node said that it set the play up; we took it over in time
-        )
+        self.requested_at, self.set_up_deadline = now, now + timeout_ms
+        self.grace_ms, self.release_ms = grace_ms, release_ms
+        self.lease_ends_at = self.release_deadline = now + timeout_ms + grace_ms
+        # ran: the node said that it set the play up; confirmed: the director accepted that in time
+        self.ran = self.confirmed = False
 
     def sent(self) -> AllocationActions:
+        """Bytes of the set-up have left this process."""
         if self.state == WAITING:
             self.state = OUT
         return NO_ACTIONS
 
-    def finish(self, outcome: str, **more) -> AllocationActions:
+    def finish(self, outcome: str, **actions) -> AllocationActions:
+        """Ends the allocation and reports its outcome."""
         self.state = GONE
-        return AllocationActions(ended=outcome, **more)
+        return AllocationActions(ended=outcome, **actions)
 
-    def start_release(self, reason: str, **more) -> AllocationActions:
+    def start_release(self, reason: str, **actions) -> AllocationActions:
+        """Releases the allocation; `reason` is the outcome once the node no longer holds it."""
         self.state, self.reason = ENDING, reason
-        return AllocationActions(release=True, **more)
+        return AllocationActions(release=True, **actions)
 
-    def answered(self, now: float, status: int, sound: bool) -> AllocationActions:
-        """The node's answer to the set-up; `sound` where its body could be read."""
+    def answered(self, now: float, status: int, readable: bool) -> AllocationActions:
+        """The node answered the set-up; `readable`: the answer's body could be decoded."""
         if self.state == ENDING:
-            never, self.ran = status in REFUSAL_OUTCOMES, self.ran or status == 201
+            refused, self.ran = status in REFUSAL_OUTCOMES, self.ran or status == 201
             return (
-                self.finish(REFUSAL_OUTCOMES[status] if never else self.reason)
-                if never or status >= 500
+                self.finish(REFUSAL_OUTCOMES[status] if refused else self.reason)
+                if refused or status >= 500
                 else NO_ACTIONS
             )
         if self.state not in (WAITING, OUT):
             return NO_ACTIONS
-        if status == 201 and sound and now <= self.lease_ends_at - self.grace_ms / 2:
+        if status == 201 and readable and now <= self.lease_ends_at - self.grace_ms / 2:
             self.state, self.ran, self.confirmed = HELD, True, True
             return AllocationActions(playing=True, confirm=True)
-        if status == 201:  # too late to be confirmed before its lease ends, or not to be understood
+        # Too late to be confirmed before its lease ends, or unreadable
+        if status == 201:
             self.ran = True
-            return self.start_release(interface.TIMED_OUT if sound else interface.ERROR)
+            return self.start_release(interface.TIMED_OUT if readable else interface.ERROR)
         return self.finish(REFUSAL_OUTCOMES.get(status, interface.ERROR))
 
     def connection_lost(self, written: int, size: int) -> AllocationActions:
-        """The set-up's connection ended before its answer.
+        """The set-up's connection ended before its answer, with `written` of `size` bytes sent.
 
-        A request cut before its last byte runs nothing.
+        A request that was cut before its last byte does not run.
         """
         if self.state == ENDING:
             return self.finish(self.not_run_outcome()) if written < size else NO_ACTIONS
@@ -118,19 +125,20 @@
         )
 
     def timed_out(self, now: float, written: int, size: int) -> AllocationActions:
+        """No answer came in time; `written` of the set-up's `size` bytes have left."""
         if self.state not in (WAITING, OUT):
             return NO_ACTIONS
-        if written < size:  # also when none was written: no connection came in time
+        # Also where no byte was written: no connection was established in time
+        if written < size:
             return self.finish(interface.UNREACHABLE, drop_call=True)
         return self.start_release(interface.TIMED_OUT)
 
     def withdrawn(self) -> AllocationActions:
-        """The request left no byte of this process and was given up: its node drains, or the
-        director stops.
-        """
+        """The request was withdrawn before a byte left: its node drains, or the director stops."""
         return self.finish(interface.NEVER_SENT) if self.state == WAITING else NO_ACTIONS
 
     def viewer_left(self, written: int, size: int) -> AllocationActions:
+        """The viewer left, with `written` of the set-up's `size` bytes sent."""
         if self.state == HELD:
             return self.start_release(interface.SERVED)
         if self.state in (WAITING, OUT):
@@ -140,16 +148,18 @@
         return NO_ACTIONS
 
     def moved(self) -> AllocationActions:
+        """The director takes the play off its node, to move it or because the director stops."""
         return self.start_release(interface.CANCELLED) if self.state == HELD else NO_ACTIONS
 
     def stalled(self) -> AllocationActions:
-        """It is held, but the viewer gets nothing: the node lets go, and the module hears that it
-        broke.
+        """The node holds the play, but the viewer gets no data.
+
+        The node releases it, and the controller is told that it broke.
         """
         return self.start_release(interface.BROKEN) if self.state == HELD else NO_ACTIONS
 
     def node_ended(self, finished: bool) -> AllocationActions:
-        """The node says that the allocation is over there."""
+        """The node reports that the allocation has ended there."""
         if self.state == HELD:
             return self.finish(interface.SERVED if finished else interface.BROKEN)
         if self.state == ENDING:
@@ -157,7 +167,7 @@
         return NO_ACTIONS
 
     def released(self, ran: bool) -> AllocationActions:
-        """The node acknowledged the release; `ran` false: it never set the play up."""
+        """The node acknowledged the release; `ran` is false where it never set the play up."""
         if self.state != ENDING:
             return NO_ACTIONS
         return self.finish(
@@ -165,24 +175,31 @@
         )
 
     def not_run_outcome(self) -> str:
+        """Returns the outcome of an allocation that was given up and never ran."""
         return interface.CANCELLED if self.reason == interface.CANCELLED else interface.UNREACHABLE
 
     def set_release_deadline(self, now: float) -> float:
-        """It was given up now: from when on it counts as over though the node says nothing."""
+        """Starts the wait for a release that is sent now.
+
+        Returns when the allocation counts as ended although the node says nothing.
+        """
         self.release_deadline = min(self.lease_ends_at, now + self.release_ms)
         return self.release_deadline
 
     def lease_expired(self, now: float) -> AllocationActions:
-        """Its lease has ended by the clock, or the wait that the file allows for its release: it
-        counts as over, whatever the
-        node says later. A file is refused where the second can come before the first."""
+        """The lease has ended by the clock, or the time that the limits file allows for a release.
+
+        The allocation then counts as ended, whatever the node says later. A limits file is refused
+        where the second can come before the first.
+        """
         if self.state == ENDING and not self.confirmed and now >= self.release_deadline:
             return self.finish(self.reason, drop_call=True)
         return NO_ACTIONS
 
     def session_lost(self) -> AllocationActions:
-        """The node's session is over, by its end of the connection or by the session's lease: it
-        holds nothing that was confirmed.
+        """The node's session is over, by the end of its connection or of the session's lease.
+
+        The node holds nothing any more that was confirmed.
         """
         if self.state == HELD:
             return self.finish(interface.BROKEN)
