--- a/laddergw/machines/concurrency.py
+++ b/laddergw/machines/concurrency.py
@@ -1,12 +1,12 @@
-"""Decides how many viewers a director lets wait for its nodes at once, from how its nodes answer,
-and who is turned away first when that is passed. Pure.
-
-A node that answers slower than it did has more before it than it does at once: what is sent then
-only waits there, its viewers' limits run out, and they come again. Each
-node's share of the waiting room follows its answers, by a gradient (answer times against the best
-ones seen lately) or by additive increase and multiplicative decrease; the door
-compares who waits with the sum. Placement is the module's alone: which node is asked is not decided
-here. Both are measured in docs/limits.md; times are ms.
+"""Adaptive concurrency limits: how many viewers may wait for a director's nodes at once. Pure.
+
+The limits follow the nodes' answers, and decide which plays are rejected first once they are
+reached. A node that answers more slowly than before has more work than it can do at once: further
+set-ups only queue there, their viewers' time limits pass, and the viewers ask again. Each node's
+limit follows its answers, by a gradient (answer times against the best of late) or by additive
+increase and multiplicative decrease (AIMD); admission compares the waiting viewers with the sum.
+The choice of nodes is the controller's alone and is not made here. docs/limits.md has figures of
+both algorithms; times are ms.
 """
 
 import math
@@ -14,73 +14,90 @@
 
 OFF, GRADIENT, AIMD = "off", "gradient", "aimd"
 KINDS = (OFF, GRADIENT, AIMD)
+# Set-ups of one node: a node of twenty places works on a few at once
 INITIAL_LIMIT, MIN_LIMIT, MAX_LIMIT = (
     8.0,
     1.0,
     64.0,
-)  # of a node: a node of twenty places works on a few set-ups at once
-SMOOTHING = 0.2  # part of a new answer time in the running one
-BEST_DRIFT = 1.002  # the best time rises by this with each answer, so that it is of lately
-SLOWDOWN_TOLERANCE = 1.5  # answers so much over the best are work, not a queue
-DECREASE_FACTOR = 0.5  # by a failure, and at most by a slow answer
-INCREASE_PER_ROUND = 1.0  # a round of as many answers as the limit
-RETRY_WEIGHT = 0.5  # a further try against a first: its viewer was answered before
-UNRESERVED_SHARE = 0.3  # of the room is open to whoever comes
+)
+# Weight of a new answer time in the running average
+SMOOTHING = 0.2
+# The best time rises by this factor with each answer, so that it stays a recent one
+BEST_DRIFT = 1.002
+# Answers slower than the best by this factor are due to work, not to a queue
+SLOWDOWN_TOLERANCE = 1.5
+# Factor after a failure, and the lowest one after a slow answer
+DECREASE_FACTOR = 0.5
+# By a round of as many answers as the limit
+INCREASE_PER_ROUND = 1.0
+# Weight of a retry against a first attempt: its viewer was answered before
+RETRY_WEIGHT = 0.5
+# Share of the limit that is open to every play
+UNRESERVED_SHARE = 0.3
 
 
 class ConcurrencyLimit:
-    """One node's share of the waiting room."""
+    """The limit of one node."""
 
-    __slots__ = ("best", "kind", "limit", "usual")
+    __slots__ = ("best_ms", "kind", "limit", "usual_ms")
 
     def __init__(self, kind: str):
-        self.kind, self.limit, self.best, self.usual = kind, INITIAL_LIMIT, math.inf, None
+        self.kind, self.limit, self.best_ms, self.usual_ms = kind, INITIAL_LIMIT, math.inf, None
 
     def record_answer(self, ms: float) -> None:
-        """A set-up was answered after so long, whatever the answer."""
-        self.usual = ms if self.usual is None else self.usual + SMOOTHING * (ms - self.usual)
-        self.best = min(self.best * BEST_DRIFT, ms)
+        """A set-up was answered after so many ms, whatever the answer."""
+        self.usual_ms = (
+            ms if self.usual_ms is None else self.usual_ms + SMOOTHING * (ms - self.usual_ms)
+        )
+        self.best_ms = min(self.best_ms * BEST_DRIFT, ms)
         if self.kind == GRADIENT:
             gradient = max(
-                DECREASE_FACTOR, min(1.0, SLOWDOWN_TOLERANCE * self.best / max(self.usual, 1e-9))
+                DECREASE_FACTOR,
+                min(1.0, SLOWDOWN_TOLERANCE * self.best_ms / max(self.usual_ms, 1e-9)),
             )
             wanted = self.limit * gradient + math.sqrt(self.limit)
             self.set_limit(self.limit + SMOOTHING * (wanted - self.limit))
-        elif ms <= 2 * SLOWDOWN_TOLERANCE * self.best:
+        elif ms <= 2 * SLOWDOWN_TOLERANCE * self.best_ms:
             self.set_limit(self.limit + INCREASE_PER_ROUND / self.limit)
 
     def record_failure(self) -> None:
-        """No answer in time, or the connection broke."""
+        """A set-up was not answered in time, or its connection broke."""
         self.set_limit(self.limit * DECREASE_FACTOR)
 
     def set_limit(self, limit: float) -> None:
+        """Sets the limit within its bounds."""
         self.limit = min(max(limit, MIN_LIMIT), MAX_LIMIT)
 
 
 class ConcurrencyLimits:
-    """The waiting room of a director."""
+    """The limits of all nodes of a director."""
 
     def __init__(self, kind: str = OFF):
         self.kind, self.by_node = kind, {}
 
     def change_kind(self, kind: str) -> None:
-        """Another kind goes on from the shares as they are."""
+        """Changes the algorithm; it continues from the limits as they are."""
         self.kind = kind
-        for pace in self.by_node.values():
-            pace.kind = kind
+        for limit in self.by_node.values():
+            limit.kind = kind
 
     def for_node(self, node: int) -> ConcurrencyLimit:
-        pace = self.by_node.get(node)
-        if pace is None:
-            pace = self.by_node[node] = ConcurrencyLimit(self.kind)
-        return pace
+        """Returns the limit of a node; a new node gets the initial one."""
+        limit = self.by_node.get(node)
+        if limit is None:
+            limit = self.by_node[node] = ConcurrencyLimit(self.kind)
+        return limit
 
     def keep_only(self, known) -> None:
+        """Drops the limits of all nodes that are not among the known ones."""
         for node in [node for node in self.by_node if node not in known]:
             del self.by_node[node]
 
     def total_limit(self, ready: Iterable[int]) -> float:
-        """How many may wait; a node not heard of yet counts with what a new one gets."""
+        """Returns how many viewers may wait for the ready nodes.
+
+        A node without answers so far counts with the initial limit.
+        """
         if self.kind == OFF:
             return math.inf
         return sum(
@@ -88,9 +105,12 @@
         )
 
 
-def at_limit(waiting: int, size: float, importance: float, most: float, tries: int) -> bool:
-    """Whether a play is turned away: further tries before first ones, what is worth less before
-    what is worth more.
+def at_limit(
+    waiting: int, limit: float, importance: float, max_importance: float, attempts: int
+) -> bool:
+    """Returns whether a play is to be rejected.
+
+    Retries are rejected before first attempts, and less important plays before more important ones.
     """
-    worth = importance / most * (RETRY_WEIGHT if tries > 1 else 1.0)
-    return waiting >= size * (UNRESERVED_SHARE + (1 - UNRESERVED_SHARE) * worth)
+    weight = importance / max_importance * (RETRY_WEIGHT if attempts > 1 else 1.0)
+    return waiting >= limit * (UNRESERVED_SHARE + (1 - UNRESERVED_SHARE) * weight)
--- a/laddergw/machines/retry_budget.py
+++ b/laddergw/machines/retry_budget.py
@@ -1,50 +1,52 @@
-"""Counts within a sliding window in constant memory, and budgets of further allocations made of
-them. No I/O; time handed in.
+"""Counters over sliding windows in constant memory, and retry budgets that use them.
 
-A window is cut into parts that are counted whole. What is asked from above (`most`) counts the part
-that is half out of the window, what is asked
-from below (`least`) leaves it out, so that a budget kept by these counts is kept by exact ones.
-Measured against exact deques in benchmarks/windows.py.
+No I/O; time is handed in.
+
+A window is divided into buckets that are counted as a whole. The upper bound includes the bucket
+that lies partly outside the window, the lower bound leaves it out, so that a budget that is kept by
+these bounds is kept by exact counts, too. benchmarks/windows.py compares them with exact deques.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-BUCKETS = 20  # of a window: a count is off by a twentieth of the window at most
+# Of one window: a count is off by a twentieth of the window at most
+BUCKETS = 20
 
 
 class SlidingWindowCounter:
-    """Counts by parts of a window, ms."""
+    """Counts of a window's buckets."""
 
-    __slots__ = ("counts", "last", "part_ms")
+    __slots__ = ("counts", "last_bucket", "width_ms")
 
     def __init__(self, window_ms: float):
-        self.part_ms, self.counts, self.last = window_ms / BUCKETS, [0] * (BUCKETS + 1), 0
+        self.width_ms, self.counts, self.last_bucket = window_ms / BUCKETS, [0] * (BUCKETS + 1), 0
 
     def advance(self, now: float) -> int:
-        """Empties the parts that time has left behind; the number of the present part."""
-        number = int(now // self.part_ms)
-        for past in range(max(self.last + 1, number - BUCKETS), number + 1):
-            self.counts[past % (BUCKETS + 1)] = 0
-        self.last = max(self.last, number)
-        return self.last
+        """Empties the buckets that have left the window; returns the current bucket's number."""
+        number = int(now // self.width_ms)
+        for passed in range(max(self.last_bucket + 1, number - BUCKETS), number + 1):
+            self.counts[passed % (BUCKETS + 1)] = 0
+        self.last_bucket = max(self.last_bucket, number)
+        return self.last_bucket
 
     def add(self, now: float, count: int = 1) -> None:
+        """Counts events of this moment."""
         self.counts[self.advance(now) % (BUCKETS + 1)] += count
 
     def upper_bound(self, now: float) -> int:
-        """No less than what came within the window."""
+        """Returns no less than the count of the window that ends now."""
         self.advance(now)
         return sum(self.counts)
 
     def lower_bound(self, now: float) -> int:
-        """No more than what came within the window."""
+        """Returns no more than the count of the window that ends now."""
         number = self.advance(now)
         return sum(self.counts) - self.counts[(number + 1) % (BUCKETS + 1)]
 
 
 class BudgetTerms(NamedTuple):
-    """What is allowed: further allocations within a window, ms, and a share of the plays taken."""
+    """Retries allowed within a window: a number that is free, and a share of the admitted plays."""
 
     free: float
     share: float
@@ -52,48 +54,49 @@
 
 
 class RetryBudgets:
-    """Budgets by name, such as a route's or a tenant's.
-
-    A change of what is allowed keeps what was counted, unless the window changed.
-    """
+    """Retry budgets by name, such as a route's or a tenant's."""
 
     def __init__(self):
-        self.taken: dict[str, SlidingWindowCounter] = {}
-        self.further: dict[str, SlidingWindowCounter] = {}
-        self.allowed: dict[str, BudgetTerms] = {}
-        self.fleet_grants = None  # grants of budgets that are the whole fleet's (fleet/grants.py)
-
-    def configure(self, allowed: dict[str, BudgetTerms]) -> None:
-        for name, one in allowed.items():
-            old = self.allowed.get(name)
-            if old is None or old.window_ms != one.window_ms:
-                self.taken[name], self.further[name] = (
-                    SlidingWindowCounter(one.window_ms),
-                    SlidingWindowCounter(one.window_ms),
+        self.plays: dict[str, SlidingWindowCounter] = {}
+        self.retries: dict[str, SlidingWindowCounter] = {}
+        self.terms: dict[str, BudgetTerms] = {}
+        # Grants of budgets that the whole fleet shares (fleet/grants.py)
+        self.fleet_grants = None
+
+    def configure(self, terms: dict[str, BudgetTerms]) -> None:
+        """Replaces the terms; counts are kept unless the window has changed."""
+        for name, budget in terms.items():
+            old = self.terms.get(name)
+            if old is None or old.window_ms != budget.window_ms:
+                self.plays[name], self.retries[name] = (
+                    SlidingWindowCounter(budget.window_ms),
+                    SlidingWindowCounter(budget.window_ms),
                 )
-        for name in [name for name in self.taken if name not in allowed]:
-            del self.taken[name], self.further[name]
-        self.allowed = dict(allowed)
+        for name in [name for name in self.plays if name not in terms]:
+            del self.plays[name], self.retries[name]
+        self.terms = dict(terms)
 
     def record_play(self, names: Iterable[str], now: float) -> None:
-        """A play was let in."""
+        """Counts a play that was admitted in the budgets of these names."""
         for name in names:
-            if name in self.taken:
-                self.taken[name].add(now)
+            if name in self.plays:
+                self.plays[name].add(now)
 
     def may_retry(self, names: Iterable[str], now: float) -> str | None:
-        """Counts a further allocation and returns None, or the name of the first budget that is
-        spent, and counts nothing. One lowered
-        below what is spent lets nothing through until its window has passed."""
-        held, drawn = [name for name in names if name in self.allowed], set()
-        for name in held:
-            one = self.allowed[name]
-            if self.further[name].upper_bound(now) + 1 > one.free + one.share * self.taken[
+        """Counts a retry in the budgets of these names and returns None.
+
+        Where a budget is spent, returns the name of the first such and counts nothing. A budget
+        that was lowered below what is spent allows nothing until its window has passed.
+        """
+        known, from_fleet = [name for name in names if name in self.terms], set()
+        for name in known:
+            budget = self.terms[name]
+            if self.retries[name].upper_bound(now) + 1 > budget.free + budget.share * self.plays[
                 name
             ].lower_bound(now):
                 if self.fleet_grants is None or not self.fleet_grants.may(name, now):
                     return name
-                drawn.add(name)
-        for name in held:
-            self.fleet_grants.took(name, now) if name in drawn else self.further[name].add(now)
+                from_fleet.add(name)
+        for name in known:
+            self.fleet_grants.took(name, now) if name in from_fleet else self.retries[name].add(now)
         return None
