--- a/laddergw/work/__init__.py
+++ b/laddergw/work/__init__.py
@@ -1,1 +1,1 @@
-"""Background work in turns: priorities, and a budget of ms."""
+"""Background work in cooperative steps, with priorities and a budget of ms for each turn."""
