--- a/laddergw/signalling/rtsp.py
+++ b/laddergw/signalling/rtsp.py
@@ -155,7 +155,7 @@
     def next_message_started(self) -> bool:
         """Returns whether the bytes behind the last message certainly begin another one."""
         return any(
-            self.buffer.startswith(word) for word in (STATUS_LINE_START, *REQUEST_LINE_STARTS)
+            self.buffer.startswith(prefix) for prefix in (STATUS_LINE_START, *REQUEST_LINE_STARTS)
         )
 
     def check_start(self) -> None:
@@ -165,8 +165,8 @@
         """
         start = bytes(self.buffer[:16])
         if start and not any(
-            start.startswith(word[: len(start)])
-            for word in (STATUS_LINE_START, *REQUEST_LINE_STARTS)
+            start.startswith(prefix[: len(start)])
+            for prefix in (STATUS_LINE_START, *REQUEST_LINE_STARTS)
         ):
             raise MalformedError(f"message starts with {start!r}")
         if len(self.buffer) >= MAX_MESSAGE_BYTES:
