--- a/laddergw/platform/connection.py
+++ b/laddergw/platform/connection.py
@@ -105,7 +105,9 @@
     def state(self, session: str) -> str:
         """Whether all of an open set-up has left: SENT or UNSENT."""
         return (
-            allocation.SENT if self.stream.bytes_sent >= self.set_up_ends[session] else allocation.UNSENT
+            allocation.SENT
+            if self.stream.bytes_sent >= self.set_up_ends[session]
+            else allocation.UNSENT
         )
 
     def set_up(self, play, data: bytes) -> None:
--- a/laddergw/platform/fleet_list.py
+++ b/laddergw/platform/fleet_list.py
@@ -34,7 +34,10 @@
                 stopped.append(node)
             entries.append(self.entry_of(node))
         self.director.feed(
-            self.director.controller.update_fleet, self.director.loop.now, entries, event.is_complete
+            self.director.controller.update_fleet,
+            self.director.loop.now,
+            entries,
+            event.is_complete,
         )
         for node in stopped:
             self.withdraw_unsent(node)
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -122,7 +122,11 @@
             raise rtsp.MalformedError("an answer to a set-up that has not left yet")
         if message.method:
             return self.fleet.handle_request(self, connection, message)
-        if message.cseq == "2" and message.status and connection.unacknowledged_releases.pop(message.session, None):
+        if (
+            message.cseq == "2"
+            and message.status
+            and connection.unacknowledged_releases.pop(message.session, None)
+        ):
             log.debug("%s: release acknowledged by node %s", message.session, self.id)
         if message.target == "" and connection.ping == message.session:
             connection.ping = None
