--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -8,21 +8,21 @@
 from typing import Any, Callable
 from zlib import crc32
 
-from laddergw import interface as face, mail
+from laddergw import interface as face, peer_messages
 from laddergw.control import Controller
 from laddergw.machines import allocation as alloc
 from laddergw.director import frames, tokens
-from laddergw.machines import door
+from laddergw.machines import admission
 from laddergw.director.carrying import MOVED, STOPPED, Carrying, written
 from laddergw.director.fleet import Fleet
 from laddergw.terms.house import House
-from laddergw.machines.life import Life
+from laddergw.machines.play import PlayState
 from laddergw.director.link import Link
-from laddergw.machines.pace import OFF, Room, full
+from laddergw.machines.concurrency import OFF, ConcurrencyLimits, at_limit
 from laddergw.director.post import Post
 from laddergw.director.tries import Try
-from laddergw.machines.windows import Budgets
-from laddergw.hosting import Hosting
+from laddergw.machines.retry_budget import RetryBudgets
+from laddergw.hosting import ControllerHost
 from laddergw.http.limits import PeerLimits
 from laddergw.http.server import Exchange, Server
 from laddergw.terms.effect import deployment_with
@@ -34,7 +34,7 @@
     """The watcher of a director that nobody watches."""
 
 
-class Director(Carrying, Hosting):
+class Director(Carrying, ControllerHost):
     """See the module. `wall` is the wall clock in ms, for tokens; `watch(what, **facts)` is told of each decision."""
     controller_class = Controller
 
@@ -43,11 +43,11 @@
         self.loop, self.house, self.wall, self.tap, self.watch = loop, house, wall, tap, watch
         self.bounds = house.bounds
         self.products = {name: index for index, name in enumerate(house.names)}
-        usual = usual_terms(house.bounds.lease_most_ms, alloc.GRACE_MS)
+        usual = usual_terms(house.bounds.max_lease_ms, alloc.CONFIRM_GRACE_MS)
         self.generations = Generations(limits or Limits("built in", usual), loop.now)
-        self.budgets = Budgets()
-        self.budgets.set(allowed(self.limits))
-        self.room = Room(self.limits.adaptive)
+        self.budgets = RetryBudgets()
+        self.budgets.configure(allowed(self.limits))
+        self.room = ConcurrencyLimits(self.limits.adaptive)
         self.most_importance = max(product.importance for product in house.deployment.products)
         self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
         self.name = f"d{house.number}-{crc32(b'%d %f' % (house.seed, loop.now)):08x}"    # of this process, not of its place
@@ -60,7 +60,7 @@
         self.observer, self.shut = None, lambda: None    # of admissions, ends and notes: a planner's edge side; why nothing is let in at all
         self.read_again: Callable[[], None] = lambda: None    # what SIGHUP does
         self.fleet = Fleet(loop, house.lists, str(house.number), self.make_link, self.list_changed, self.list_failed, tap)
-        self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.connections), tap)
+        self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.max_connections), tap)
         self.address = self.server.address
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.arrive,
                                                                              ("POST", "/v1/mail"): self.mail_came}
@@ -79,9 +79,9 @@
         """A checked file takes effect at this moment, for plays that come from now on; what it changes, a line each."""
         changed = changes(self.limits, limits)
         self.generations.switch(limits, self.loop.now)
-        self.budgets.set(allowed(limits))
-        self.room.switch(limits.adaptive)
-        self.feed(self.controller.retold, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
+        self.budgets.configure(allowed(limits))
+        self.room.change_kind(limits.adaptive)
+        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
         self.watch("limits changed", generation=self.generations.current.number, lines=len(changed))
         if self.tap is not None:
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
@@ -97,7 +97,7 @@
         self.products = {name: index for index, name in enumerate(house.names)}
         self.most_importance = max(product.importance for product in house.deployment.products)
         self.post.reach(house.peers)
-        self.feed(self.controller.retold, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
+        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
         self.watch("deployment changed", products=len(house.names), held=self.held, waiting=self.waiting)
         if self.tap is not None:
             self.tap("deployment changed", self.loop.now, {"products": list(house.names), "held": self.held, "waiting": self.waiting})
@@ -119,7 +119,7 @@
         if self.stopping and not self.tries and not self.broken:
             self.wind_up()
 
-    def collapse(self) -> None:
+    def fail_all_plays(self) -> None:
         self.broken = self.stopping = True
         for ply in list(self.tries.values()):
             if ply.playing:
@@ -156,22 +156,22 @@
         generation, repeat = self.generations.take(), self.house.deployment.products[product].repeat
         margin = self.bounds.answer_margin_ms if self.limits.margin is None else self.limits.margin.value
         effective = self.limits.find(request.route, request.product)
-        life = Life(effective.terms, repeat, exchange.read_at, door.waits(request.wait_ms, exchange.late, margin), margin)
+        life = PlayState(effective.terms, repeat, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
         self.numbers += 1
         ply = Try(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.rows, self.limits),
                   self.house.deployment)
         product_row = self.house.deployment.products[product]
-        slow = full(self.waiting, self.room.size(self.ready_nodes()), product_row.importance, self.most_importance, ply.earlier.tries)
-        turned = (door.turn_away(self.bounds, self.waiting, self.held, self.stopping, self.chance()) or door.no_room(slow, self.bounds, self.chance())
-                  or door.earlier_try(repeat == "paid", ply.earlier.ran) or life.turned(ply.earlier.tries)
-                  or door.hold_back(request.unsettled_ms, self.bounds.lease_most_ms) or self.shut())
+        slow = at_limit(self.waiting, self.room.total_limit(self.ready_nodes()), product_row.importance, self.most_importance, ply.earlier.tries)
+        turned = (admission.check_capacity(self.bounds, self.waiting, self.held, self.stopping, self.chance()) or admission.check_node_latency(slow, self.bounds, self.chance())
+                  or admission.check_earlier_attempt(repeat == "paid", ply.earlier.ran) or life.check_viewer_attempts(ply.earlier.tries)
+                  or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.shut())
         self.tries[ply.id] = ply
         self.waiting += 1
         exchange.on_gone = lambda: self.viewer_left(ply)
         if turned is not None:
-            return self.finish(ply, face.FAILED if turned.failed else face.DECLINED, turned.retry_ms, turned.reason)
-        ply.timer = self.loop.call_at(life.guard, lambda: self.overdue(ply))
-        self.budgets.took(ply.budgets, self.loop.now)
+            return self.finish(ply, face.FAILED if turned.failed else face.DECLINED, turned.retry_after_ms, turned.reason)
+        ply.timer = self.loop.call_at(life.answer_deadline, lambda: self.overdue(ply))
+        self.budgets.record_play(ply.budgets, self.loop.now)
         self.admit(ply)
 
     def ready_nodes(self) -> list[int]:
@@ -192,20 +192,20 @@
         """A message of another director. One that makes no sense is refused, told, and changes nothing."""
         try:
             sender, loads, shares = self.post.read(exchange.body)
-        except mail.Malformed as error:
+        except peer_messages.MalformedMessage as error:
             self.watch("mail refused", reason=str(error))
             return exchange.answer(400, frames.problem(str(error)))
         exchange.answer(200, b"{}")
-        return self.feed(self.controller.mail, self.loop.now, sender, loads, shares)
+        return self.feed(self.controller.receive_peer_report, self.loop.now, sender, loads, shares)
 
     def admit(self, ply: Try) -> None:
         r, now = ply.request, self.loop.now
         ply.asked = True
         if self.observer is not None:
             self.observer.admitted(ply)
-        self.feed(self.controller.asked, now, face.Asked(ply.id, ply.product, r.title, r.home, r.copies, r.ceiling,
-                                                         r.length_ms, max(0.0, ply.life.limit - now),
-                                                         ply.earlier.tries > 1))
+        self.feed(self.controller.request_play, now, face.PlayRequest(ply.id, ply.product, r.title, r.home, r.copies, r.ceiling,
+                                                                      r.length_ms, max(0.0, ply.life.deadline - now),
+                                                                      ply.earlier.tries > 1))
 
     def overdue(self, ply: Try) -> None:
         """The last guard of the one answer: what holds it up is not known here, so it is failed."""
@@ -213,7 +213,7 @@
         if not ply.answered and not ply.left:
             self.watch("overdue", play=ply.id)
             if ply.asked:
-                self.feed(self.controller.left, self.loop.now, ply.id)
+                self.feed(self.controller.viewer_left, self.loop.now, ply.id)
             self.finish(ply, face.FAILED, None, "time limit")
 
     def viewer_left(self, ply: Try) -> None:
@@ -223,7 +223,7 @@
         ply.left = True
         self.watch("viewer left", play=ply.id, playing=ply.playing)
         if ply.asked:
-            self.feed(self.controller.left, self.loop.now, ply.id)
+            self.feed(self.controller.viewer_left, self.loop.now, ply.id)
         if not ply.answered:
             self.waiting -= 1
         self.end_allocation(ply)
@@ -257,13 +257,13 @@
 
     # Verdicts
 
-    def carry_out(self, verdict: face.Verdict) -> None:
-        if verdict.follow:
+    def apply_verdict(self, verdict: face.Verdict) -> None:
+        if verdict.request_fleet_list:
             return self.fleet.follow()
-        for node in verdict.probe:
+        for node in verdict.probe_nodes:
             self.probe(node)
-        if verdict.tell:
-            return self.post.send(verdict.tell, mail.pack(verdict.loads, verdict.shares))
+        if verdict.notify_directors:
+            return self.post.send(verdict.notify_directors, peer_messages.pack(verdict.loads, verdict.shares))
         ply = self.tries.get(verdict.play)
         if ply is None:
             return
@@ -271,7 +271,7 @@
             self.allocate(ply, verdict)
         elif verdict.answer is not None:
             ply.allocation = None
-            self.finish(ply, verdict.answer, ply.life.retry(verdict.retry_ms) if verdict.answer == face.DECLINED else None)
+            self.finish(ply, verdict.answer, ply.life.clamp_retry_after(verdict.retry_after_ms) if verdict.answer == face.DECLINED else None)
         elif verdict.move:
             self.take_off(ply, MOVED)
         elif verdict.rung is not None:
@@ -283,11 +283,11 @@
         return Link(self.loop, node, address, self.name, self, self.tap)
 
     def list_changed(self, lines: list, whole: bool, stopped: list[int]) -> None:
-        self.feed(self.controller.listed, self.loop.now, lines, whole)
+        self.feed(self.controller.update_fleet, self.loop.now, lines, whole)
         for node in stopped:
             self.take_back(node)
         self.fleet.drop_unused(lambda node: bool(self.on_node.get(node)))
-        self.room.forget(self.fleet.links)
+        self.room.keep_only(self.fleet.links)
 
     def take_back(self, node: int) -> None:
         """Set-ups of which no byte has left yet do not go to a node that drains."""
@@ -296,14 +296,14 @@
             if a.state == alloc.WAITING and (call is None or not call.written):
                 ply.call = None
                 if call is None or call.take_back():
-                    self.apply(ply, a.taken_back())
+                    self.apply(ply, a.withdrawn())
                 else:
                     ply.call = call
 
     def list_failed(self) -> None:
         self.watch("list failed")
         if self.house.deployment.must_ask:
-            self.feed(self.controller.list_failed, self.loop.now)
+            self.feed(self.controller.fleet_list_failed, self.loop.now)
 
     def session_up(self, link: Link) -> None:
         self.watch("session up", node=link.node)
@@ -318,9 +318,9 @@
     def node_said(self, link: Link, line: frames.NodeLineOfNotes) -> None:
         for name, kind, value in line.notes:
             ply = self.by_allocation.get(name)
-            if self.observer is not None and kind == face.LINK_ASKED:
+            if self.observer is not None and kind == face.LINK_DEMAND:
                 self.observer.asked_told(link.node, value)
-            self.feed(self.controller.note, self.loop.now, ply.id if ply else 0, link.node, kind, value)
+            self.feed(self.controller.update_play, self.loop.now, ply.id if ply else 0, link.node, kind, value)
         for name, how in line.ended:
             if ply := self.by_allocation.get(name):
                 self.apply(ply, ply.allocation.node_ended(how == frames.FINISHED))
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/edge_side.py
@@ -44,7 +44,7 @@
         self.holding = Holding(director.house.issuer) if director.house.issuer else None
         if self.holding is not None:
             self.holding.set(of_the_fleet(director.limits))
-            director.budgets.fleet, self.watched, director.watch = self.holding, director.watch, self.watch
+            director.budgets.fleet_grants, self.watched, director.watch = self.holding, director.watch, self.watch
             if director.tap is not None:
                 self.holding.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
         self.loop.call_later(DIGEST_MS, self.tell)
@@ -126,7 +126,7 @@
             return
         self.used += 1
         for node, kb in others.items():
-            director.feed(director.controller.seen, self.loop.now, node, kb)
+            director.feed(director.controller.observe_load, self.loop.now, node, kb)
 
 
     def page(self, exchange: Exchange) -> None:
