--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -49,14 +49,15 @@
         "no media node made",
     ),
     "answers twice": Broken(
-        "from laddergw.platform import admission as a; stand = a.Admission.stand; "
-        "a.Admission.stand = lambda self, ply, text: "
+        "from laddergw.platform import admission as a; stand = a.Admission.start_play; "
+        "a.Admission.start_play = lambda self, ply, text: "
         "(ply.viewer.write(9, ply.session, (225, text)), stand(self, ply, text))",
         "twice",
     ),
     "never answers": Broken(
         "from laddergw.platform import admission as a; "
-        "a.Admission.finish = lambda self, ply, *more: self.director.open.pop(ply.session, None)",
+        "a.Admission.finish = "
+        "lambda self, ply, *more: self.director.open_requests.pop(ply.session, None)",
         "lost",
     ),
     "grows": Broken(
@@ -64,16 +65,18 @@
     ),
     "spins": Broken(
         "from laddergw.loop import base; ends = base.BaseLoop.end_turn; "
-        "base.BaseLoop.end_turn = lambda self: (ends(self), self.soon(lambda: None))",
+        "base.BaseLoop.end_turn = lambda self: (ends(self), self.call_soon(lambda: None))",
         "limits",
         "spins",
     ),
     "spends past its budget": Broken(
-        "from laddergw.control import plays; plays.Allocations.ration = lambda *args: None",
+        "from laddergw.control import plays; "
+        "plays.Allocations.check_retry_budget = lambda *args: None",
         "budget",
     ),
     "fails in its calls": Broken(
-        "from laddergw.platform import following as f; f.Follower.take = lambda *args: 1 / 0",
+        "from laddergw.platform import change_log as f; "
+        "f.ChangeLogClient.handle_event = lambda *args: 1 / 0",
         "crash",
     ),
 }
--- a/laddergw/director/carrying.py
+++ b/laddergw/director/carrying.py
@@ -37,10 +37,10 @@
             if spent is not None:
                 self.watch("budget spent", play=ply.id, budget=spent)
                 life.exhaust_attempts()
-            return self.loop.soon(lambda: self.apply_to(ply, name, Allocation.withdrawn))
-        ply.lease_timer = self.loop.at(a.set_up_deadline, lambda: self.set_up_late(ply, name))
+            return self.loop.call_soon(lambda: self.apply_to(ply, name, Allocation.withdrawn))
+        ply.lease_timer = self.loop.call_at(a.set_up_deadline, lambda: self.set_up_late(ply, name))
         if pause:
-            return self.loop.after(pause, lambda: self.connect(ply, verdict.node, name)) and None
+            return self.loop.call_later(pause, lambda: self.connect(ply, verdict.node, name)) and None
         return self.connect(ply, verdict.node, name)
 
     def connect(self, ply: Try, node: int, name: str) -> None:
@@ -48,10 +48,10 @@
         link = self.fleet.links.get(node)
         if link is None:
             return self.apply_to(ply, name, Allocation.withdrawn)
-        ply.sent_at = self.loop.reading()
+        ply.sent_at = self.loop.read_clock()
         connect = ply.life.terms.connect_ms
         if connect < ply.allocation.set_up_deadline - self.loop.now:
-            self.loop.after(connect, lambda: not written(ply)[0] and self.apply_to(ply, name, Allocation.timed_out, self.loop.now, 0, 1))
+            self.loop.call_later(connect, lambda: not written(ply)[0] and self.apply_to(ply, name, Allocation.timed_out, self.loop.now, 0, 1))
         return self.send_set_up(ply, link, name)
 
     def apply_to(self, ply: Try, name: str, fact: Callable[..., AllocationActions], *args) -> None:
@@ -91,7 +91,7 @@
         self.apply(ply, ply.allocation.answered(self.loop.now, call.status, sound), report)
         for kind, value in notes:
             if ply.playing:
-                self.feed(self.controller.note, self.loop.now, ply.id, ply.allocation.node, kind, value)
+                self.feed(self.controller.update_play, self.loop.now, ply.id, ply.allocation.node, kind, value)
 
     def set_up_late(self, ply: Try, name: str) -> None:
         ply.lease_timer = None
@@ -117,7 +117,7 @@
                 link.release(a.name)
             if ply.lease_timer is not None:
                 ply.lease_timer.cancel()
-            ply.lease_timer = self.loop.at(max(a.set_release_deadline(self.loop.now), self.loop.now), lambda: self.lease_over(ply, a.name))
+            ply.lease_timer = self.loop.call_at(max(a.set_release_deadline(self.loop.now), self.loop.now), lambda: self.lease_over(ply, a.name))
         if step.confirm and link is not None:
             link.confirm(a.name)
         if step.playing:
@@ -135,10 +135,10 @@
         ply.playing = True
         link = self.fleet.links.get(a.node)
         self.watch("answer", play=ply.id, answer="playing", product=ply.request.product, tries=ply.earlier.tries,
-                   own_ms=self.loop.reading() - ply.asked_at - ply.node_ms, first_ms=now - ply.asked_at, reason="")
+                   own_ms=self.loop.read_clock() - ply.asked_at - ply.node_ms, first_ms=now - ply.asked_at, reason="")
         ply.exchange.begin(200, frames.playing(tokens.sign(self.house.keys, ply.earlier), a.node,
                                                link.address if link else ("", 0), a.name, a.rung, self.rate(ply)))
-        self.feed(self.controller.playing, now, ply.id, a.number, now - a.requested_at, a.node)
+        self.feed(self.controller.play_started, now, ply.id, a.number, now - a.requested_at, a.node)
 
     def allocation_ended(self, ply: Try, outcome: str, report: tuple) -> None:
         """The allocation can be out no more: the module is told, and the viewer of a play that has ended."""
@@ -158,7 +158,7 @@
         if not (ply.left or ply.answered) and ply.life.attempts_exhausted():      # what its terms allow has been tried
             self.finish(ply, *ply.life.final_answer(self.chance()), reason=ATTEMPTS_EXHAUSTED)
         over = ply.left or ply.answered
-        self.feed(self.controller.ended, self.loop.now, ply.id, a.number, outcome, a.node, over, report)
+        self.feed(self.controller.allocation_ended, self.loop.now, ply.id, a.number, outcome, a.node, over, report)
         if not over:
             return
         if ply.playing:
@@ -177,7 +177,7 @@
         """Asks a node for its load; the module hears what came, in a later turn."""
         link, asked_at = self.fleet.links.get(node), self.loop.now
         if link is None:
-            return self.loop.soon(lambda: self.feed(self.controller.probed, self.loop.now, node, face.UNREACHABLE, 0.0, ()))
+            return self.loop.call_soon(lambda: self.feed(self.controller.probe_ended, self.loop.now, node, face.UNREACHABLE, 0.0, ()))
         return link.probe(lambda call: self.probe_ended(node, asked_at, call))
 
     def probe_ended(self, node: int, asked_at: float, call: Call) -> None:
@@ -190,7 +190,7 @@
             except frames.Malformed as error:
                 outcome = face.ERROR
                 self.watch("bad answer", node=node, reason=str(error))
-        self.feed(self.controller.probed, self.loop.now, node, outcome, self.loop.now - asked_at, report)
+        self.feed(self.controller.probe_ended, self.loop.now, node, outcome, self.loop.now - asked_at, report)
 
     def change_rung(self, ply: Try, rung: int) -> None:
         a = ply.allocation
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -1,6 +1,4 @@
-"""The viewers' side: connections, their messages, and bounds against those who say nothing or too
-much.
-"""
+"""Viewers' connections: their messages, and limits on useless and on flooding ones."""
 
 import logging
 
@@ -8,38 +6,45 @@
 from laddergw.platform.releases import Releases
 from laddergw.signalling import binary
 
-# an unproven connection with nothing open, or half a message, is closed after this: 3 s are allowed
-SPEAK_MS = 2_000.0
-LOOK_MS = 250.0  # pace of looking for such connections
-FRESH_MS = 50.0  # a new connection is not closed for others before it can have spoken
-OPEN_MOST = 64  # open set-ups of one connection: a front's pool holds a few, a flood hundreds
-UNSENT_MOST = 256 * 1024  # bytes that wait for a peer that does not read
-# of one connection at the process's end, 64 KB each: as much as its system may hold, and no peer
-# reads on for ever
-READS_LAST = 64
+# A connection without a request, or with an unfinished message, is closed after this: the protocol
+# allows 3 s.
+REQUEST_TIMEOUT_MS = 2_000.0
+# How often connections are checked for it.
+CHECK_INTERVAL_MS = 250.0
+# A younger connection is not closed for others: it may not have had time to send a request.
+NEW_CONNECTION_MS = 50.0
+# Open set-ups of one connection: a front's pool holds a few, a flood hundreds.
+MAX_OPEN_SET_UPS = 64
+# Bytes that may wait for a peer that does not read.
+MAX_UNSENT_BYTES = 256 * 1024
+# Last reads of one connection at the process's end, 64 KB each: as much as the kernel may hold. A
+# peer that goes on sending does not hold the process.
+MAX_LAST_READS = 64
 
 log = logging.getLogger("laddergw.platform")
 
 
-class Viewer:
-    """One connection from viewers. `spoke`: it asked for a play. `proven`: one stands by it, begun
-    on it or handed over on it.
-    A test proves nothing: fronts leave after theirs, and anyone can ask."""
+class ViewerConnection:
+    """One connection from viewers.
 
-    def __init__(self, listener: "Listener"):
-        self.listener, self.reader, self.plays, self.spoke, self.proven = (
+    `has_requested`: it has requested a play. `has_served`: a play was started or handed over on it.
+    A ping counts for neither: fronts disconnect after theirs, and anyone can send one.
+    """
+
+    def __init__(self, listener: "ViewerListener"):
+        self.listener, self.reader, self.plays, self.has_requested, self.has_served = (
             listener,
             binary.Reader(),
             {},
             False,
             False,
         )
-        self.since = self.used = listener.loop.now
-        self.half = None  # since when a message has begun and not ended
+        self.opened_at = self.last_used = listener.loop.now
+        self.partial_since = None  # when an unfinished message began, or None
         self.closing = False
-        self.stalled = (
-            listener.loop.stalled
-        )  # ms for which it may have waited to be accepted, and what it said first with it
+
+        # How long it may have waited to be accepted, and its first messages with it.
+        self.stall_ms = listener.loop.stall_ms
         self.name = listener.next_name()
 
     def __str__(self) -> str:
@@ -48,38 +53,42 @@
     def opened(self, stream) -> None:
         self.stream = stream
         log.debug("%s: opened by %s", self, stream.peer)
-        self.listener.come(self)
+        self.listener.connection_opened(self)
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.reader.feed(data)
-        self.half = self.listener.loop.now if self.half is None else self.half
-        self.stalled = max(self.stalled, self.listener.loop.stalled)
+        self.partial_since = (
+            self.listener.loop.now if self.partial_since is None else self.partial_since
+        )
+        self.stall_ms = max(self.stall_ms, self.listener.loop.stall_ms)
         try:
             while self.stream is not None and (message := self.reader.next()) is not None:
-                self.half = self.used = self.listener.loop.now
-                self.listener.admission.heard(self, message)
+                self.partial_since = self.last_used = self.listener.loop.now
+                self.listener.admission.handle_message(self, message)
         except binary.MalformedError as error:
             return self.close(str(error))
-        self.stalled = 0.0
+        self.stall_ms = 0.0
         if not self.reader.buffer:
-            self.half = None
+            self.partial_since = None
 
     def write(self, kind: int, session: str, *parameters: tuple[int, bytes]) -> None:
+        """Sends a message, unless the connection has ended; closes it if its peer does not read."""
         if self.stream is None:
             return
         self.stream.write(binary.encode(kind, session, *parameters))
-        self.used = self.listener.loop.now
-        if self.stream is not None and self.stream.queued > UNSENT_MOST:
+        self.last_used = self.listener.loop.now
+        if self.stream is not None and self.stream.queued > MAX_UNSENT_BYTES:
             self.close("it does not read")
 
     def refuse(self, session: str, cause: int = UNUSABLE, *more: tuple[int, bytes]) -> None:
+        """Answers a set-up with a release that states `cause`."""
         self.write(binary.RELEASE, session, (binary.CAUSE, bytes([cause])), *more)
 
     def close(self, why: str) -> None:
-        """Ends the connection; set-ups that are open on it are answered as failed first."""
+        """Closes the connection; set-ups that are open on it are answered as failed first."""
         if self.stream is not None and not self.closing:
             self.closing = True
             self.listener.admission.count("closed: " + why.partition(" of ")[0])
@@ -87,140 +96,154 @@
                 "%s: closed by us: %s; %.0f ms old, idle %.0f, %d set-ups open",
                 self,
                 why,
-                self.listener.loop.now - self.since,
-                self.listener.loop.now - self.used,
+                self.listener.loop.now - self.opened_at,
+                self.listener.loop.now - self.last_used,
                 len(self.plays),
             )
             for play in list(self.plays.values()):
                 self.listener.admission.finish(play, FAILED)
             if self.stream is None:
                 return
-            # who does not read would hold it open
+            # A peer that does not read would hold a plain close open.
             self.stream.abort() if self.stream.queued else self.stream.close()
 
-    def outstays(self, now: float) -> str | None:
-        """Why it is to be closed as of no use; never while a set-up is open on it."""
+    def close_reason(self, now: float) -> str | None:
+        """Returns why it is to be closed as useless; never while a set-up is open on it."""
         if self.plays:
             return None
-        if self.half is not None and now - self.half >= SPEAK_MS:
+        if self.partial_since is not None and now - self.partial_since >= REQUEST_TIMEOUT_MS:
             return "half a message"
-        if (
-            not self.spoke and now - self.since >= SPEAK_MS
-        ):  # who spoke has its answers, and may be speaking again
+        # One that has requested a play has had its answers, and may be sending another request.
+        if not self.has_requested and now - self.opened_at >= REQUEST_TIMEOUT_MS:
             return "nothing of use"
         return None
 
     def closed(self, stream, why: str | None) -> None:
         self.stream = None
         log.debug(
-            "%s: ends: %s; %d set-ups open",
+            "%s: ended: %s; %d set-ups open",
             self,
             why or "closed by its peer or by us",
             len(self.plays),
         )
         self.listener.admission.count("viewers' connections ended: " + (why or "in good order"))
-        self.listener.leave(self)
+        self.listener.connection_closed(self)
         for play in list(self.plays.values()):
-            self.listener.admission.given_up(play)
+            self.listener.admission.viewer_gave_up(play)
 
 
-class Listener:
-    """All viewers' connections."""
+class ViewerListener:
+    """Accepts viewers' connections, bounds their number and closes useless ones."""
 
-    def __init__(self, loop, admission, address: tuple[str, int], most: int):
-        self.loop, self.admission, self.most = loop, admission, most
-        self.viewers: dict[Viewer, None] = {}  # oldest first
+    def __init__(self, loop, admission, address: tuple[str, int], max_connections: int):
+        self.loop, self.admission, self.max_connections = loop, admission, max_connections
+        self.viewers: dict[ViewerConnection, None] = {}  # oldest first
         self.releases = Releases(loop, self.viewers, admission.count)
-        self.names = 0
-        self.accepting = loop.listen(address, lambda stream: Viewer(self))
-        loop.after(LOOK_MS, self.look)
+        self.connection_count = 0
+        self.acceptor = loop.listen(address, lambda stream: ViewerConnection(self))
+        loop.call_later(CHECK_INTERVAL_MS, self.check_connections)
 
     def next_name(self) -> str:
-        """Of a viewers' connection, for the log."""
-        self.names += 1
-        return f"viewers' connection {self.names}"
+        """Returns the next connection's name, for the log."""
+        self.connection_count += 1
+        return f"viewers' connection {self.connection_count}"
 
-    def come(self, viewer: Viewer) -> None:
+    def connection_opened(self, viewer: ViewerConnection) -> None:
+        """Adds a connection; others may be closed for it."""
         self.viewers[viewer] = None
-        self.make_room(viewer)
+        self.close_excess(viewer)
 
-    def bound(self, most: int) -> None:
-        """Another bound, at once; who has plays open keeps its connection."""
-        self.most = most
-        self.make_room()
+    def set_max_connections(self, max_connections: int) -> None:
+        """Applies another bound at once; connections with open set-ups are kept."""
+        self.max_connections = max_connections
+        self.close_excess()
 
-    def make_room(self, last: Viewer | None = None) -> None:
-        """Over the bound who has said nothing goes first, then who was idle longest, `last` where
-        all others have plays open. What one has
-        to say may lie unread: it is read before it is closed, or a set-up would be lost."""
+    def close_excess(self, last: ViewerConnection | None = None) -> None:
+        """Closes connections over the bound that have no open set-up: first those that have served
+        no play and are not new, then those idle longest, `last` after all others. Each is read
+        before it is closed, or a set-up that lies unread would be lost.
+        """
         idle = (
             [v for v in self.viewers if not v.plays and v is not last]
-            if len(self.viewers) > self.most
+            if len(self.viewers) > self.max_connections
             else []
         )
-        idle.sort(key=lambda v: (v.proven or self.loop.now - v.since < FRESH_MS, v.used))
-        for one in idle + [last] * (last is not None):
-            if len(self.viewers) <= self.most:
+        idle.sort(
+            key=lambda v: (
+                v.has_served or self.loop.now - v.opened_at < NEW_CONNECTION_MS,
+                v.last_used,
+            )
+        )
+        for viewer in idle + [last] * (last is not None):
+            if len(self.viewers) <= self.max_connections:
                 return
-            if one.stream is not None:
-                one.stream.read_now()
-            if not one.plays:
-                one.close("too many")
-
-    def hear_last(self) -> bool:
-        """The process's end: all who have come are accepted, and what they have said is answered.
-        Whether some wait for a descriptor,
-        and connections that end now make room for them. Else nobody else is let in before the first
-        connection is closed: whose set-up
-        crosses that comes again at once, and would be cut off a second time."""
-        starved = self.accepting.accept_waiting()
+            if viewer.stream is not None:
+                viewer.stream.read_now()
+            if not viewer.plays:
+                viewer.close("too many")
+
+    def read_last_messages(self) -> bool:
+        """Accepts, at the process's end, all waiting connections and answers what they have sent.
+
+        Returns whether some still wait for a descriptor which connections that end now will free.
+        Otherwise it stops listening before the first connection is closed: a viewer whose set-up
+        crosses that close retries at once, and would be cut off a second time.
+        """
+        starved = self.acceptor.accept_waiting()
         if not starved:
-            self.accepting.close()
+            self.acceptor.close()
         for viewer in list(self.viewers):
-            for _ in range(READS_LAST):
+            for _ in range(MAX_LAST_READS):
                 if viewer.stream is not None:
                     viewer.stream.read_now()
-                if viewer.stream is None or not viewer.stream.more:
+                if viewer.stream is None or not viewer.stream.may_have_more:
                     break
         more = starved and any(v.stream is not None and not v.stream.queued for v in self.viewers)
         if not more:
-            self.accepting.close()
+            self.acceptor.close()
         return more
 
-    def shut(self) -> None:
+    def close_all(self) -> None:
+        """Closes every connection in good order."""
         for viewer in list(self.viewers):
             if viewer.stream is not None:
                 viewer.stream.close()
 
-    def leave(self, viewer: Viewer) -> None:
+    def connection_closed(self, viewer: ViewerConnection) -> None:
+        """Removes a connection that has ended; its releases go on others."""
         self.viewers.pop(viewer, None)
         self.releases.connection_ended(viewer)
 
-    def look(self) -> None:
-        self.loop.after(LOOK_MS, self.look)
+    def check_connections(self) -> None:
+        """Closes useless connections and drops expired releases, periodically."""
+        self.loop.call_later(CHECK_INTERVAL_MS, self.check_connections)
         now = self.loop.now
         for viewer in list(self.viewers):
-            if viewer.outstays(now):
-                viewer.stream.read_now()  # what came meanwhile may be a set-up
-            if viewer.stream is not None and (why := viewer.outstays(now)):
+            if viewer.close_reason(now):
+                viewer.stream.read_now()  # a set-up may have arrived meanwhile
+            if viewer.stream is not None and (why := viewer.close_reason(now)):
                 viewer.close(why)
-        self.releases.forget_old()
-
-    def send(
-        self, preferred: Viewer | None, kind: int, session: str, *parameters: tuple[int, bytes]
+        self.releases.drop_expired()
+
+    def send_until_acknowledged(
+        self,
+        preferred: ViewerConnection | None,
+        kind: int,
+        session: str,
+        *parameters: tuple[int, bytes],
     ) -> None:
-        """What ends a play, until its viewer has acknowledged it: a connection may end with it
-        unread.
+        """Sends a message that ends a play, and again if its connection ends before its viewer has
+        acknowledged it.
         """
         self.releases.send(preferred, session, binary.encode(kind, session, *parameters))
 
-    def spoke(self, viewer: Viewer) -> None:
-        """It has asked for a play."""
-        if not viewer.spoke:
-            viewer.spoke = True
-            self.releases.connection_spoke(viewer)
+    def mark_requested(self, viewer: ViewerConnection) -> None:
+        """Notes that a connection has requested a play."""
+        if not viewer.has_requested:
+            viewer.has_requested = True
+            self.releases.connection_requested(viewer)
 
-    def prove(self, viewer: Viewer) -> None:
-        """A play stands by it."""
-        viewer.spoke = viewer.proven = True
-        self.releases.connection_proven(viewer)
+    def mark_served(self, viewer: ViewerConnection) -> None:
+        """Notes that a play was started or handed over on a connection."""
+        viewer.has_requested = viewer.has_served = True
+        self.releases.connection_served(viewer)
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -67,7 +67,7 @@
                (710, "lease over"), (1_700, "session lost"))
         trace.record("a viewer that leaves before the answer", (0, "sent"), (40, "viewer left"), (90, "answered 201"), (95, "released ran"))
         trace.record("an answer that cannot be read", (0, "sent"), (90, "answered 201 unsound"), (95, "released ran"))
-        self.same("allocation", trace)
+        self.assert_trace("allocation", trace)
 
     @settings(max_examples=400, deadline=None)
     @given(st.lists(st.tuples(st.sampled_from(EVENTS), st.floats(0, 400)), max_size=12))
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -1,4 +1,4 @@
-"""A new file while plays are open and stand: what it changes, what it must leave alone. Real connections where something is said."""
+"""A new configuration file while plays are requested and run: what it changes and what it must not. Real sockets where messages are sent."""
 import json
 import pathlib
 import tempfile
@@ -6,228 +6,230 @@
 import unittest
 
 from laddergw import interface as face
-from laddergw.platform import assignment as assignments
-from laddergw.platform.director import NODES_PART, VIEWERS_PART
+from laddergw.platform import configuration as configurations
+from laddergw.platform.director import NODE_SOCKET_SHARE, VIEWER_SOCKET_SHARE
 from laddergw.signalling import binary, changes
-from tests.platform_town import TREE, answer, event, member, release, set_up, tree
-from tests.sites import REPEATS, SITES, settings_of
-from tests.sockets_town import Town
+from tests.platform_cluster import BASE_SETTINGS, answer, event, member, release, set_up, configuration_file
+from tests.sites import RETRY_SAFETY, SITES, director_settings
+from tests.socket_harness import SocketHarness
 
-# What the file may change while the director runs, and how: each field is here, so that a new one cannot be forgotten.
-TAKEN_OVER = {"sockets", "changelog", "known", "last", "deployment", "products", "all_products", "kinds", "zones", "longest_ms", "connect_ms", "idle_ms"}
-OF_THE_START = {"name", "listen", "seed"}    # a file with another address is refused; name and seed are a process's own
+# What the file may change while the director runs. Each field is in one of the two sets, so that a new one cannot be forgotten.
+CHANGEABLE_FIELDS = {"sockets", "changelog", "known_events", "last_event", "deployment", "products", "all_products", "kinds", "zones", "longest_limit_ms", "connect_ms", "idle_ms"}
+START_FIELDS = {"name", "listen", "seed"}    # a file with another address is refused; name and seed stay those of the start
 
 
 def terms(**changes):
-    return json.loads(json.dumps(TREE)) | changes
+    return json.loads(json.dumps(BASE_SETTINGS)) | changes
 
 
 def grades(*names):
-    rows = {"guide": TREE["Grades"][0], "paid": TREE["Grades"][1],
+    rows = {"guide": BASE_SETTINGS["Grades"][0], "paid": BASE_SETTINGS["Grades"][1],
             "live": {"Name": "live", "Points": 7.0, "Repeat": "pure", "GiveUp": 9_000_000}}
     return [rows[name] for name in names]
 
 
 def found(**changes):
-    return assignments.of(tree(**{"listen": "127.0.0.1:1"} | changes))
+    return configurations.parse(configuration_file(**{"listen": "127.0.0.1:1"} | changes))
 
 
-class Files(unittest.TestCase):
-    def test_each_field_is_taken_over_or_belongs_to_the_start(self):
-        self.assertEqual(set(assignments.Assignment._fields), TAKEN_OVER | OF_THE_START)
+class ConfigurationTests(unittest.TestCase):
+    """Configurations that are read, and read again."""
 
-    def test_names_are_read_as_they_are_told(self):
-        """Seen on the bench: products with accents and spaces in their names were refused, all of them: names were folded into words."""
+    def test_each_field_is_changeable_or_fixed_at_the_start(self):
+        self.assertEqual(set(configurations.Configuration._fields), CHANGEABLE_FIELDS | START_FIELDS)
+
+    def test_names_are_read_unchanged(self):
+        """Guards against names taken from the flattened settings: on the bench all products with accents and spaces were refused."""
         name, zone, kind = "relevé de notes", "quai Rhône, haut", "quatre cœurs"
-        settings = terms(Grades=[TREE["Grades"][0] | {"Name": name}, TREE["Grades"][1]], Zones=["east", zone], Kinds=["std", kind])
-        town = Town(self, settings=settings)
-        self.assertEqual([(a.products[name], a.zones[zone], a.kinds[kind]) for a in (town.director.assignment,)], [(0, 1, 1)])
+        settings = terms(Grades=[BASE_SETTINGS["Grades"][0] | {"Name": name}, BASE_SETTINGS["Grades"][1]], Zones=["east", zone], Kinds=["std", kind])
+        town = SocketHarness(self, settings=settings)
+        self.assertEqual([(a.products[name], a.zones[zone], a.kinds[kind]) for a in (town.director.configuration,)], [(0, 1, 1)])
         viewer = town.viewer()
         viewer.write(set_up(1, product=name))
         node = town.nodes["a"]
-        town.until(lambda: node.accept() or node.connections)
+        town.run_until(lambda: node.accept() or node.connections)
         town.turns(3)
         self.assertIn(f"Subject: {name}\r\n".encode(), node.connections[0].sock.recv(4096))
         viewer.write(binary.encode(binary.SET_UP, f"{2:016x}", (180, b"\xff\xfe"), (183, b"1500"), (192, b"7f3a9c21e0b4d655"),
                                    (195, b"home:0;copies:3;top:2"), (225, b"v=0")))
-        refused, = town.until(viewer.hear)
+        refused, = town.run_until(viewer.receive)
         self.assertEqual(refused.parameters[binary.CAUSE][0], 95)
 
-    def test_names_that_cannot_be_told_apart_are_refused(self):
+    def test_names_that_cannot_be_told_apart_or_sent_are_refused(self):
         for settings in terms(Grades=grades("guide", "guide")), terms(Zones=["east", "east"]), terms(Kinds=["a\r\nb"]):
-            self.assertRaises(assignments.AssignmentError, found, settings=settings)
+            self.assertRaises(configurations.ConfigurationError, found, settings=settings)
 
-    def test_a_fault_is_told_with_its_field_and_file(self):
+    def test_a_fault_is_reported_with_its_field_and_file(self):
         faults = {"listen": 7, "changelog": "x", "seed": "zz", "known": {"seq": 1, "results": [{"seq": 1, "fleet": {}}]}, "limits": {"sockets": "many"}}
         for field, value in faults.items():
-            with self.subTest(field), self.assertRaisesRegex(assignments.AssignmentError, f"^{field}"):
-                assignments.of(tree(**{field: value}))
+            with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, f"^{field}"):
+                configurations.parse(configuration_file(**{field: value}))
         for field, value in {"Grades": grades("guide", "guide"), "Zones": ["a", "a"], "Kinds": ["a\n"], "Siblings": "many"}.items():
-            with self.subTest(field), self.assertRaisesRegex(assignments.AssignmentError, f"^settings? {field}"):
+            with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, f"^settings? {field}"):
                 found(settings=terms(**{field: value}))
         for field in "listen", "known", "settings", "name":
-            with self.subTest(field), self.assertRaisesRegex(assignments.AssignmentError, field):
-                assignments.of({key: value for key, value in tree().items() if key != field})
+            with self.subTest(field), self.assertRaisesRegex(configurations.ConfigurationError, field):
+                configurations.parse({key: value for key, value in configuration_file().items() if key != field})
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "n0.json"
-            for text, said in ((None, "No such file"), ("{", "Expecting"), (json.dumps(tree(listen="x")), "listen: 'x'")):
+            for text, said in ((None, "No such file"), ("{", "Expecting"), (json.dumps(configuration_file(listen="x")), "listen: 'x'")):
                 if text is not None:
                     path.write_text(text)
-                with self.subTest(said), self.assertRaises(assignments.AssignmentError) as caught:
-                    assignments.read_file(str(path))
+                with self.subTest(said), self.assertRaises(configurations.ConfigurationError) as caught:
+                    configurations.read_file(str(path))
                 self.assertTrue(str(caught.exception).startswith(f"{path}: "))
                 self.assertIn(said, str(caught.exception))
                 self.assertNotIn("\n", str(caught.exception))
-        with self.assertRaisesRegex(assignments.AssignmentError, "PROXY_CONFIG"):
-            assignments.read_file("")
+        with self.assertRaisesRegex(configurations.ConfigurationError, "PROXY_CONFIG"):
+            configurations.read_file("")
 
-    def test_what_a_file_may_well_say_is_taken(self):
-        """Names with joiners and hard spaces, numbers with a point, no idle time: none is a reason not to start."""
+    def test_unusual_but_valid_entries_are_accepted(self):
+        """Names with joiners and no-break spaces, a number with a decimal point, no idle time: none is a reason not to start."""
         names = ["\u0646\u0645\u200c\u0627", "guide\u00a0court", "\u0e04\u0e39\u0e48\u0e21\u0e37\u0e2d"]
-        settings = terms(Grades=[TREE["Grades"][0] | {"Name": name} for name in names], Kinds=names, Zones=names)
+        settings = terms(Grades=[BASE_SETTINGS["Grades"][0] | {"Name": name} for name in names], Kinds=names, Zones=names)
         settings["Permissions"]["ConnIdle"] = 0
         read = found(settings=settings, limits={"sockets": 256.0})
         self.assertEqual((list(read.products), list(read.kinds), list(read.zones)), (names, names, names))
         self.assertEqual((read.sockets, read.idle_ms), (256, float("inf")))
 
     def test_products_in_another_order(self):
-        """Open, standing and asked-for plays keep their terms; what comes then has the new ones. Numbers keep their meaning."""
-        town = Town(self, settings=terms(Grades=grades("guide", "paid")))
+        """Open requests and running plays keep their terms; later requests get the new ones. Numbers keep their meaning."""
+        town = SocketHarness(self, settings=terms(Grades=grades("guide", "paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="paid"))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        town.until(viewer.hear)
+        town.run_until(viewer.receive)
         viewer.write(set_up(2, product="paid"))
-        line, second = town.come("a")
-        before, seats = town.director.assignment, dict(town.director.controller.fleet.seats)
-        town.director.change(found(settings=terms(Grades=grades("live", "paid", "guide")), changelog=None)._replace(
+        line, second = town.wait_for_set_up("a")
+        before, seats = town.director.configuration, dict(town.director.controller.fleet.seats)
+        town.director.apply_configuration(found(settings=terms(Grades=grades("live", "paid", "guide")), changelog=None)._replace(
             listen=before.listen, changelog=before.changelog))
-        after = town.director.assignment
+        after = town.director.configuration
         self.assertEqual((after.products["guide"], after.products["paid"], after.products["live"]), (0, 1, 2))
-        rows = town.director.controller.fleet.d.products
+        rows = town.director.controller.fleet.deployment.products
         self.assertEqual([row.importance for row in rows], [1.0, 2.0, 7.0])
         self.assertEqual(dict(town.director.controller.fleet.seats), seats)
         viewer.write(set_up(3, product="live"))
-        self.assertEqual(town.come("a")[1].session, f"{3:016x}")
+        self.assertEqual(town.wait_for_set_up("a")[1].session, f"{3:016x}")
         self.assertEqual(town.director.controller.plays[3].product.importance, 7.0)
-        line.write(answer(second.session, 500, b""))             # a paid play that may have run is not sent again, under any file
-        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.until(viewer.hear)], [41])
+        line.write(answer(second.session, 500, b""))             # a paid play that may have run is not retried, whatever the file says
+        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.run_until(viewer.receive)], [41])
 
-    def test_a_product_that_is_there_no_more(self):
-        """What stands goes on to its end; nobody is let in under it; it weighs nothing in the decisions, and comes back as it was."""
-        town = Town(self, settings=terms(Grades=grades("guide", "paid")))
+    def test_a_product_that_a_new_file_leaves_out(self):
+        """Its running plays go on to their ends; new requests are refused; it has no importance for decisions, and comes back as it was."""
+        town = SocketHarness(self, settings=terms(Grades=grades("guide", "paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="guide"))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        town.until(viewer.hear)
-        mine = town.director.assignment
+        town.run_until(viewer.receive)
+        mine = town.director.configuration
 
         def change(*names):
-            town.director.change(found(settings=terms(Grades=grades(*names)))._replace(listen=mine.listen, changelog=mine.changelog))
+            town.director.apply_configuration(found(settings=terms(Grades=grades(*names)))._replace(listen=mine.listen, changelog=mine.changelog))
         change("paid")
-        self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [0.0, 2.0])
+        self.assertEqual([row.importance for row in town.director.controller.fleet.deployment.products], [0.0, 2.0])
         viewer.write(set_up(2, product="guide"))
-        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.until(viewer.hear)], [95])
+        self.assertEqual([m.parameters[binary.CAUSE][0] for m in town.run_until(viewer.receive)], [95])
         viewer.write(set_up(3, product="paid"))
-        self.assertEqual(town.come("a")[1].session, f"{3:016x}")
+        self.assertEqual(town.wait_for_set_up("a")[1].session, f"{3:016x}")
         line.write(release(1, 16))
-        self.assertEqual([(m.kind, m.session) for m in town.until(viewer.hear)], [(binary.RELEASE, f"{1:016x}")])
+        self.assertEqual([(m.kind, m.session) for m in town.run_until(viewer.receive)], [(binary.RELEASE, f"{1:016x}")])
         change("guide", "paid")
-        self.assertEqual([row.importance for row in town.director.controller.fleet.d.products], [1.0, 2.0])
+        self.assertEqual([row.importance for row in town.director.controller.fleet.deployment.products], [1.0, 2.0])
 
     def test_kinds_and_zones_in_another_order(self):
-        """Nodes that were listed before keep their kind and zone, though the new file counts them otherwise; unknown ones get theirs."""
+        """Nodes listed before keep their kind and zone, though the new file numbers them otherwise; kinds and zones unknown before are resolved."""
         nodes = [member("a", 1) | {"host_port": "127.0.0.1:1", "flavor": "small", "locality": "west"},
                  member("b", 1, cell=1) | {"host_port": "127.0.0.1:1", "flavor": "huge", "locality": "north"}]
         known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": nodes}}]}
-        first = terms(Kinds=["small", "large"], Zones=["east", "west"], MyZone=1, Specifics=TREE["Specifics"] | {"KindSlots": [10, 20]})
-        town = Town(self, settings=first, known=known)
+        first = terms(Kinds=["small", "large"], Zones=["east", "west"], MyZone=1, Specifics=BASE_SETTINGS["Specifics"] | {"KindSlots": [10, 20]})
+        town = SocketHarness(self, settings=first, known=known)
         controlled = town.director.controller.fleet.nodes
 
         def seen():
-            return [(n.streams, n.zone == town.director.controller.fleet.d.zone) for n in controlled.values()]
+            return [(n.max_streams, n.zone == town.director.controller.fleet.deployment.zone) for n in controlled.values()]
         self.assertEqual(seen(), [(10, True), (10, False)])
-        mine = town.director.assignment
+        mine = town.director.configuration
         second = terms(Kinds=["huge", "large", "small"], Zones=["north", "west", "east"], MyZone=1,
-                       Specifics=TREE["Specifics"] | {"KindSlots": [40, 21, 11]})
-        town.director.change(found(settings=second, known=known)._replace(listen=mine.listen, changelog=mine.changelog))
+                       Specifics=BASE_SETTINGS["Specifics"] | {"KindSlots": [40, 21, 11]})
+        town.director.apply_configuration(found(settings=second, known=known)._replace(listen=mine.listen, changelog=mine.changelog))
         self.assertEqual(seen(), [(11, True), (40, False)])
 
     def test_a_node_that_a_whole_list_left_out_stays_gone(self):
-        """Its last line called it ready; the file that names its kind anew must not bring it back while a play still stands there."""
-        town = Town(self, nodes=("a", "b"))
+        """Its last entry said ready; a file that renumbers its kind must not bring it back while a play still runs there."""
+        town = SocketHarness(self, nodes=("a", "b"))
         viewer = town.viewer()
-        town.director.controller.fleet.nodes[2].rest = 1e12
+        town.director.controller.fleet.nodes[2].backoff_until = 1e12
         viewer.write(set_up(1))
-        line, message = town.come("a")
+        line, message = town.wait_for_set_up("a")
         line.write(answer(message.session))
-        town.until(viewer.hear)
+        town.run_until(viewer.receive)
         b = member("b", 1, cell=1) | {"host_port": f"127.0.0.1:{town.nodes['b'].port}"}
-        town.director.listing.listed(changes.parse_event(event(2, b, whole=True)))
-        mine = town.director.assignment
-        town.director.change(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known=[]))
+        town.director.fleet_list.apply_event(changes.parse_event(event(2, b, whole=True)))
+        mine = town.director.configuration
+        town.director.apply_configuration(found(settings=terms(Kinds=["new", "std"]))._replace(listen=mine.listen, changelog=mine.changelog, known_events=[]))
         self.assertEqual([node.state for node in town.director.controller.fleet.nodes.values()], [face.GONE, face.READY])
-        town.director.controller.fleet.nodes[2].rest = 0.0
+        town.director.controller.fleet.nodes[2].backoff_until = 0.0
         viewer.write(set_up(2))
-        self.assertEqual(town.come("b")[1].session, f"{2:016x}")
+        self.assertEqual(town.wait_for_set_up("b")[1].session, f"{2:016x}")
 
-    def test_bounds(self):
-        """Descriptors and the time of a connection hold at once; who has plays open keeps its connection."""
-        town = Town(self, limits={"sockets": 200})
+    def test_limits_apply_at_once(self):
+        """The descriptors and the time-out of connections; a viewer with open requests keeps its connection."""
+        town = SocketHarness(self, limits={"sockets": 200})
         viewers = [town.viewer() for _ in range(90)]
         town.turns()
         viewers[0].write(set_up(1))
-        town.come("a")
-        mine = town.director.assignment
-        town.director.change(mine._replace(sockets=64, connect_ms=123.0))
-        self.assertEqual((len(town.director.listener.viewers), town.director.nodes.most), (int(VIEWERS_PART * 64), int(NODES_PART * 64)))
-        self.assertEqual((town.director.nodes.connect_ms, len(town.director.open)), (123.0, 1))
-        self.assertIsNone(viewers[0].hear() or viewers[0].ended)
-
-    def test_what_cannot_change_leaves_all_as_it_was(self):
-        town = Town(self)
-        before, deployment = town.director.assignment, town.director.controller.fleet.d
-        with self.assertRaisesRegex(assignments.AssignmentError, "listens at"):
-            town.director.change(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
-        self.assertEqual((town.director.assignment, town.director.controller.fleet.d), (before, deployment))
-
-    def test_longer_limits_of_before_hold_through_a_stop(self):
-        """A play taken on a long limit is decided as ever, though the file of the stop knows only short ones."""
+        town.wait_for_set_up("a")
+        mine = town.director.configuration
+        town.director.apply_configuration(mine._replace(sockets=64, connect_ms=123.0))
+        self.assertEqual((len(town.director.listener.viewers), town.director.nodes.max_connections), (int(VIEWER_SOCKET_SHARE * 64), int(NODE_SOCKET_SHARE * 64)))
+        self.assertEqual((town.director.nodes.connect_ms, len(town.director.open_requests)), (123.0, 1))
+        self.assertIsNone(viewers[0].receive() or viewers[0].ended)
+
+    def test_a_refused_file_changes_nothing(self):
+        town = SocketHarness(self)
+        before, deployment = town.director.configuration, town.director.controller.fleet.deployment
+        with self.assertRaisesRegex(configurations.ConfigurationError, "listens at"):
+            town.director.apply_configuration(found(listen="127.0.0.1:9", settings=terms(Grades=grades("live"))))
+        self.assertEqual((town.director.configuration, town.director.controller.fleet.deployment), (before, deployment))
+
+    def test_longer_earlier_limits_hold_through_a_stop(self):
+        """A request with a long limit is decided as usual, though the file at the stop has only short limits."""
         now = [0.0]
-        town = Town(self, now=lambda: now[0], settings=terms(Grades=grades("paid")))
+        town = SocketHarness(self, now=lambda: now[0], settings=terms(Grades=grades("paid")))
         viewer = town.viewer()
         viewer.write(set_up(1, product="paid", patience="2900"))
-        town.come("a")
-        mine = town.director.assignment
-        town.director.change(found(settings=terms(Grades=[TREE["Grades"][0] | {"GiveUp": 500_000}]))._replace(
+        town.wait_for_set_up("a")
+        mine = town.director.configuration
+        town.director.apply_configuration(found(settings=terms(Grades=[BASE_SETTINGS["Grades"][0] | {"GiveUp": 500_000}]))._replace(
             listen=mine.listen, changelog=mine.changelog))
         town.director.stop()
         now[0] += 1_500.0
         town.turns(3)
-        self.assertEqual(len(town.director.open), 1)
+        self.assertEqual(len(town.director.open_requests), 1)
 
     def test_every_deployment_in_the_repository_is_read(self):
-        """Its names, limits and terms as a director's file tells them."""
+        """Its names, limits and terms, as a director's file has them."""
         paths = sorted(SITES.glob("*.toml"))
         self.assertGreaterEqual(len(paths), 2)
         for path in paths:
             with self.subTest(path.name):
                 site = tomllib.loads(path.read_text())
-                read = found(settings=settings_of(site))
+                read = found(settings=director_settings(site))
                 self.assertEqual(list(read.products), [row["name"] for row in site["class"]])
                 self.assertEqual((list(read.zones), list(read.kinds)), (site["net"]["zones"], [kind["name"] for kind in site["tier"][0]["kind"]]))
-                self.assertEqual([row.repeat for row in read.deployment.products], [REPEATS[row["effect"]][1] for row in site["class"]])
+                self.assertEqual([row.repeat for row in read.deployment.products], [RETRY_SAFETY[row["effect"]][1] for row in site["class"]])
                 self.assertEqual(read.deployment.fall_ms, site["rules"]["fall_ms"])
 
-    def test_nothing_is_kept_between_directors(self):
-        """Two directors of two deployments in one process: the second knows nothing of the first."""
-        Town(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
-        second = Town(self, settings=terms(Grades=grades("paid")))
-        self.assertEqual((second.director.assignment.products, second.director.assignment.kinds), ({"paid": 0}, {"std": 0}))
-        self.assertEqual(len(second.director.controller.fleet.d.products), 1)
-        self.assertIsInstance(second.director.controller.fleet.d, face.Deployment)
+    def test_directors_share_no_state(self):
+        """Two directors of two deployments in one process: the second has no data of the first."""
+        SocketHarness(self, settings=terms(Grades=grades("live", "guide", "paid"), Kinds=["x", "y"]))
+        second = SocketHarness(self, settings=terms(Grades=grades("paid")))
+        self.assertEqual((second.director.configuration.products, second.director.configuration.kinds), ({"paid": 0}, {"std": 0}))
+        self.assertEqual(len(second.director.controller.fleet.deployment.products), 1)
+        self.assertIsInstance(second.director.controller.fleet.deployment, face.Deployment)
 
 
 if __name__ == "__main__":
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -25,7 +25,7 @@
                 limit.record_failure()
             lines.append(f"nine more: {limit.limit:.1f}")
         self.lines = lines
-        self.same("pace", self)
+        self.assert_trace("pace", self)
 
     @settings(max_examples=80)
     @given(st.sampled_from((GRADIENT, AIMD)), st.lists(st.none() | st.floats(0.01, 1e5), max_size=200))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The real director in memory: its list and configuration, its end, its tables; what it does is a kept trace."""
+"""The platform's director in memory: its fleet list and configuration, its end, its tables. Traces are compared with kept ones."""
 import json
 import subprocess
 import sys
@@ -6,49 +6,51 @@
 
 from laddergw import interface as face, settings
 from laddergw.platform import allocation as life
-from laddergw.platform import assignment as assignments
+from laddergw.platform import configuration as configurations
 from laddergw.platform import requests
 from laddergw.signalling import binary
 from laddergw.signalling import rtsp
 from tests.helpers import TraceTest
-from tests.platform_town import TREE, member, event, tree, set_up, Town
+from tests.platform_cluster import BASE_SETTINGS, member, event, configuration_file, set_up, PlatformCluster
 
 
-class Directing(TraceTest):
+class DirectorTests(TraceTest):
+    """A director's fleet list, configuration and end."""
+
     def test_change_log(self):
-        town = Town(nodes=("a", "b", "c"))
+        town = PlatformCluster(nodes=("a", "b", "c"))
         town.run(20)
         c = member("c", 1, cell=2)
-        town.lines.append("# told twice, cut in the middle, silent: begun again from the last event, each taken once")
-        town.log_side.tell(event(2, c), event(2, c), {"seq": 2})
+        town.lines.append("# repeated, cut off in the middle, silent: resumed from the last event, each event applied once")
+        town.log_connection.tell(event(2, c), event(2, c), {"seq": 2})
         town.run(20)
-        town.log_side.stream.write(b'{"seq":3,"fleet":{"rev')
+        town.log_connection.stream.write(b'{"seq":3,"fleet":{"rev')
         town.run(1)
-        town.log_side.stream.abort()
+        town.log_connection.stream.abort()
         town.run(300)
-        town.log_side.tell(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
+        town.log_connection.tell(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
         town.run(20)
         self.assertEqual({n.id: (n.gone) for n in town.director.nodes.by_id.values()}, {"a": False, "b": True, "c": False})
-        town.lines.append("# all go to the one that is left")
+        town.lines.append("# all plays go to the remaining node")
         viewer = town.viewer()
         viewer.stream.write(set_up(1) + set_up(2))
         town.run(50)
         town.lines.append("# silence, then a gap")
         town.run(2600)
-        town.log_side.tell(event(6, member("a", 1)))
+        town.log_connection.tell(event(6, member("a", 1)))
         town.run(300)
-        self.same("platform_log", town)
+        self.assert_trace("platform_log", town)
 
     def test_a_list_of_1024_nodes(self):
-        """Nothing is left out, half of them change in one event, and a play finds its holder among them."""
+        """All nodes are taken, half of them change in one event, and a play is placed at the node that holds its title."""
         names = [f"n{i:04}" for i in range(1024)]
-        terms = json.loads(json.dumps(TREE))
+        terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"] |= {"Positions": 1024, "RackKb": 9e6}
         terms["Siblings"] = 1024
-        town = Town(nodes=("n0007",), settings=terms, known={"seq": 1, "results": [event(1, *(member(n, 1, cell=i) for i, n in enumerate(names)), whole=True)]})
+        town = PlatformCluster(nodes=("n0007",), settings=terms, known={"seq": 1, "results": [event(1, *(member(n, 1, cell=i) for i, n in enumerate(names)), whole=True)]})
         self.assertEqual(sum(node.state == face.READY for node in town.director.controller.fleet.nodes.values()), 1024)
         town.run(20)
-        town.log_side.tell(event(2, *(member(n, 1, "DELETED", cell=i) for i, n in enumerate(names) if i % 2 == 0),
+        town.log_connection.tell(event(2, *(member(n, 1, "DELETED", cell=i) for i, n in enumerate(names) if i % 2 == 0),
                                  *(member(f"s{i:04}", 1, cell=i, since=1) for i in range(0, 1024, 2))))
         town.run(20)
         self.assertEqual(sum(node.state == face.READY for node in town.director.controller.fleet.nodes.values()), 1024)
@@ -59,25 +61,25 @@
         self.assertTrue(any("node n0007 gets SETUP 1" in line for line in town.lines), town.lines)
 
     def test_new_configuration(self):
-        """Another change log and other terms hold from then on; a bad file is refused whole."""
-        town = Town()
+        """Another change log and other terms are in force from then on; a faulty file is refused whole."""
+        town = PlatformCluster()
         town.hosts["log two"] = town.world.host("log two")
         town.hosts["log two"].listen(("log two", 1), town.log_came)
         town.run(20)
-        terms = json.loads(json.dumps(TREE))
+        terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"]["SeenAfter"] = 700_000
-        town.director.change(assignments.of(tree(changelog="log two:1", settings=terms)))
+        town.director.apply_configuration(configurations.parse(configuration_file(changelog="log two:1", settings=terms)))
         town.run(200)
-        self.assertEqual(town.director.controller.fleet.d.seen_after_ms, 700.0)
+        self.assertEqual(town.director.controller.fleet.deployment.seen_after_ms, 700.0)
         self.assertEqual(sum("log gets since 1" in line for line in town.lines), 2)
-        for bad in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": TREE | {"Siblings": "many"}}, {"seed": "zz"}):
-            with self.subTest(bad), self.assertRaises(assignments.AssignmentError):
-                assignments.of(tree(**bad))
-        self.assertRaises(assignments.AssignmentError, assignments.of, [])
+        for changes in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": BASE_SETTINGS | {"Siblings": "many"}}, {"seed": "zz"}):
+            with self.subTest(changes), self.assertRaises(configurations.ConfigurationError):
+                configurations.parse(configuration_file(**changes))
+        self.assertRaises(configurations.ConfigurationError, configurations.parse, [])
 
     def test_stop(self):
-        """Takes nothing new, answers what is open, ends when nothing stands, or past the longest time limit."""
-        town = Town()
+        """Declines new requests, answers open ones, ends when no play runs or past the longest time limit."""
+        town = PlatformCluster()
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
         town.run(50)
@@ -85,13 +87,13 @@
         viewer.stream.write(set_up(2) + binary.encode(binary.PING, "0" * 16, (222, b"\0")))
         town.run(50)
         town.run(4600)
-        self.same("platform_stop", town)
+        self.assert_trace("platform_stop", town)
         self.assertFalse(town.hosts["director"].running)
 
-    def test_releases_at_the_end_are_heard(self):
-        """Seen on sockets: the process ended with what viewers had said unread, and the resets took 60 releases along."""
-        for hears in True, False:
-            town = Town()
+    def test_exit_waits_for_release_acknowledgements(self):
+        """Guards against an exit that loses releases: on sockets, connections were reset with viewers' messages unread, and 60 releases were lost."""
+        for acknowledges in True, False:
+            town = PlatformCluster()
             viewer = town.viewer()
             viewer.stream.write(set_up(1))
             town.run(50)
@@ -99,16 +101,16 @@
             town.run(3351 - 50 + 60)
             self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines))
             self.assertTrue(town.hosts["director"].running)
-            if hears:
+            if acknowledges:
                 viewer.stream.write(binary.encode(binary.RELEASE_ACK, f"{1:016x}"))
             town.run(20)
-            self.assertEqual(town.hosts["director"].running, not hears)
+            self.assertEqual(town.hosts["director"].running, not acknowledges)
             town.run(300)
             self.assertFalse(town.hosts["director"].running)
 
-    def test_module_fails(self):
-        """All that is open is answered, and all that stands is released."""
-        town = Town()
+    def test_controller_fails(self):
+        """All open requests are answered and all running plays are released."""
+        town = PlatformCluster()
         viewer = town.viewer()
         viewer.stream.write(set_up(1))
         town.run(50)
@@ -118,30 +120,32 @@
 
         def fails(*_):
             raise RuntimeError("planted")
-        town.director.controller.note = fails
-        node = next(iter(town.director.standing.values())).node.id
+        town.director.controller.update_play = fails
+        node = next(iter(town.director.running_plays.values())).node.id
         with self.assertLogs("laddergw.hosting", "ERROR"):
-            town.sides[f"node {node}"].stream.write(rtsp.encode_request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
+            town.connections[f"node {node}"].stream.write(rtsp.encode_request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
             town.run(50)
         self.assertTrue(any("viewer gets 12 2 cause 41" in line for line in town.lines), town.lines)
         self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines), town.lines)
         self.assertTrue(town.director.broken)
 
 
-class Tables(unittest.TestCase):
-    def test_what_proves_that_it_never_ran(self):
+class TableTests(unittest.TestCase):
+    """Tables and decoders without sockets."""
+
+    def test_events_that_prove_that_a_set_up_never_ran(self):
         never = {face.FULL, face.UNREACHABLE, face.NEVER_SENT}
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.TAKEN_BACK, life.FULL, life.MOOT):
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.WITHDRAWN, life.FULL, life.SESSION_UNKNOWN):
             self.assertIn(life.outcome(life.UNSENT, fact), never, fact)
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.ERROR, life.RESET, life.BROKEN_OFF, life.GIVEN_UP):
-            self.assertNotIn(life.outcome(life.OUT, fact), never, fact)
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.THERE, life.FULL):
-            self.assertIsNone(life.outcome(life.HELD, fact), fact)
-        self.assertEqual([life.end(c) for c in (16, 31, 41, 0)], [life.ENDED, life.LEFT, life.BROKEN_OFF, life.BROKEN_OFF])
-        self.assertEqual([life.answer(s) for s in (200, 453, 599)], [life.THERE, life.FULL, life.ERROR])
-
-    def test_one_decoder_for_both_ways(self):
-        values = settings.flatten(TREE)
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.ERROR, life.RESET, life.INTERRUPTED, life.CANCELLED):
+            self.assertNotIn(life.outcome(life.SENT, fact), never, fact)
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.ACCEPTED, life.FULL):
+            self.assertIsNone(life.outcome(life.RUNNING, fact), fact)
+        self.assertEqual([life.event_of_cause(c) for c in (16, 31, 41, 0)], [life.ENDED, life.VIEWER_LEFT, life.INTERRUPTED, life.INTERRUPTED])
+        self.assertEqual([life.event_of_status(s) for s in (200, 453, 599)], [life.ACCEPTED, life.FULL, life.ERROR])
+
+    def test_one_decoder_for_json_and_lines(self):
+        values = settings.flatten(BASE_SETTINGS)
         self.assertEqual((values["Grades.count"], values["Grades.1.Name"], values["Specifics.LadderKb"], values["Permissions.Probes"], values["Zones"]),
                          ("2", "paid", "100.0,200.0,400.0", "false", "east,west_wing"))
         lines = "\n".join(f"{key}={value}" for key, value in values.items())
@@ -149,11 +153,11 @@
 
     def test_requests(self):
         found = requests.read(binary.Message(1, f"{7:016x}", {180: b"paid", 183: b"1500", 192: b"7f3a9c21e0b4d655", 210: b"8200.0", 195: b"home:1;copies:3;top:2;again:1", 225: b"v"}),
-                              assignments.of(tree()))
-        self.assertEqual(found.ask, face.Asked(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
+                              configurations.parse(configuration_file()))
+        self.assertEqual(found.play_request, face.PlayRequest(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
 
     def test_imports_only_what_it_needs(self):
-        """Start time and memory: nothing of other fronts, no framework, no threads of its own."""
+        """Start time and memory: no modules of other fronts, no framework, no threads of its own."""
         code = "import sys, laddergw.platform.__main__; print(*sorted(m for m in sys.modules))"
         loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split()
         ours = {m for m in loaded if m.startswith("laddergw.") and m.split(".")[1] not in ("platform", "signalling", "loop", "control", "interface", "settings", "hosting")}
