--- a/laddergw/platform/allocator.py
+++ b/laddergw/platform/allocator.py
@@ -21,7 +21,6 @@
 # left, of which a loop turn may have passed before we read that.
 DELIVERY_LIMIT_MS = 60.0
 
-
 log = logging.getLogger("laddergw.platform")
 
 
--- a/laddergw/platform/change_log.py
+++ b/laddergw/platform/change_log.py
@@ -14,7 +14,7 @@
 # So much of a line that is not whole must come within SILENCE_LIMIT_MS, or the connection counts as
 # silent: the line of a complete list has some hundred bytes a node.
 MIN_PROGRESS_BYTES = 1_024
-# An event counts as told 2 s after a break: dialling may take only a part of that.
+# Limit of dialling: an event is expected to be known 2 s after a break.
 DIAL_TIMEOUT_MS = 500.0
 
 log = logging.getLogger("laddergw.platform")
--- a/laddergw/platform/connection.py
+++ b/laddergw/platform/connection.py
@@ -171,7 +171,7 @@
         """
         if self in self.node.connections:
             log.debug(
-                "node %s: %s ends, what was open on it as %s; %d releases go again",
+                "node %s: %s ends, its open set-ups as %s; %d releases are sent again",
                 self.node.id,
                 self,
                 event,
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -165,7 +165,7 @@
         return node
 
     def mark_gone(self, node: Node) -> None:
-        """Marks a node that the list no longer names; its plays end with its connections.
+        """Marks a node as gone, as the list says; its plays end with its connections.
 
         Where another node has its address, what answers there is that one and proves nothing of
         this one: its connections and plays end now.
--- a/tests/director_process.py
+++ b/tests/director_process.py
@@ -21,7 +21,7 @@
 
 # Longest time that a test waits for one message.
 WAIT_LIMIT_S = 20.0
-TEST = binary.encode(binary.PING, "0" * 16, (binary.CAUSE, b"\0"))
+PING = binary.encode(binary.PING, "0" * 16, (binary.CAUSE, b"\0"))
 
 
 def session_name(number):
--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -17,7 +17,7 @@
 from tests.test_platform_start import WAIT_LIMIT_S, SpawnedDirector, held_port
 
 SOCKETS, IDLE_CLIENTS = 64, 150      # 22 of the descriptors are for connections to nodes
-TEST = binary.encode(binary.PING, "0" * 16, (222, b"\0"))
+PING = binary.encode(binary.PING, "0" * 16, (222, b"\0"))
 
 
 class DescriptorLimits(unittest.TestCase):
@@ -64,7 +64,7 @@
         for n in range(IDLE_CLIENTS):
             viewer = self.viewer()
             with contextlib.suppress(ConnectionError):       # it may have been closed for another one already
-                viewer.write(set_up(n, title=f"{n:016x}", figures=f"home:{n % 3};copies:1;top:2") if n % 3 else TEST)
+                viewer.write(set_up(n, title=f"{n:016x}", figures=f"home:{n % 3};copies:1;top:2") if n % 3 else PING)
             for node in self.nodes:
                 for connection, message in node.receive():
                     connection.write(b"RTSP/1.0 453 X\r\nCSeq: 1\r\nSession: " + message.session.encode() + b"\r\nContent-Length: 0\r\n\r\n")
@@ -83,7 +83,7 @@
     def test_every_node_gets_its_release_where_nodes_outnumber_descriptors(self):
         """A play runs at each of 120 nodes, with at most 22 connections to nodes, as the order to stop comes: all plays are released."""
         viewer = self.viewer()
-        viewer.write(*(set_up(n + 1, figures=f"home:{n % 3};copies:1;top:2;at:{node.name}") for n, node in enumerate(self.nodes)), TEST)
+        viewer.write(*(set_up(n + 1, figures=f"home:{n % 3};copies:1;top:2;at:{node.name}") for n, node in enumerate(self.nodes)), PING)
         released = {}
 
         def receive():
@@ -151,10 +151,10 @@
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         last = set_up(1)
         fill = READ_BYTES - len(last)
-        tests = [TEST] * (fill // len(TEST) - 1)
-        rest = fill - len(TEST) * len(tests)
-        tests.append(binary.encode(binary.PING, "0" * 16, (222, b"\0" * (1 + rest - len(TEST)))))
-        viewer.write(b"".join([*tests, last]))
+        pings = [PING] * (fill // len(PING) - 1)
+        rest = fill - len(PING) * len(pings)
+        pings.append(binary.encode(binary.PING, "0" * 16, (222, b"\0" * (1 + rest - len(PING)))))
+        viewer.write(b"".join([*pings, last]))
         harness.wait_for_unread(stream, READ_BYTES)
         harness.turns(3)
         self.assertEqual(len(harness.director.controller.plays), 1)
