--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -43,7 +43,8 @@
         "lost",
     ),
     "passes on what is cut short": Broken(
-        "from laddergw.signalling import description; description.may_be_cut = lambda *args: False",
+        "from laddergw.signalling import description; "
+        "description.may_be_truncated = lambda *args: False",
         "lost",
         "no media node made",
     ),
@@ -64,16 +65,18 @@
     ),
     "spins": Broken(
         "from laddergw.loop import base; ends = base.BaseLoop.end_turn; "
-        "base.BaseLoop.end_turn = lambda self: (ends(self), self.soon(lambda: None))",
+        "base.BaseLoop.end_turn = lambda self: (ends(self), self.call_soon(lambda: None))",
         "limits",
         "spins",
     ),
     "spends past its budget": Broken(
-        "from laddergw.control import plays; plays.Allocations.ration = lambda *args: None",
+        "from laddergw.control import plays; "
+        "plays.Allocations.check_retry_budget = lambda *args: None",
         "budget",
     ),
     "fails in its calls": Broken(
-        "from laddergw.platform import following as f; f.Follower.take = lambda *args: 1 / 0",
+        "from laddergw.platform import change_log as f; "
+        "f.ChangeLogClient.handle_event = lambda *args: 1 / 0",
         "crash",
     ),
 }
--- a/laddergw/hosting.py
+++ b/laddergw/hosting.py
@@ -57,14 +57,14 @@
         """Wakes the controller at `when`, or at the earlier time that is set already."""
         if (
             self.wake_timer is not None
-            and self.wake_timer.call is not None
+            and self.wake_timer.callback is not None
             and self.wake_at <= when
         ):
             return
         if self.wake_timer is not None:
             self.wake_timer.cancel()
         if when < float("inf"):
-            self.wake_at, self.wake_timer = when, self.loop.at(when, self.wake)
+            self.wake_at, self.wake_timer = when, self.loop.call_at(when, self.wake)
 
     def wake(self) -> None:
         """Wakes the controller."""
@@ -77,6 +77,6 @@
         """
         while not self.broken and self.controller.pending:
             self.feed(self.controller.decide, self.loop.now, 1)
-            if self.loop.reading() - self.loop.now >= DECISION_SLICE_MS:
-                self.loop.after(0, lambda: None)
+            if self.loop.read_clock() - self.loop.now >= DECISION_SLICE_MS:
+                self.loop.call_later(0, lambda: None)
                 return
--- a/laddergw/lab/soak/directors.py
+++ b/laddergw/lab/soak/directors.py
@@ -21,7 +21,7 @@
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())[
     "run"
 ]  # the deploy file's own line
-TEST = binary.encode(binary.TEST, "0" * 16, (binary.CAUSE, b"\0"))
+TEST = binary.encode(binary.PING, "0" * 16, (binary.CAUSE, b"\0"))
 LOOK_MS = 50.0
 STOPPED_MS = (200.0, 400.0)  # new connections go on coming so long after the order to stop
 TICK_MS = 1000.0 / os.sysconf("SC_CLK_TCK")
@@ -40,7 +40,7 @@
         stream.write(TEST)
 
     def heard(self, message) -> None:
-        if message.kind == binary.TESTED and message.parameters[binary.CAUSE] == b"\1":
+        if message.kind == binary.PONG and message.parameters[binary.CAUSE] == b"\1":
             self.passed()
         self.stream.close()
 
@@ -117,7 +117,7 @@
     def look(self, process) -> None:
         if self.process is process and not self.takes and not self.stopping:
             Tested(self.trial.loop, self.address, lambda: self.ready(process))
-            self.trial.loop.after(LOOK_MS, lambda: self.look(process))
+            self.trial.loop.call_later(LOOK_MS, lambda: self.look(process))
 
     def ready(self, process) -> None:
         if self.process is process and not self.takes and not self.stopping:
@@ -133,10 +133,10 @@
         process, self.stopping = self.process, True
         self.trial.record("director told to stop", director=self.name)
         process.send_signal(signal.SIGTERM)
-        self.trial.loop.after(
+        self.trial.loop.call_later(
             self.trial.draw.uniform(*STOPPED_MS), lambda: self.no_new_connections(process)
         )
-        self.trial.loop.after(self.trial.terms.kill_ms, lambda: self.kill_stopped(process))
+        self.trial.loop.call_later(self.trial.terms.kill_ms, lambda: self.kill_stopped(process))
 
     def no_new_connections(self, process) -> None:
         if self.process is process:
@@ -161,7 +161,7 @@
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGSTOP)
             self.trial.record("director frozen", director=self.name, ms=ms)
-            self.trial.loop.after(
+            self.trial.loop.call_later(
                 ms, lambda: process.poll() is None and process.send_signal(signal.SIGCONT)
             )
 
--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -2,9 +2,9 @@
 
 # Before all else: until the loop handles them, signals end the process by default.
 if __name__ == "__main__":
-    from laddergw.loop import held
+    from laddergw.loop import signal_mask
 
-    held.hold()
+    signal_mask.block_signals()
 
 import gc
 import logging
@@ -14,7 +14,7 @@
 import sys
 import time
 
-from laddergw.loop import held
+from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
 from laddergw.platform import configuration as configurations
 from laddergw.platform.director import Director
@@ -86,7 +86,7 @@
         time.process_time() * 1000,
     )
     loop.run()
-    held.hold()  # what comes to a process that ends must not end it otherwise
+    signal_mask.block_signals()  # what comes to a process that ends must not end it otherwise
     log.info("director %s ends", configuration.name)
     loop.close()
     return EXIT_FAILED if director.broken else EXIT_OK
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -39,13 +39,13 @@
             self.handle_set_up(viewer, message)
         elif message.kind == binary.RELEASE:
             self.handle_release(viewer, message.session)
-        elif message.kind == binary.TEST:
+        elif message.kind == binary.PING:
             viewer.write(
-                binary.TESTED,
+                binary.PONG,
                 message.session,
                 (binary.CAUSE, bytes([self.director.stopping_since is None])),
             )
-        elif message.kind == binary.HEARD:
+        elif message.kind == binary.RELEASE_ACK:
             self.director.listener.releases.acknowledged(message.session)
         elif message.kind != binary.PROGRESS:
             viewer.close("a director's message")
@@ -101,7 +101,7 @@
         play.deadline = self.director.loop.now + max(
             0.0, request.play_request.wait_ms - viewer.stall_ms - ANSWER_MARGIN_MS
         )
-        play.deadline_timer = self.director.loop.at(
+        play.deadline_timer = self.director.loop.call_at(
             play.deadline + OVERDUE_GRACE_MS, lambda: self.fail_overdue(play)
         )
         return self.deferred_plays.append(play)
@@ -114,21 +114,21 @@
         for play in plays:
             if self.director.open_requests.get(play.session) is not play:
                 continue
-            if play.viewer.stream.more:
+            if play.viewer.stream.may_have_more:
                 self.deferred_plays.append(play)
             elif play.pending_outcome is not None:
-                self.director.allocating.ending.report_outcome(play)
+                self.director.allocator.ending.report_outcome(play)
             else:
                 play_request = play.request.play_request._replace(
                     wait_ms=max(0.0, play.deadline - self.director.loop.now)
                 )
                 self.director.feed(
-                    self.director.controller.asked, self.director.loop.now, play_request
+                    self.director.controller.request_play, self.director.loop.now, play_request
                 )
 
     def is_hand_over(self, message: binary.Message) -> bool:
         """Whether a set-up names a node where its play runs already."""
-        return b"at:" in (message.parameters or {}).get(binary.FIGURES, b"")
+        return b"at:" in (message.parameters or {}).get(binary.ATTRIBUTES, b"")
 
     def accept_hand_over(
         self, viewer: ViewerConnection, session: str, request: requests.Request
@@ -145,43 +145,47 @@
         if session not in self.director.running_plays:
             self.director.count("handed over")
             log.debug("%s: handed over on %s, plays at node %s", session, viewer, node.id)
-            play = self.director.running_plays[session] = node.held[session] = Play(
+            play = self.director.running_plays[session] = node.running_plays[session] = Play(
                 request, session, viewer
             )
             play.node, play.number, play.is_running = node, 0, True
             self.director.feed(
-                self.director.controller.handed_over,
+                self.director.controller.take_over_play,
                 self.director.loop.now,
                 request.play_request,
                 node.number,
             )
-            if not node.connections and self.director.nodes.room(of_held=False):
+            if not node.connections and self.director.nodes.make_room(include_serving=False):
                 node.dial()  # the node reports on the play on any connection
         return None
 
     def retry_after(self, ms: float | None) -> tuple[int, bytes]:
         """Returns the parameter that tells a declined viewer how long to stay away."""
-        return binary.AWAY, b"%d" % (ms or 0)
+        return binary.RETRY_AFTER, b"%d" % (ms or 0)
 
     def handle_release(self, viewer: ViewerConnection, session: str) -> None:
         """Ends a play whose viewer has released it."""
         # It may have given up as our answer left, so a running play is released to it too.
         if play := self.director.running_plays.get(session):
             log.debug("%s.%d: ended by its viewer on %s", play.session, play.number, viewer)
-            self.director.allocating.release(play)
+            self.director.allocator.release(play)
             self.director.listener.send_until_acknowledged(
                 viewer, binary.RELEASE, session, (binary.CAUSE, bytes([ENDED]))
             )
-            self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
-            self.director.allocating.ending.allocation_ended(
-                play, allocation.HELD, allocation.GIVEN_UP
+            self.director.feed(
+                self.director.controller.viewer_left, self.director.loop.now, play.id
+            )
+            self.director.allocator.ending.allocation_ended(
+                play, allocation.RUNNING, allocation.CANCELLED
             )
         elif (play := self.director.open_requests.get(session)) and play.viewer is viewer:
             return self.viewer_gave_up(play)
         # Its hand-over may be on its way on another connection.
         elif session not in self.director.open_requests:
-            self.director.loop.after(CROSSING_MS, lambda: self.end_late_hand_over(viewer, session))
-        return viewer.write(binary.HEARD, session)
+            self.director.loop.call_later(
+                CROSSING_MS, lambda: self.end_late_hand_over(viewer, session)
+            )
+        return viewer.write(binary.RELEASE_ACK, session)
 
     def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
         """Ends a play whose hand-over has arrived after its release."""
@@ -196,8 +200,8 @@
         self.director.count("given up")
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
-        self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
-        self.director.allocating.give_up(play)
+        self.director.feed(self.director.controller.viewer_left, self.director.loop.now, play.id)
+        self.director.allocator.cancel(play)
 
     def fail_overdue(self, play: Play) -> None:
         """Fails a request whose answer is overdue, whatever holds it up."""
@@ -205,7 +209,9 @@
         if play.session in self.director.open_requests:
             log.info("%s: answer overdue, failed", play.session)
             self.director.count("overdue")
-            self.director.feed(self.director.controller.left, self.director.loop.now, play.id)
+            self.director.feed(
+                self.director.controller.viewer_left, self.director.loop.now, play.id
+            )
             if play.session in self.director.open_requests:
                 self.finish(play, FAILED)
 
@@ -224,7 +230,7 @@
         )
         self.director.count("declined" if cause == DECLINED else "failed")
         play.viewer.refuse(play.session, cause, *more)
-        self.director.allocating.give_up(play)
+        self.director.allocator.cancel(play)
 
     def start_play(self, play: Play, description: bytes) -> None:
         """Starts a play that its node has accepted: its viewer gets the node's description."""
@@ -232,13 +238,13 @@
         play.viewer.plays.pop(play.session, None)
         play.stop_timers()
         play.is_running, play.answered_at = True, self.director.loop.now
-        self.director.running_plays[play.session] = play.node.held[play.session] = play
+        self.director.running_plays[play.session] = play.node.running_plays[play.session] = play
         play.viewer.write(binary.ANSWER, play.session, (binary.DESCRIPTION, description))
         self.director.listener.mark_served(play.viewer)
         log.debug("%s.%d: plays, answered on %s", play.session, play.number, play.viewer)
         self.director.count("playing")
         self.director.feed(
-            self.director.controller.playing,
+            self.director.controller.play_started,
             self.director.loop.now,
             play.id,
             play.number,
--- a/laddergw/platform/configuration.py
+++ b/laddergw/platform/configuration.py
@@ -81,7 +81,7 @@
         values = settings.flatten(settings_tree)
         deployment, reader = settings.decode(values), settings.SettingsReader(values)
         known_events, products = (
-            changes.known(tree["known"]),
+            changes.parse_initial_events(tree["known"]),
             number_names([grade["Name"] for grade in settings_tree["Grades"]], "Grades"),
         )
         grades = range(len(deployment.products))
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -1,7 +1,7 @@
 """The platform's director: hosts the Controller between viewers and media nodes.
 
 The order within a turn is that of every director: what was read is reported, then timers run, then
-`decide`. Viewers are answered in admission.py, allocations are carried out in allocating.py; this
+`decide`. Viewers are answered in admission.py, allocations are carried out in allocator.py; this
 module has the configuration, the fleet list, verdicts, and the process's end.
 """
 
@@ -14,11 +14,11 @@
 from laddergw.hosting import ControllerHost
 from laddergw.platform import allocation
 from laddergw.platform.admission import Admission
-from laddergw.platform.allocating import Allocating
+from laddergw.platform.allocator import Allocator
 from laddergw.platform.causes import BROKEN, DECLINED, FAILED
+from laddergw.platform.change_log import ChangeLogClient
 from laddergw.platform.configuration import Configuration, keep_numbers
-from laddergw.platform.following import Follower
-from laddergw.platform.listing import Listing
+from laddergw.platform.fleet_list import FleetList
 from laddergw.platform.nodes import Nodes
 from laddergw.platform.plays import Play
 from laddergw.platform.viewers import ViewerListener
@@ -56,28 +56,28 @@
         self.stopping_since: float | None = None
         self.is_exiting = False  # all plays are over, its connections are being closed
         self.controller = Controller(configuration.deployment, configuration.seed, loop.now)
-        self.admission, self.allocating = Admission(self), Allocating(self)
+        self.admission, self.allocator = Admission(self), Allocator(self)
         self.nodes = Nodes(
             loop,
-            self.allocating,
+            self.allocator,
             int(NODE_SOCKET_SHARE * configuration.sockets),
             configuration.connect_ms,
             configuration.idle_ms,
         )
-        self.listing = Listing(self)
+        self.fleet_list = FleetList(self)
         for event in configuration.known_events:
-            self.listing.listed(event)
+            self.fleet_list.apply_event(event)
         self.listener = ViewerListener(
             loop,
             self.admission,
             configuration.listen,
             int(VIEWER_SOCKET_SHARE * configuration.sockets),
         )
-        self.follower = Follower(
-            loop, configuration.changelog, configuration.last_event, self.listing.listed
+        self.change_log = ChangeLogClient(
+            loop, configuration.changelog, configuration.last_event, self.fleet_list.apply_event
         )
-        loop.at_turn_end(self.finish_turn)
-        loop.after(COUNTS_INTERVAL_MS, self.log_counts)
+        loop.on_turn_end(self.finish_turn)
+        loop.call_later(COUNTS_INTERVAL_MS, self.log_counts)
         self.feed(self.controller.wake, loop.now)
 
     def count(self, name: str) -> None:
@@ -86,17 +86,17 @@
 
     def log_counts(self) -> None:
         """Logs the counters and the loop's lag, periodically."""
-        self.loop.after(COUNTS_INTERVAL_MS, self.log_counts)
+        self.loop.call_later(COUNTS_INTERVAL_MS, self.log_counts)
         log.info(
             "open %d, running %d, viewers %d, connections to nodes %d, lag %.0f ms; %s",
             len(self.open_requests),
             len(self.running_plays),
             len(self.listener.viewers),
             self.nodes.connections(),
-            self.loop.worst_lag,
+            self.loop.max_lag_ms,
             ", ".join(f"{name} {n}" for name, n in sorted(self.counts.items())),
         )
-        self.loop.worst_lag = 0.0
+        self.loop.max_lag_ms = 0.0
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Applies a file that was read again: its list, change log and limits at once, its terms to
@@ -107,9 +107,9 @@
         before, updated = self.configuration, keep_numbers(self.configuration, configuration)
         self.configuration = updated
         if updated.deployment != before.deployment:
-            self.feed(self.controller.retold, self.loop.now, updated.deployment)
+            self.feed(self.controller.update_deployment, self.loop.now, updated.deployment)
         self.listener.set_max_connections(int(VIEWER_SOCKET_SHARE * updated.sockets))
-        self.nodes.most, self.nodes.connect_ms, self.nodes.idle_ms = (
+        self.nodes.max_connections, self.nodes.connect_ms, self.nodes.idle_ms = (
             int(NODE_SOCKET_SHARE * updated.sockets),
             updated.connect_ms,
             updated.idle_ms,
@@ -117,20 +117,24 @@
         # A name that was unknown before may have a number now.
         if (updated.kinds, updated.zones) != (before.kinds, before.zones):
             self.feed(
-                self.controller.listed,
+                self.controller.update_fleet,
                 self.loop.now,
-                [self.listing.line_of(node) for node in self.nodes.by_id.values() if not node.gone],
+                [
+                    self.fleet_list.entry_of(node)
+                    for node in self.nodes.by_id.values()
+                    if not node.gone
+                ],
                 False,
             )
         # After a gap only a whole list is applied; the change log has the missing events.
         for event in updated.known_events:
-            if event.number > self.follower.last and (
-                event.whole or event.number == self.follower.last + 1
+            if event.number > self.change_log.last_number and (
+                event.is_complete or event.number == self.change_log.last_number + 1
             ):
-                self.follower.last = event.number
-                self.listing.listed(event)
+                self.change_log.last_number = event.number
+                self.fleet_list.apply_event(event)
         if updated.changelog != before.changelog:
-            self.follower.switch(updated.changelog)
+            self.change_log.switch_address(updated.changelog)
 
     def stop(self) -> None:
         """Declines new requests; running plays go on for as long as a stop allows.
@@ -139,7 +143,7 @@
         """
         if self.stopping_since is not None:
             return
-        waited_ms = self.loop.stalled
+        waited_ms = self.loop.stall_ms
         self.stopping_since = signalled_at = self.loop.now - waited_ms
         log.info(
             "stopping, signalled up to %.0f ms ago: open %d, running %d",
@@ -150,8 +154,8 @@
         # Open requests may have longer limits than the current configuration.
         limits = [play.deadline - signalled_at for play in self.open_requests.values()]
         longest = max([self.configuration.longest_limit_ms, *limits])
-        self.loop.after(MIN_STOP_MS - waited_ms, lambda: None)
-        self.loop.after(
+        self.loop.call_later(MIN_STOP_MS - waited_ms, lambda: None)
+        self.loop.call_later(
             min(longest, MAX_COUNTED_LIMIT_MS) + STOP_GRACE_MS - waited_ms, self.end_all_plays
         )
 
@@ -167,8 +171,8 @@
     def release_all_plays(self) -> None:
         """Releases the running plays at their nodes and to their viewers."""
         for play in list(self.running_plays.values()):
-            self.allocating.release(play)
-            self.allocating.ending.remove_running(play)
+            self.allocator.release(play)
+            self.allocator.ending.remove_running(play)
             self.listener.send_until_acknowledged(
                 play.viewer, binary.RELEASE, play.session, (binary.CAUSE, bytes([BROKEN]))
             )
@@ -176,22 +180,22 @@
     def exit_when_acknowledged(self, latest: float) -> None:
         """Exits once releases are acknowledged: a connection that ends loses what is unread."""
         self.is_exiting = True
-        if (self.listener.releases or self.nodes.unsent()) and self.loop.now < latest:
-            self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
+        if (self.listener.releases or self.nodes.has_unsent()) and self.loop.now < latest:
+            self.loop.call_later(EXIT_POLL_MS, lambda: self.exit_when_acknowledged(latest))
         else:
-            self.follower.stop()
+            self.change_log.stop()
             more = True
             while more:
                 more = self.listener.read_last_messages()
                 self.release_all_plays()  # those handed over in the last messages
                 self.listener.close_all()
-            self.nodes.shut()
+            self.nodes.shut_down()
             self.exit_when_closed(self.loop.now + CLOSE_WAIT_MS)
 
     def exit_when_closed(self, latest: float) -> None:
         """Stops the loop once its peers have read the closed connections to their ends."""
         if (self.loop.open_streams or self.loop.lingering) and self.loop.now < latest:
-            self.loop.after(EXIT_POLL_MS, lambda: self.exit_when_closed(latest))
+            self.loop.call_later(EXIT_POLL_MS, lambda: self.exit_when_closed(latest))
         else:
             self.loop.stop()
 
@@ -224,23 +228,23 @@
         if play is None:
             return
         if verdict.node is not None:
-            self.allocating.allocate(play, verdict)
+            self.allocator.allocate(play, verdict)
         elif verdict.answer is not None:
             declined = verdict.answer == interface.DECLINED
             self.admission.finish(
                 play,
                 DECLINED if declined else FAILED,
-                *([self.admission.retry_after(verdict.retry_ms)] if declined else ()),
+                *([self.admission.retry_after(verdict.retry_after_ms)] if declined else ()),
             )
         elif verdict.move and play.is_running:
-            self.allocating.release(play)
+            self.allocator.release(play)
             self.listener.send_until_acknowledged(play.viewer, binary.MOVE, play.session)
-            self.allocating.ending.allocation_ended(play, allocation.HELD, allocation.GIVEN_UP)
+            self.allocator.ending.allocation_ended(play, allocation.RUNNING, allocation.CANCELLED)
         elif verdict.rung is not None and play.is_running:
             self.count("steps")
-            self.allocating.say(
+            self.allocator.send_to_node(
                 play.node,
-                rtsp.request(
+                rtsp.encode_request(
                     "SET_PARAMETER",
                     play.request.title,
                     play.session,
--- a/laddergw/platform/play_ending.py
+++ b/laddergw/platform/play_ending.py
@@ -29,16 +29,16 @@
         if play.is_running:
             self.remove_running(play)
             # One that left, by its node's word, gets a release too: its answer may be on its way.
-            if fact != allocation.GIVEN_UP:
+            if fact != allocation.CANCELLED:
                 cause = bytes([self.release_cause(play, fact)])
                 self.director.listener.send_until_acknowledged(
                     play.viewer, binary.RELEASE, play.session, (binary.CAUSE, cause)
                 )
         elif play.connection is not None:
             if play.session in play.connection.plays:
-                play.connection.settle(play.session)
+                play.connection.close_set_up(play.session)
             play.connection = None
-            play.node.open.pop(play.session, None)
+            play.node.open_set_ups.pop(play.session, None)
         self.record_outcome(play, outcome, report)
 
     def release_cause(self, play: Play, fact: str) -> int:
@@ -47,15 +47,15 @@
         A viewer that left, by its node's word, while our answer was on its way does not count that
         answer as one. The release is then its final answer, and its cause must be that of one.
         """
-        if fact in (allocation.BROKEN_OFF, allocation.LOST):
+        if fact in (allocation.INTERRUPTED, allocation.NODE_LOST):
             return BROKEN
         is_in_transit = self.director.loop.now - play.answered_at <= ANSWER_DELIVERY_MS
-        return FAILED if fact == allocation.LEFT and is_in_transit else ENDED
+        return FAILED if fact == allocation.VIEWER_LEFT and is_in_transit else ENDED
 
     def remove_running(self, play: Play) -> None:
         """Removes a play from the running plays of the director and of its node."""
         self.director.running_plays.pop(play.session, None)
-        play.node.held.pop(play.session, None)
+        play.node.running_plays.pop(play.session, None)
 
     def record_outcome(self, play: Play, outcome: str, report: tuple = ()) -> None:
         """Records an allocation's outcome; reports it at the turn's end if a retry is possible."""
@@ -70,7 +70,7 @@
         # It may be retried, once its viewer's connection has been read to its end.
         self.director.admission.deferred_plays.append(play)
         # At the end of this turn, or of the next one, which then begins at once.
-        self.director.loop.after(0, lambda: None)
+        self.director.loop.call_later(0, lambda: None)
         return None
 
     def report_outcome(self, play: Play) -> None:
@@ -78,7 +78,7 @@
         (outcome, report), play.pending_outcome = play.pending_outcome, None
         over = play.is_running or self.director.open_requests.get(play.session) is not play
         self.director.feed(
-            self.director.controller.ended,
+            self.director.controller.allocation_ended,
             self.director.loop.now,
             play.id,
             play.number,
--- a/laddergw/platform/requests.py
+++ b/laddergw/platform/requests.py
@@ -7,7 +7,7 @@
 import re
 from typing import NamedTuple
 
-from laddergw.interface import Asked
+from laddergw.interface import PlayRequest
 from laddergw.platform.configuration import Configuration
 from laddergw.signalling import binary
 
@@ -28,7 +28,7 @@
 class Request(NamedTuple):
     """A parsed set-up: the controller's request, and what is passed on to a media node."""
 
-    play_request: Asked
+    play_request: PlayRequest
     product: str
     title: str
     playing_at: str  # id of the node where the play runs already; empty for a new one
@@ -63,7 +63,7 @@
     if message.parameters is None:
         raise UnusableRequestError("the parameters do not fit into the message")
     deployment, figures = configuration.deployment, {}
-    for part in text_parameter(message, binary.FIGURES).split(";"):
+    for part in text_parameter(message, binary.ATTRIBUTES).split(";"):
         name, colon, value = part.partition(":")
         if not colon or name in figures:
             raise UnusableRequestError(f"figures: {part[:40]!r}")
@@ -90,13 +90,13 @@
         math.inf
         if playing_at
         else parse_number(
-            text_parameter(message, binary.PATIENCE),
+            text_parameter(message, binary.WAIT_LIMIT),
             "patience",
             0,
             MAX_PATIENCE_RATIO * configuration.longest_limit_ms,
         )
     )
-    play_request = Asked(
+    play_request = PlayRequest(
         int(message.session, 16),
         configuration.products[product],
         int(title, 16),
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -42,8 +42,9 @@
         self.opened_at = self.last_used = listener.loop.now
         self.partial_since = None  # when an unfinished message began, or None
         self.closing = False
+
         # How long it may have waited to be accepted, and its first messages with it.
-        self.stall_ms = listener.loop.stalled
+        self.stall_ms = listener.loop.stall_ms
         self.name = listener.next_name()
 
     def __str__(self) -> str:
@@ -54,15 +55,15 @@
         log.debug("%s: opened by %s", self, stream.peer)
         self.listener.connection_opened(self)
 
-    def emptied(self, stream) -> None:
+    def write_buffer_drained(self, stream) -> None:
         pass
 
-    def got(self, stream, data: bytes) -> None:
+    def data_received(self, stream, data: bytes) -> None:
         self.reader.feed(data)
         self.partial_since = (
             self.listener.loop.now if self.partial_since is None else self.partial_since
         )
-        self.stall_ms = max(self.stall_ms, self.listener.loop.stalled)
+        self.stall_ms = max(self.stall_ms, self.listener.loop.stall_ms)
         try:
             while self.stream is not None and (message := self.reader.next()) is not None:
                 self.partial_since = self.last_used = self.listener.loop.now
@@ -140,7 +141,7 @@
         self.releases = Releases(loop, self.viewers, admission.count)
         self.connection_count = 0
         self.acceptor = loop.listen(address, lambda stream: ViewerConnection(self))
-        loop.after(CHECK_INTERVAL_MS, self.check_connections)
+        loop.call_later(CHECK_INTERVAL_MS, self.check_connections)
 
     def next_name(self) -> str:
         """Returns the next connection's name, for the log."""
@@ -195,7 +196,7 @@
             for _ in range(MAX_LAST_READS):
                 if viewer.stream is not None:
                     viewer.stream.read_now()
-                if viewer.stream is None or not viewer.stream.more:
+                if viewer.stream is None or not viewer.stream.may_have_more:
                     break
         more = starved and any(v.stream is not None and not v.stream.queued for v in self.viewers)
         if not more:
@@ -215,7 +216,7 @@
 
     def check_connections(self) -> None:
         """Closes useless connections and drops expired releases, periodically."""
-        self.loop.after(CHECK_INTERVAL_MS, self.check_connections)
+        self.loop.call_later(CHECK_INTERVAL_MS, self.check_connections)
         now = self.loop.now
         for viewer in list(self.viewers):
             if viewer.close_reason(now):
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -35,7 +35,7 @@
         read = house.read(VALID)
         self.assertEqual((read.names, read.deployment.directors, read.deployment.budget_free), (("hearing", "notice"), 4, 3))
         self.assertEqual(read.deployment.products[1][:2], (2, "paid"))
-        self.assertEqual(read.bounds, house.Bounds())
+        self.assertEqual(read.bounds, house.DirectorLimits())
 
     def test_each_fault_is_reported_with_its_place(self):
         class Trace:
@@ -46,7 +46,7 @@
             with self.assertRaises(Refused) as caught:
                 house.read(VALID.replace(old, new, 1), "house.scm")
             Trace.lines += str(caught.exception).splitlines()
-        self.same("files", Trace)
+        self.assert_trace("files", Trace)
 
     def test_all_faults_are_reported_at_once(self):
         text = VALID.replace("(streams 20)", "(streams x)").replace("(floor 1)", "(floor 9)").replace("8200", "-1")
--- a/tests/test_orders_last_close.py
+++ b/tests/test_orders_last_close.py
@@ -7,7 +7,7 @@
 import socket
 import unittest
 
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
 
 class LastCloseTests(unittest.TestCase):
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.now = [0.0]
-        self.town = Town(self, now=lambda: self.now[0])
+        self.town = SocketHarness(self, now=lambda: self.now[0])
 
     # Guards against a connection that comes up between a stopping director's last accept and its
     # listener's close, and is reset.
@@ -24,7 +24,7 @@
         early, late = socket.create_connection(self.town.address), socket.socket()
         self.addCleanup(early.close)
         self.addCleanup(late.close)
-        listener.stop_connecting()
+        listener.drop_new_connections()
         late.setblocking(False)
         late.connect_ex(self.town.address)
         listener.accept_waiting()
@@ -51,7 +51,7 @@
 
         listener.close_all = close_and_reconnect
         self.town.director.stop()
-        self.town.to_the_end(self.now)
+        self.town.run_to_end(self.now)
         self.assertEqual(seen, ["refused"])
 
 
--- a/tests/test_orders_scarce.py
+++ b/tests/test_orders_scarce.py
@@ -7,9 +7,9 @@
 
 from laddergw.signalling import binary
 from tests.platform_cluster import answer, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
-DECLINED, PING = 42, binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
+DECLINED, PING = 42, binary.encode(binary.PING, "0" * 16, (222, b"\0"))
 
 
 @contextlib.contextmanager
@@ -36,16 +36,16 @@
 
     def setUp(self):
         self.now = [10_000.0]
-        self.town = Town(self, now=lambda: self.now[0])
+        self.town = SocketHarness(self, now=lambda: self.now[0])
 
     def advance(self, ms):
-        self.town.passes(self.now, ms)
+        self.town.advance_clock(self.now, ms)
 
     def test_a_stop_while_the_listener_waits_for_a_descriptor(self):
         """A connection that could not be accepted waits as the stop begins: the process ends, and the viewer gets its answer and an end."""
         first = self.town.viewer()
         first.write(PING)
-        self.town.until(first.hear)
+        self.town.run_until(first.receive)
         late = socket.socket()
         self.addCleanup(late.close)
         late.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -74,10 +74,10 @@
             self.town.viewer().write(b"\xff" * 50)
             self.town.turns(3)
         self.assertEqual(len(self.town.loop.lingering), 3)
-        self.town.director.follower.again("it breaks off")
+        self.town.director.change_log.reconnect("it breaks off")
         with few_descriptors():
             self.advance(60)
-            self.assertIsNotNone(self.town.director.follower.stream)
+            self.assertIsNotNone(self.town.director.change_log.stream)
             self.assertEqual(len(self.town.loop.lingering), 2)
 
     def test_closed_connections_give_way_to_new_viewers(self):
@@ -94,17 +94,17 @@
     def test_a_dial_without_a_descriptor_says_nothing_about_its_node(self):
         """The node has done nothing: it counts neither as failing nor as paced, and a later play goes there."""
         viewer = self.town.viewer()
-        self.town.side(viewer)
+        self.town.director_stream(viewer)
         with few_descriptors():
             viewer.write(set_up(1))
-            self.town.lies_there(self.town.side(viewer), len(set_up(1)))
+            self.town.wait_for_unread(self.town.director_stream(viewer), len(set_up(1)))
             self.town.turns(6)
         node = self.town.director.controller.fleet.nodes[1]
-        self.assertEqual((node.ill, node.rest), (0, 0.0))
+        self.assertEqual((node.backoff_level, node.backoff_until), (0, 0.0))
         viewer.write(set_up(2))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.assertIn(binary.ANSWER, [m.kind for m in self.town.until(lambda: [m for m in viewer.hear() if m.session == f"{2:016x}"])])
+        self.assertIn(binary.ANSWER, [m.kind for m in self.town.run_until(lambda: [m for m in viewer.receive() if m.session == f"{2:016x}"])])
 
 
 if __name__ == "__main__":
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -5,9 +5,9 @@
 from laddergw.platform.director import ACKNOWLEDGE_WAIT_MS, CLOSE_WAIT_MS, MIN_STOP_MS
 from laddergw.signalling import binary
 from tests.platform_cluster import answer, set_up
-from tests.sockets_town import Town
+from tests.socket_harness import SocketHarness
 
-PING = binary.encode(binary.TEST, "0" * 16, (222, b"\0"))
+PING = binary.encode(binary.PING, "0" * 16, (222, b"\0"))
 DECLINED, BROKEN = 42, 41  # causes
 STALL_MS = 800.0
 KILL_MS = 3_000.0 + 700.0  # earliest SIGKILL after SIGTERM: the longest time limit of the settings counts as 3 s, and 0.7 s more
@@ -18,11 +18,11 @@
 
     def setUp(self):
         self.now = [0.0]
-        self.town = Town(self, now=lambda: self.now[0])
+        self.town = SocketHarness(self, now=lambda: self.now[0])
 
     def run_to_exit(self):
         """Runs turns of 10 ms of the test's clock until the director has ended, then closes its loop; returns the time it took, ms."""
-        return self.town.to_the_end(self.now)
+        return self.town.run_to_end(self.now)
 
     def in_the_last_turn(self, act):
         """Calls `act` when the last turn has read all its sockets."""
@@ -36,13 +36,13 @@
 
     def causes(self, viewer, digits=1):
         """Returns (end of the session id, cause) of the releases that a viewer has received."""
-        return [(m.session[-digits:], m.parameters[binary.CAUSE][0]) for m in viewer.hear() if m.kind == binary.RELEASE]
+        return [(m.session[-digits:], m.parameters[binary.CAUSE][0]) for m in viewer.receive() if m.kind == binary.RELEASE]
 
     def test_requests_of_the_last_turn_are_answered(self):
         """On an open connection, on one that waits to be accepted, and on hundreds that do."""
         open_one, late = self.town.viewer(), []
         open_one.write(PING)
-        self.town.until(open_one.hear)
+        self.town.run_until(open_one.receive)
 
         def act():
             open_one.write(set_up(2))
@@ -60,7 +60,7 @@
     def test_more_than_one_read_in_the_last_turn(self):
         """Hundreds of set-ups wait on one connection: each is declined, also those that the first read does not reach."""
         viewer = self.town.viewer()
-        side = self.town.side(viewer)
+        side = self.town.director_stream(viewer)
         viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
         side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         data = b"".join(set_up(n) for n in range(1, 901))
@@ -69,7 +69,7 @@
             viewer.sock.setblocking(True)
             viewer.write(data)
             viewer.sock.setblocking(False)
-            self.town.lies_there(side, len(data))
+            self.town.wait_for_unread(side, len(data))
         self.in_the_last_turn(act)
         self.town.director.stop()
         self.run_to_exit()
@@ -79,12 +79,12 @@
         """Otherwise it would go on at its node without a director."""
         viewer = self.town.viewer()
         viewer.write(PING)
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         self.in_the_last_turn(lambda: viewer.write(set_up(5, figures="home:0;copies:3;top:2;at:a")))
         self.town.director.stop()
         self.run_to_exit()
         self.assertEqual((self.causes(viewer), viewer.ended), ([("5", BROKEN)], "end"))
-        self.assertEqual([m.method for _, m in self.town.nodes["a"].hear()], ["TEARDOWN"])
+        self.assertEqual([m.method for _, m in self.town.nodes["a"].receive()], ["TEARDOWN"])
 
     def test_an_answer_beside_bytes_that_are_not_read(self):
         """The last message to a viewer is not lost by a reset, though the viewer goes on sending."""
@@ -102,27 +102,27 @@
         """The viewer has acknowledged its release at once; the connection that is to carry the release to its node is still coming up."""
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         line.close()
         self.town.director.stop()
         self.in_the_last_turn(lambda: self.town.director.listener.releases.acknowledged(message.session))
-        say, node = self.town.director.allocating.say, self.town.director.nodes.by_id["a"]
+        say, node = self.town.director.allocator.send_to_node, self.town.director.nodes.by_id["a"]
 
         def close_and_say(where, data, *ends):
             for line in list(node.connections):        # the node has just closed it
                 node.connections.remove(line)
                 line.stream.abort()
             return say(where, data, *ends)
-        self.town.director.allocating.say = close_and_say
+        self.town.director.allocator.send_to_node = close_and_say
         self.run_to_exit()
-        self.assertEqual([m.method for _, m in self.town.nodes["a"].hear() if m.method != "OPTIONS"], ["TEARDOWN"])
+        self.assertEqual([m.method for _, m in self.town.nodes["a"].receive() if m.method != "OPTIONS"], ["TEARDOWN"])
 
     def test_a_viewer_that_does_not_read_does_not_delay_the_exit(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
         self.town.turns(5)
         stream = next(iter(self.town.director.listener.viewers)).stream
@@ -130,7 +130,7 @@
             stream.write(b"\0\x09\x06" + b"\0" * 8)      # progress, which has no effect
         self.town.director.stop()
         self.assertLess(self.run_to_exit(), 3_000 + 350 + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
-        self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].hear()])
+        self.assertIn("TEARDOWN", [m.method for _, m in self.town.nodes["a"].receive()])
 
     def test_a_set_up_half_read_as_the_stop_begins(self):
         """Its rest comes after the signal to stop: it is declined then; a rest that never comes does not delay the exit."""
@@ -138,28 +138,28 @@
         data = set_up(2)
         viewer.write(data[:40])
         other.write(data[:40])
-        self.town.lies_there(self.town.side(viewer), 0)
+        self.town.wait_for_unread(self.town.director_stream(viewer), 0)
         self.town.turns(3)
         self.town.director.stop()
         self.town.turns(2)
         viewer.write(data[40:])
-        self.assertEqual(self.town.until(lambda: self.causes(viewer)), [("2", DECLINED)])
+        self.assertEqual(self.town.run_until(lambda: self.causes(viewer)), [("2", DECLINED)])
         self.assertLess(self.run_to_exit(), MIN_STOP_MS + ACKNOWLEDGE_WAIT_MS + CLOSE_WAIT_MS + 50)
-        self.assertEqual((viewer.hear(), viewer.ended, other.hear(), other.ended), ([], "end", [], "end"))
+        self.assertEqual((viewer.receive(), viewer.ended, other.receive(), other.ended), ([], "end", [], "end"))
 
     # Guards against a stop that is counted from when a stalled process handles the signal, and is killed before its end.
     def test_a_signal_to_stop_that_waited_while_the_process_was_stalled(self):
         viewer = self.town.viewer()
         viewer.write(set_up(1))
-        line, message = self.town.come("a")
+        line, message = self.town.wait_for_set_up("a")
         line.write(answer(message.session))
-        self.town.until(viewer.hear)
+        self.town.run_until(viewer.receive)
         self.now[0] += STALL_MS
-        self.town.loop.soon(self.town.director.stop)
+        self.town.loop.call_soon(self.town.director.stop)
         self.town.turn()
         signalled_at = self.now[0] - STALL_MS
         while not (received := self.causes(viewer)) and self.now[0] - signalled_at < KILL_MS:
-            self.town.passes(self.now, 10.0)
+            self.town.advance_clock(self.now, 10.0)
         self.assertEqual(received, [("1", BROKEN)])
 
     def test_signals_together(self):
@@ -180,16 +180,16 @@
         """Its answer is unread as we give the set-up up: our release reaches the node, and no reset discards it."""
         viewer = self.town.viewer()
         viewer.write(set_up(1, product="paid"))
-        line, message = self.town.come("a")
-        drop = self.town.director.allocating.drop_set_up
+        line, message = self.town.wait_for_set_up("a")
+        drop = self.town.director.allocator.drop_set_up
 
         def act(ply, fact):
             line.write(answer(message.session))
             return drop(ply, fact)
-        self.town.director.allocating.drop_set_up = act
+        self.town.director.allocator.drop_set_up = act
         viewer.close()
         self.town.turns()
-        self.assertEqual(([m.method for m in line.hear()], line.ended), (["TEARDOWN"], "end"))
+        self.assertEqual(([m.method for m in line.receive()], line.ended), (["TEARDOWN"], "end"))
         line.close()
         self.town.turns(3)
         self.assertEqual(len(self.town.loop.lingering), 0)
@@ -200,18 +200,18 @@
 
     def test_a_refusal_before_a_close_arrives(self):
         """A viewer that goes on sending behind a malformed message still gets its refusal, then the end."""
-        town = Town(self)
+        town = SocketHarness(self)
         viewer = town.viewer()
         viewer.write(set_up(2, product="none") + b"\xff" * 50)
         town.director.listener.admission.handle_message, heard = lambda *what: (heard(*what), viewer.write(b"\xff" * 50)), town.director.listener.admission.handle_message
         town.turns()
-        found = viewer.hear()
+        found = viewer.receive()
         self.assertEqual(([m.parameters[binary.CAUSE][0] for m in found], viewer.ended), ([95], "end"))
 
     def test_closed_connections_hold_few_descriptors(self):
         """Hundreds of peers that never end their side: the oldest are aborted; in time the last ones, too."""
         now = [0.0]
-        town = Town(self, now=lambda: now[0])
+        town = SocketHarness(self, now=lambda: now[0])
         for n in range(200):
             town.viewer().write(b"\xff" * 50)
             town.turns(2)
@@ -223,7 +223,7 @@
 
     def test_a_viewer_that_does_not_read_is_closed_at_once(self):
         """Guards against a close that waits for its queue: a viewer that did not read held its connection, and its plays, for as long as it liked."""
-        town = Town(self)
+        town = SocketHarness(self)
         viewer = town.viewer()
         town.turns(2)
         side = next(iter(town.director.listener.viewers))
@@ -232,7 +232,7 @@
         side.close("too many")
         self.assertEqual((side.stream, len(town.director.listener.viewers)), (None, 0))
         self.assertEqual(town.loop.lingering, {})
-        viewer.hear()
+        viewer.receive()
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -39,7 +39,7 @@
         town.run(2600)
         town.log_connection.tell(event(6, member("a", 1)))
         town.run(300)
-        self.same("platform_log", town)
+        self.assert_trace("platform_log", town)
 
     def test_a_list_of_1024_nodes(self):
         """All nodes are taken, half of them change in one event, and a play is placed at the node that holds its title."""
@@ -70,7 +70,7 @@
         terms["Specifics"]["SeenAfter"] = 700_000
         town.director.apply_configuration(configurations.parse(configuration_file(changelog="log two:1", settings=terms)))
         town.run(200)
-        self.assertEqual(town.director.controller.fleet.d.seen_after_ms, 700.0)
+        self.assertEqual(town.director.controller.fleet.deployment.seen_after_ms, 700.0)
         self.assertEqual(sum("log gets since 1" in line for line in town.lines), 2)
         for changes in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": BASE_SETTINGS | {"Siblings": "many"}}, {"seed": "zz"}):
             with self.subTest(changes), self.assertRaises(configurations.ConfigurationError):
@@ -84,10 +84,10 @@
         viewer.stream.write(set_up(1))
         town.run(50)
         town.director.stop()
-        viewer.stream.write(set_up(2) + binary.encode(binary.TEST, "0" * 16, (222, b"\0")))
+        viewer.stream.write(set_up(2) + binary.encode(binary.PING, "0" * 16, (222, b"\0")))
         town.run(50)
         town.run(4600)
-        self.same("platform_stop", town)
+        self.assert_trace("platform_stop", town)
         self.assertFalse(town.hosts["director"].running)
 
     def test_exit_waits_for_release_acknowledgements(self):
@@ -102,7 +102,7 @@
             self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines))
             self.assertTrue(town.hosts["director"].running)
             if acknowledges:
-                viewer.stream.write(binary.encode(binary.HEARD, f"{1:016x}"))
+                viewer.stream.write(binary.encode(binary.RELEASE_ACK, f"{1:016x}"))
             town.run(20)
             self.assertEqual(town.hosts["director"].running, not acknowledges)
             town.run(300)
@@ -120,10 +120,10 @@
 
         def fails(*_):
             raise RuntimeError("planted")
-        town.director.controller.note = fails
+        town.director.controller.update_play = fails
         node = next(iter(town.director.running_plays.values())).node.id
         with self.assertLogs("laddergw.hosting", "ERROR"):
-            town.connections[f"node {node}"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
+            town.connections[f"node {node}"].stream.write(rtsp.encode_request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
             town.run(50)
         self.assertTrue(any("viewer gets 12 2 cause 41" in line for line in town.lines), town.lines)
         self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines), town.lines)
@@ -135,14 +135,14 @@
 
     def test_events_that_prove_that_a_set_up_never_ran(self):
         never = {face.FULL, face.UNREACHABLE, face.NEVER_SENT}
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.TAKEN_BACK, life.FULL, life.MOOT):
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.WITHDRAWN, life.FULL, life.SESSION_UNKNOWN):
             self.assertIn(life.outcome(life.UNSENT, fact), never, fact)
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.LOST, life.ERROR, life.RESET, life.BROKEN_OFF, life.GIVEN_UP):
-            self.assertNotIn(life.outcome(life.OUT, fact), never, fact)
-        for fact in (life.CUT, life.SPOILT, life.LATE, life.THERE, life.FULL):
-            self.assertIsNone(life.outcome(life.HELD, fact), fact)
-        self.assertEqual([life.end(c) for c in (16, 31, 41, 0)], [life.ENDED, life.LEFT, life.BROKEN_OFF, life.BROKEN_OFF])
-        self.assertEqual([life.answer(s) for s in (200, 453, 599)], [life.THERE, life.FULL, life.ERROR])
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.ERROR, life.RESET, life.INTERRUPTED, life.CANCELLED):
+            self.assertNotIn(life.outcome(life.SENT, fact), never, fact)
+        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.ACCEPTED, life.FULL):
+            self.assertIsNone(life.outcome(life.RUNNING, fact), fact)
+        self.assertEqual([life.event_of_cause(c) for c in (16, 31, 41, 0)], [life.ENDED, life.VIEWER_LEFT, life.INTERRUPTED, life.INTERRUPTED])
+        self.assertEqual([life.event_of_status(s) for s in (200, 453, 599)], [life.ACCEPTED, life.FULL, life.ERROR])
 
     def test_one_decoder_for_json_and_lines(self):
         values = settings.flatten(BASE_SETTINGS)
@@ -154,7 +154,7 @@
     def test_requests(self):
         found = requests.read(binary.Message(1, f"{7:016x}", {180: b"paid", 183: b"1500", 192: b"7f3a9c21e0b4d655", 210: b"8200.0", 195: b"home:1;copies:3;top:2;again:1", 225: b"v"}),
                               configurations.parse(configuration_file()))
-        self.assertEqual(found.play_request, face.Asked(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
+        self.assertEqual(found.play_request, face.PlayRequest(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
 
     def test_imports_only_what_it_needs(self):
         """Start time and memory: no modules of other fronts, no framework, no threads of its own."""
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -1,7 +1,7 @@
 """The real director and its media nodes, in memory: ends of nodes, bad answers, what never leaves; a kept trace."""
 import unittest
 
-from laddergw.loop.base import SHORT
+from laddergw.loop.base import NO_DESCRIPTOR
 from laddergw.loop.memory_streams import WINDOW
 from laddergw.platform import allocation as life
 from laddergw.signalling import binary
@@ -32,7 +32,7 @@
             town.run(50)
             getattr(town.hosts["a"], end)()
             town.run(ms)
-        self.same("platform_ends", town)
+        self.assert_trace("platform_ends", town)
         self.assertEqual(len(town.director.running_plays), 0)
 
     def test_bad_nodes(self):
@@ -98,10 +98,10 @@
     def test_what_is_told_as_never_sent_never_leaves(self):
         """Seen on sockets: a set-up was taken back while its connection came up, then written out on it, and the play went elsewhere too."""
         def drain(town):
-            town.director.listing.listed(changes.event_of(event(2, member("a", 1, "DRAINING"))))
+            town.director.fleet_list.apply_event(changes.parse_event(event(2, member("a", 1, "DRAINING"))))
 
         def late(town):
-            town.director.allocating.late(town.director.open_requests[f"{1:016x}"])
+            town.director.allocator.set_up_timed_out(town.director.open_requests[f"{1:016x}"])
 
         def leave(town):
             town.director.admission.handle_release(town.director_side(), f"{1:016x}")
@@ -112,8 +112,8 @@
             for shared in False, True:
                 with self.subTest(act.__name__, shared=shared):
                     town = PlatformCluster()
-                    town.director.nodes.most = 1 if shared else 22
-                    town.director.controller.fleet.nodes[2].rest = 1e12      # node b: all go to a
+                    town.director.nodes.max_connections = 1 if shared else 22
+                    town.director.controller.fleet.nodes[2].backoff_until = 1e12      # node b: all go to a
                     town.viewer()
                     town.director.admission.handle_message(town.director_side(), message(set_up(1, product="paid")))
                     if shared:
@@ -121,8 +121,8 @@
                     town.director.finish_turn()
                     line, = town.director.nodes.by_id["a"].connections
                     self.assertEqual((line.up, len(line.plays)), (False, 1 + shared))
-                    town.director.controller.fleet.nodes[2].rest, town.director.nodes.most = 0.0, 22
-                    town.hosts["director"].soon(lambda: act(town))
+                    town.director.controller.fleet.nodes[2].backoff_until, town.director.nodes.max_connections = 0.0, 22
+                    town.hosts["director"].call_soon(lambda: act(town))
                     town.run(50)
                     got = [part for part in town.lines if "node a gets SETUP" in part]
                     self.assertFalse([part for part in got if " SETUP 1 " in part], town.lines)
@@ -139,12 +139,12 @@
         town.lines = DiscardedLines()
         for i, name in enumerate(names):
             town.director.admission.handle_message(town.director_side(), message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
-            town.hosts[name].at(town.world.now + 3000, lambda name=name: said.setdefault(name, town.world.now))
+            town.hosts[name].call_at(town.world.now + 3000, lambda name=name: said.setdefault(name, town.world.now))
             # A node says what it has to tell on an open connection, and once more on the next that opens
             came = town.hosts[name].listeners[0]
             came.accept = lambda stream, name=name, i=i: ReleasingNode(town, name, said, release(i + 1, 16))
-        most, latest, taken = 0, {}, town.director.controller.ended
-        town.director.controller.ended = lambda now, play, *more: (latest.setdefault(names[play - 1], now), taken(now, play, *more))[1]
+        most, latest, taken = 0, {}, town.director.controller.allocation_ended
+        town.director.controller.allocation_ended = lambda now, play, *more: (latest.setdefault(names[play - 1], now), taken(now, play, *more))[1]
         for _ in range(120):
             town.run(100)
             most = max(most, town.hosts["director"].open_streams)
@@ -161,8 +161,8 @@
         for _ in range(5):
             node.dial()
             line = node.connections[-1]
-            line.closed(line.stream, SHORT)
-        self.assertEqual((node.silent, len(town.director.running_plays)), (0, 1))
+            line.closed(line.stream, NO_DESCRIPTOR)
+        self.assertEqual((node.unanswered_dials, len(town.director.running_plays)), (0, 1))
 
     def test_what_has_left_in_part_is_cut_off(self):
         town = PlatformCluster(nodes=("a",))
@@ -170,11 +170,11 @@
         viewer.stream.write(set_up(1))
         town.run(50)
         line, = town.director.nodes.by_id["a"].connections
-        town.connections["node a"].stream.pause()
+        town.connections["node a"].stream.pause_reading()
         line.stream.write(b"x" * (WINDOW - 100))
         viewer.stream.write(set_up(2, product="paid"))
         town.run(20)
-        self.assertEqual((line.state(f"{2:016x}"), line.stream.queued > 0, line.stream.taken), (life.UNSENT, True, line.stream.asked - line.stream.queued))
+        self.assertEqual((line.state(f"{2:016x}"), line.stream.queued > 0, line.stream.bytes_sent), (life.UNSENT, True, line.stream.bytes_written - line.stream.queued))
         viewer.stream.write(binary.encode(binary.RELEASE, f"{2:016x}", (222, b"\x10")))
         town.run(20)
         self.assertEqual((line.stream.alive, len(town.director.nodes.by_id["a"].connections)), (False, 1))
@@ -188,7 +188,7 @@
             town.viewer().stream.write(set_up(1, product="paid"))
             town.run(20)
             line, = town.director.nodes.by_id["a"].connections
-            line.got(line.stream, said)
+            line.data_received(line.stream, said)
             self.assertFalse(line.stream.alive)
             self.assertEqual(town.director.counts["spoilt"], 1)
 
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -23,13 +23,13 @@
                 town.run(wait)
             return town, viewer
         town, viewer = scene("a ping, then a play to its end; the node's description is passed on",
-                             binary.encode(binary.TEST, "0" * 16, (222, b"\0")) + set_up(1))
+                             binary.encode(binary.PING, "0" * 16, (222, b"\0")) + set_up(1))
         town.connections["node a"].stream.write(release(1, 16))
         town.run(50)
         scene("the node is full, the other one accepts", set_up(1), a=453)
         town, viewer = scene("notes on a short link lower the rung; then the viewer leaves", set_up(1))
         for kind, figure in ("level", "2"), ("port", "9.5"), ("got", "0.5"), ("other", "1"), ("port", "nan"):
-            town.connections["node a"].stream.write(rtsp.request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", kind), ("Figure", figure))))
+            town.connections["node a"].stream.write(rtsp.encode_request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", kind), ("Figure", figure))))
             town.run(100)
         viewer.stream.write(binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")))
         town.run(50)
@@ -42,7 +42,7 @@
         town, viewer = scene("the viewer gives up; a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
         town.connections["node a"].stream.write(answer(f"{1:016x}"))
         town.run(50)
-        self.same("platform_ways", town)
+        self.assert_trace("platform_ways", town)
         self.assertEqual((len(town.director.open_requests), len(town.director.running_plays), len(town.director.controller.plays)), (0, 0, 0))
 
     def test_bad_viewers(self):
@@ -63,7 +63,7 @@
         for name, data in cases.items():
             town.viewer(name).stream.write(data)
         town.run(2500)
-        self.same("platform_bad_viewers", town)
+        self.assert_trace("platform_bad_viewers", town)
 
     def test_a_release_is_sent_until_it_is_acknowledged(self):
         """Guards against losing a release: on sockets, one went on a connection that ended with it unread, and its viewer never got it."""
@@ -78,7 +78,7 @@
         for session in 1, 2:
             town.connections[f"node {town.director.running_plays[f'{session:016x}'].node.id}"].stream.write(release(session, 16))
         town.run(10)
-        first.stream.write(binary.encode(binary.HEARD, f"{2:016x}"))
+        first.stream.write(binary.encode(binary.RELEASE_ACK, f"{2:016x}"))
         town.run(10)
         first.stream.abort()
         town.run(10)
@@ -91,7 +91,7 @@
         town.run(100)
         town.viewer("third").stream.write(set_up(5))
         town.run(50)
-        self.same("platform_heard", town)
+        self.assert_trace("platform_heard", town)
         town.run(8500)
         self.assertEqual(len(town.director.listener.releases.pending), 0)
 
@@ -173,7 +173,7 @@
         for side, session in (first, 1), (second, 2):
             side.stream.write(set_up(session))
             town.run(20)
-        town.viewer("tester").stream.write(binary.encode(binary.TEST, "0" * 16, (222, b"\0")))
+        town.viewer("tester").stream.write(binary.encode(binary.PING, "0" * 16, (222, b"\0")))
         town.run(20)
         first.stream.abort()
         town.run(20)
@@ -190,7 +190,7 @@
         front.stream.write(set_up(1, figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:a"))
         town.run(20)
         for controlled in town.director.controller.fleet.nodes.values():
-            controlled.rest = 1e12
+            controlled.backoff_until = 1e12
         other.stream.write(set_up(3))
         town.run(2600)
         self.assertTrue(any("other gets 12 3 cause 42" in line for line in town.lines), town.lines)
