--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -86,7 +86,8 @@
         time.process_time() * 1000,
     )
     loop.run()
-    signal_mask.block_signals()  # what comes to a process that ends must not end it otherwise
+    # A signal must not end the process in another way while it exits.
+    signal_mask.block_signals()
     log.info("director %s ends", configuration.name)
     loop.close()
     return EXIT_FAILED if director.broken else EXIT_OK
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -16,8 +16,8 @@
 ANSWER_MARGIN_MS = 20.0
 # After the deadline, at which the controller's own time-out answers by the play's terms.
 OVERDUE_GRACE_MS = 10.0
-# Messages of one peer on two connections may cross for this long: the protocol's own time for a
-# close and a set-up.
+# How long a peer's messages on two connections may cross: the protocol's time for a close and a
+# set-up.
 CROSSING_MS = 50.0
 # Unusable set-ups that are logged: a flood must not fill the log.
 MAX_LOGGED_UNUSABLE = 40
@@ -34,7 +34,7 @@
         self.deferred_plays: list[Play] = []
 
     def handle_message(self, viewer: ViewerConnection, message: binary.Message) -> None:
-        """Handles one message of a viewer."""
+        """Handles one message of a viewer; one that only directors send closes its connection."""
         if message.kind == binary.SET_UP:
             self.handle_set_up(viewer, message)
         elif message.kind == binary.RELEASE:
@@ -66,8 +66,8 @@
                 log.info("%s: refused on %s, unusable: %s", session, viewer, error)
             return viewer.refuse(session)
         self.director.listener.mark_requested(viewer)
-        if request.playing_at:
-            return self.accept_hand_over(viewer, session, request)
+        if request.node_id:
+            return self.take_over(viewer, session, request)
         if (
             self.director.broken
             or self.director.stopping_since is not None
@@ -130,15 +130,11 @@
         """Whether a set-up names a node where its play runs already."""
         return b"at:" in (message.parameters or {}).get(binary.ATTRIBUTES, b"")
 
-    def accept_hand_over(
-        self, viewer: ViewerConnection, session: str, request: requests.Request
-    ) -> None:
+    def take_over(self, viewer: ViewerConnection, session: str, request: requests.Request) -> None:
         """Takes over a play that runs at a node already; this director may hold it already."""
-        node = self.director.nodes.by_id.get(request.playing_at)
+        node = self.director.nodes.by_id.get(request.node_id)
         if node is None or node.gone:
-            log.info(
-                "%s: handed over from %s, which is not in the list", session, request.playing_at
-            )
+            log.info("%s: handed over from %s, which is not in the list", session, request.node_id)
             self.director.count("handed over from nowhere")
             return viewer.refuse(session)
         self.director.listener.mark_served(viewer)
@@ -189,7 +185,7 @@
 
     def end_late_hand_over(self, viewer: ViewerConnection, session: str) -> None:
         """Ends a play whose hand-over has arrived after its release."""
-        if (play := self.director.running_plays.get(session)) and play.request.playing_at:
+        if (play := self.director.running_plays.get(session)) and play.request.node_id:
             self.handle_release(viewer, session)
 
     def viewer_gave_up(self, play: Play) -> None:
--- a/laddergw/platform/director.py
+++ b/laddergw/platform/director.py
@@ -24,8 +24,7 @@
 from laddergw.platform.viewers import ViewerListener
 from laddergw.signalling import binary, rtsp
 
-# Shares of the process's descriptors. By the protocol viewers may hold a third of them; some are
-# needed for the process itself.
+# Shares of the descriptors: by the protocol viewers hold a third; the process needs some itself.
 VIEWER_SOCKET_SHARE, NODE_SOCKET_SHARE = 0.5, 0.35
 # Viewers still come for 0.7 s after the signal to stop.
 MIN_STOP_MS = 1_000.0
@@ -100,13 +99,12 @@
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Applies a file that was read again: its list, change log and limits at once, its terms to
-        plays requested from now on.
-
-        Raises ConfigurationError, with nothing changed, for what cannot change while it runs.
+        plays requested from now on. Raises ConfigurationError, with nothing changed, for what
+        cannot change while it runs.
         """
-        before, updated = self.configuration, keep_numbers(self.configuration, configuration)
+        current, updated = self.configuration, keep_numbers(self.configuration, configuration)
         self.configuration = updated
-        if updated.deployment != before.deployment:
+        if updated.deployment != current.deployment:
             self.feed(self.controller.update_deployment, self.loop.now, updated.deployment)
         self.listener.set_max_connections(int(VIEWER_SOCKET_SHARE * updated.sockets))
         self.nodes.max_connections, self.nodes.connect_ms, self.nodes.idle_ms = (
@@ -115,7 +113,7 @@
             updated.idle_ms,
         )
         # A name that was unknown before may have a number now.
-        if (updated.kinds, updated.zones) != (before.kinds, before.zones):
+        if (updated.kinds, updated.zones) != (current.kinds, current.zones):
             self.feed(
                 self.controller.update_fleet,
                 self.loop.now,
@@ -133,13 +131,12 @@
             ):
                 self.change_log.last_number = event.number
                 self.fleet_list.apply_event(event)
-        if updated.changelog != before.changelog:
+        if updated.changelog != current.changelog:
             self.change_log.switch_address(updated.changelog)
 
     def stop(self) -> None:
-        """Declines new requests; running plays go on for as long as a stop allows.
-
-        The signal may have waited while the process was stalled: the stop counts from then.
+        """Declines new requests; running plays go on for as long as a stop allows. The signal may
+        have waited while the process was stalled: the stop counts from the signal.
         """
         if self.stopping_since is not None:
             return
--- a/laddergw/platform/play_ending.py
+++ b/laddergw/platform/play_ending.py
@@ -19,18 +19,18 @@
     def __init__(self, director):
         self.director = director
 
-    def allocation_ended(self, play: Play, state: str, fact: str, report: tuple = ()) -> None:
+    def allocation_ended(self, play: Play, state: str, event: str, report: tuple = ()) -> None:
         """Takes an event that may end an allocation; reports the end to the controller, and to the
         viewer of a running play.
         """
-        outcome = allocation.outcome(state, fact)
+        outcome = allocation.outcome(state, event)
         if outcome is None:
             return
         if play.is_running:
             self.remove_running(play)
             # One that left, by its node's word, gets a release too: its answer may be on its way.
-            if fact != allocation.CANCELLED:
-                cause = bytes([self.release_cause(play, fact)])
+            if event != allocation.CANCELLED:
+                cause = bytes([self.release_cause(play, event)])
                 self.director.listener.send_until_acknowledged(
                     play.viewer, binary.RELEASE, play.session, (binary.CAUSE, cause)
                 )
@@ -41,16 +41,16 @@
             play.node.open_set_ups.pop(play.session, None)
         self.record_outcome(play, outcome, report)
 
-    def release_cause(self, play: Play, fact: str) -> int:
+    def release_cause(self, play: Play, event: str) -> int:
         """Returns the cause that the release of a running play states.
 
         A viewer that left, by its node's word, while our answer was on its way does not count that
         answer as one. The release is then its final answer, and its cause must be that of one.
         """
-        if fact in (allocation.INTERRUPTED, allocation.NODE_LOST):
+        if event in (allocation.INTERRUPTED, allocation.NODE_LOST):
             return BROKEN
         is_in_transit = self.director.loop.now - play.answered_at <= ANSWER_DELIVERY_MS
-        return FAILED if fact == allocation.VIEWER_LEFT and is_in_transit else ENDED
+        return FAILED if event == allocation.VIEWER_LEFT and is_in_transit else ENDED
 
     def remove_running(self, play: Play) -> None:
         """Removes a play from the running plays of the director and of its node."""
--- a/laddergw/platform/requests.py
+++ b/laddergw/platform/requests.py
@@ -31,7 +31,7 @@
     play_request: PlayRequest
     product: str
     title: str
-    playing_at: str  # id of the node where the play runs already; empty for a new one
+    node_id: str  # id of the node where the play runs already; empty for a new one
     description: bytes
 
 
@@ -80,7 +80,7 @@
             f"{product[:40]!r}, {title[:40]!r}, {message.session}, "
             f"description of {len(description)}"
         )
-    hint, cells, playing_at = (
+    hint, cells, node_id = (
         text_parameter(message, binary.HINT, 0),
         deployment.cells,
         figures.get("at", ""),
@@ -88,7 +88,7 @@
     # No viewer waits for the answer to a hand-over, so its patience is ignored.
     wait = (
         math.inf
-        if playing_at
+        if node_id
         else parse_number(
             text_parameter(message, binary.WAIT_LIMIT),
             "patience",
@@ -107,4 +107,4 @@
         wait,
         figures.get("again") == "1",
     )
-    return Request(play_request, product, title, playing_at, description)
+    return Request(play_request, product, title, node_id, description)
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -42,7 +42,6 @@
         self.opened_at = self.last_used = listener.loop.now
         self.partial_since = None  # when an unfinished message began, or None
         self.closing = False
-
         # How long it may have waited to be accepted, and its first messages with it.
         self.stall_ms = listener.loop.stall_ms
         self.name = listener.next_name()
--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -1,4 +1,4 @@
-"""A town in memory for the real director: viewers, media nodes and the change log, played message by message."""
+"""A platform in memory for one director: viewers, media nodes and the change log, run message by message."""
 import json
 
 from laddergw.lab.soak.messages import SETTINGS, answer, configuration, event, member, release, set_up
@@ -12,10 +12,10 @@
 
 
 class StandInConnection:
-    """A connection of a stand-in: what comes on it goes into the town's trace."""
+    """A stand-in's end of a connection: the messages that it receives go into the cluster's trace."""
 
-    def __init__(self, town, name, reader):
-        self.town, self.name, self.reader, self.stream, self.open = town, name, reader, None, True
+    def __init__(self, cluster, name, reader):
+        self.cluster, self.name, self.reader, self.stream, self.open = cluster, name, reader, None, True
 
     def opened(self, stream):
         self.stream = stream
@@ -25,76 +25,85 @@
 
     def data_received(self, stream, data):
         self.reader.feed(data)
-        while (m := self.reader.next()) is not None:
-            if not isinstance(m, binary.Message):
-                if m.method != "OPTIONS":
-                    rung = f" at rung {m.headers['rate-step']}" if "rate-step" in m.headers else ""
-                    self.town.record(f"{self.name} gets {m.method or m.status} {int(m.session, 16)}{rung}")
-                self.town.node_got(self, m)
+        while (received := self.reader.next()) is not None:
+            if not isinstance(received, binary.Message):
+                if received.method != "OPTIONS":
+                    rung = f" at rung {received.headers['rate-step']}" if "rate-step" in received.headers else ""
+                    self.cluster.record(f"{self.name} gets {received.method or received.status} {int(received.session, 16)}{rung}")
+                self.cluster.node_received(self, received)
             else:
-                more = {222: "cause", 198: "stay away", 225: "description"}
-                words = ", ".join(f"{more[code]} {value[0] if code == 222 else value.decode()!r}" for code, value in m.parameters.items())
-                self.town.record(f"{self.name} gets {m.kind} {int(m.session, 16)} {words}".rstrip())
+                names = {222: "cause", 198: "retry after", 225: "description"}
+                parameters = ", ".join(f"{names[code]} {value[0] if code == 222 else value.decode()!r}" for code, value in received.parameters.items())
+                self.cluster.record(f"{self.name} gets {received.kind} {int(received.session, 16)} {parameters}".rstrip())
 
     def closed(self, stream, why):
         self.open = False
         if not self.name.startswith("node"):
-            self.town.record(f"{self.name} is closed")
+            self.cluster.record(f"{self.name} is closed")
 
 
 class PlatformCluster:
-    """One director among stand-ins, all in memory. Nodes answer set-ups as `answers` tells, 200 by default."""
+    """One director among stand-ins, all in memory.
+
+    `answers`: by a node's name the status of its answers to set-ups, 200 by default, or a function that answers; 0 for no answer.
+    `lines`: the trace. `changes` go into the director's configuration file.
+    """
 
     def __init__(self, nodes=("a", "b"), **changes):
-        self.world, self.lines, self.answers, self.connections = MemoryNetwork(3), [], {}, {}
-        self.hosts = {name: self.world.host(name) for name in ("director", "viewers", "log", *nodes)}
-        self.start, self.log_connection = self.world.now, None
+        self.network, self.lines, self.answers, self.connections = MemoryNetwork(3), [], {}, {}
+        self.hosts = {name: self.network.host(name) for name in ("director", "viewers", "log", *nodes)}
+        self.start, self.log_connection = self.network.now, None
         for name in nodes:
-            self.hosts[name].listen((name, 1), lambda stream, name=name: self.side(f"node {name}", rtsp.Reader()))
-        self.hosts["log"].listen(LOG, self.log_came)
+            self.hosts[name].listen((name, 1), lambda stream, name=name: self.connection(f"node {name}", rtsp.Reader()))
+        self.hosts["log"].listen(LOG, self.accept_log_connection)
         self.director = Director(self.hosts["director"], configurations.parse(configuration_file(**changes)))
 
-    def side(self, name, reader):
-        side = self.connections[name] = StandInConnection(self, name, reader)
-        return side
+    def connection(self, name, reader):
+        """Returns a stand-in's new connection, also kept under its name."""
+        connection = self.connections[name] = StandInConnection(self, name, reader)
+        return connection
 
-    def log_came(self, stream):
+    def accept_log_connection(self, stream):
         self.log_connection = ChangeLogConnection(self)
         return self.log_connection
 
     def record(self, text):
-        self.lines.append(f"{self.world.now - self.start:7.0f} {text}")
+        """Adds a line to the trace, with the time since the start, ms."""
+        self.lines.append(f"{self.network.now - self.start:7.0f} {text}")
 
     def run(self, ms):
-        self.world.run(self.world.now + ms)
+        """Runs the network for so many ms."""
+        self.network.run(self.network.now + ms)
 
     def viewer(self, name="viewer"):
-        side = self.side(name, binary.Reader())
-        self.hosts["viewers"].dial(LISTEN, side, 1000)
+        """Connects a viewer; returns its end of the connection."""
+        connection = self.connection(name, binary.Reader())
+        self.hosts["viewers"].dial(LISTEN, connection, 1000)
         self.run(2)
-        return side
+        return connection
 
-    def director_side(self):
-        """The director's end of the connection that came last."""
+    def last_viewer_connection(self):
+        """Returns the director's end of the viewers' connection that was opened last."""
         return next(reversed(self.director.listener.viewers))
 
-    def node_got(self, side, m):
-        if m.method == "OPTIONS":
-            side.stream.write(rtsp.encode_response(200, "OK", "3", m.session))
-        elif m.method == "SETUP":
-            status = self.answers.get(side.name[-1], 200)
+    def node_received(self, connection, received):
+        """Answers a ping or a set-up that a node has received."""
+        if received.method == "OPTIONS":
+            connection.stream.write(rtsp.encode_response(200, "OK", "3", received.session))
+        elif received.method == "SETUP":
+            status = self.answers.get(connection.name[-1], 200)
             if callable(status):
-                return status(side, m)
+                return status(connection, received)
             if status:
-                side.stream.write(answer(m.session, status, b"from " + side.name[-1:].encode() + b"\r\n" if status == 200 else b""))
+                connection.stream.write(answer(received.session, status, b"from " + connection.name[-1:].encode() + b"\r\n" if status == 200 else b""))
         return None
 
 
 class ChangeLogConnection:
-    """The change log's end of a connection."""
+    """The change log's end of the director's connection."""
 
-    def __init__(self, town):
-        self.town, self.stream = town, None
+    def __init__(self, cluster):
+        self.cluster, self.stream = cluster, None
 
     def opened(self, stream):
         self.stream = stream
@@ -103,52 +112,58 @@
         pass
 
     def data_received(self, stream, data):
-        self.town.record(f"log gets {data.decode().strip()}")
+        self.cluster.record(f"log gets {data.decode().strip()}")
 
-    def tell(self, *events):
-        self.stream.write(b"".join(json.dumps(e).encode() + b"\n" for e in events))
+    def send_events(self, *events):
+        self.stream.write(b"".join(json.dumps(event).encode() + b"\n" for event in events))
 
     def closed(self, stream, why):
         pass
 
 
-def message(data):
+def parse_message(data):
+    """Returns the viewer's message that `data` holds."""
     reader = binary.Reader()
     reader.feed(data)
     return reader.next()
 
 
 class ReleasingNode(StandInConnection):
-    """A node's end of a connection: tells its release when it is there to tell, on the next connection too."""
+    """A node's end of a connection: sends its release once the node has one, also on the next connection.
+
+    `release_times`: by node, when its release is due; a node without an entry has none yet.
+    """
 
-    def __init__(self, town, name, said, data):
-        super().__init__(town, f"node {name}", rtsp.Reader())
-        self.host, self.said, self.data = name, said, data
+    def __init__(self, cluster, name, release_times, data):
+        super().__init__(cluster, f"node {name}", rtsp.Reader())
+        self.host, self.release_times, self.data = name, release_times, data
 
     def opened(self, stream):
         super().opened(stream)
-        self.tell()
+        self.send_release()
 
-    def tell(self):
-        if self.host in self.said and self.open:
+    def send_release(self):
+        if self.host in self.release_times and self.open:
             self.stream.write(self.data)
         elif self.open:
-            self.town.hosts[self.host].call_later(50, self.tell)
+            self.cluster.hosts[self.host].call_later(50, self.send_release)
 
 
 class DiscardedLines(list):
+    """A trace that is not kept."""
+
     def append(self, line):
         pass
 
 
 class FirstCallOnly:
-    """Acts badly the first time, well ever after."""
+    """A node's answer that acts badly the first time, and well from then on."""
 
     def __init__(self, act):
         self.act = act
 
-    def __call__(self, side, m):
+    def __call__(self, connection, received):
         act, self.act = self.act, None
         if act is not None:
-            return act(side, m)
-        return side.stream.write(answer(m.session))
+            return act(connection, received)
+        return connection.stream.write(answer(received.session))
--- a/tests/test_orders_last_close.py
+++ b/tests/test_orders_last_close.py
@@ -15,43 +15,43 @@
 
     def setUp(self):
         self.now = [0.0]
-        self.town = SocketHarness(self, now=lambda: self.now[0])
+        self.harness = SocketHarness(self, now=lambda: self.now[0])
 
     # Guards against a connection that comes up between a stopping director's last accept and its
     # listener's close, and is reset.
     def test_no_connection_comes_up_between_the_last_accept_and_the_close(self):
-        listener = self.town.director.listener.acceptor
-        early, late = socket.create_connection(self.town.address), socket.socket()
+        listener = self.harness.director.listener.acceptor
+        early, late = socket.create_connection(self.harness.address), socket.socket()
         self.addCleanup(early.close)
         self.addCleanup(late.close)
         listener.drop_new_connections()
         late.setblocking(False)
-        late.connect_ex(self.town.address)
+        late.connect_ex(self.harness.address)
         listener.accept_waiting()
         self.assertEqual(
-            [v.stream.peer for v in self.town.director.listener.viewers], [early.getsockname()]
+            [v.stream.peer for v in self.harness.director.listener.viewers], [early.getsockname()]
         )
         self.assertEqual(select.select([], [late], [], 0.05)[1], [], "the connection has come up")
 
     # Guards against a set-up that crosses the close of a stop, is retried on a new connection, and
     # is cut off a second time.
     def test_a_reconnect_at_the_last_close_is_refused(self):
-        self.town.viewer()
-        self.town.turns(3)
-        listener, seen = self.town.director.listener, []
+        self.harness.viewer()
+        self.harness.turns(3)
+        listener, seen = self.harness.director.listener, []
         close_all = listener.close_all
 
         def close_and_reconnect():
             close_all()
             try:
-                with socket.create_connection(self.town.address):
+                with socket.create_connection(self.harness.address):
                     seen.append("accepted")
             except ConnectionRefusedError:
                 seen.append("refused")
 
         listener.close_all = close_and_reconnect
-        self.town.director.stop()
-        self.town.run_to_end(self.now)
+        self.harness.director.stop()
+        self.harness.run_to_end(self.now)
         self.assertEqual(seen, ["refused"])
 
 
--- a/tests/test_orders_scarce.py
+++ b/tests/test_orders_scarce.py
@@ -36,31 +36,31 @@
 
     def setUp(self):
         self.now = [10_000.0]
-        self.town = SocketHarness(self, now=lambda: self.now[0])
+        self.harness = SocketHarness(self, now=lambda: self.now[0])
 
     def advance(self, ms):
-        self.town.advance_clock(self.now, ms)
+        self.harness.advance_clock(self.now, ms)
 
     def test_a_stop_while_the_listener_waits_for_a_descriptor(self):
         """A connection that could not be accepted waits as the stop begins: the process ends, and the viewer gets its answer and an end."""
-        first = self.town.viewer()
+        first = self.harness.viewer()
         first.write(PING)
-        self.town.run_until(first.receive)
+        self.harness.run_until(first.receive)
         late = socket.socket()
         self.addCleanup(late.close)
         late.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with few_descriptors():
-            late.connect(self.town.address)
+            late.connect(self.harness.address)
             late.sendall(set_up(2))
-            self.town.turns(3)
-            self.assertGreater(self.town.loop.failed_accepts, 0)
-            self.town.director.stop()
+            self.harness.turns(3)
+            self.assertGreater(self.harness.loop.failed_accepts, 0)
+            self.harness.director.stop()
             for _ in range(600):
                 self.now[0] += 10.0
-                self.town.turn()
-                if not self.town.loop.running:
+                self.harness.turn()
+                if not self.harness.loop.running:
                     break
-            self.assertFalse(self.town.loop.running)
+            self.assertFalse(self.harness.loop.running)
         reader, late_data = binary.Reader(), b""
         late.settimeout(20)
         while data := late.recv(4096):
@@ -71,40 +71,40 @@
     def test_closed_connections_give_way_to_the_change_log(self):
         """Connections that we closed wait for their peers' ends, which do not come, and hold the last descriptors."""
         for _ in range(3):
-            self.town.viewer().write(b"\xff" * 50)
-            self.town.turns(3)
-        self.assertEqual(len(self.town.loop.lingering), 3)
-        self.town.director.change_log.reconnect("it breaks off")
+            self.harness.viewer().write(b"\xff" * 50)
+            self.harness.turns(3)
+        self.assertEqual(len(self.harness.loop.lingering), 3)
+        self.harness.director.change_log.reconnect("it breaks off")
         with few_descriptors():
             self.advance(60)
-            self.assertIsNotNone(self.town.director.change_log.stream)
-            self.assertEqual(len(self.town.loop.lingering), 2)
+            self.assertIsNotNone(self.harness.director.change_log.stream)
+            self.assertEqual(len(self.harness.loop.lingering), 2)
 
     def test_closed_connections_give_way_to_new_viewers(self):
         for _ in range(3):
-            self.town.viewer().write(b"\xff" * 50)
-            self.town.turns(3)
+            self.harness.viewer().write(b"\xff" * 50)
+            self.harness.turns(3)
         late = socket.socket()
         self.addCleanup(late.close)
         with few_descriptors():
-            late.connect(self.town.address)
-            self.town.turns(3)
-            self.assertEqual(len(self.town.director.listener.viewers), 1)
+            late.connect(self.harness.address)
+            self.harness.turns(3)
+            self.assertEqual(len(self.harness.director.listener.viewers), 1)
 
     def test_a_dial_without_a_descriptor_says_nothing_about_its_node(self):
         """The node has done nothing: it counts neither as failing nor as paced, and a later play goes there."""
-        viewer = self.town.viewer()
-        self.town.director_stream(viewer)
+        viewer = self.harness.viewer()
+        self.harness.director_stream(viewer)
         with few_descriptors():
             viewer.write(set_up(1))
-            self.town.wait_for_unread(self.town.director_stream(viewer), len(set_up(1)))
-            self.town.turns(6)
-        node = self.town.director.controller.fleet.nodes[1]
+            self.harness.wait_for_unread(self.harness.director_stream(viewer), len(set_up(1)))
+            self.harness.turns(6)
+        node = self.harness.director.controller.fleet.nodes[1]
         self.assertEqual((node.backoff_level, node.backoff_until), (0, 0.0))
         viewer.write(set_up(2))
-        line, message = self.town.wait_for_set_up("a")
-        line.write(answer(message.session))
-        self.assertIn(binary.ANSWER, [m.kind for m in self.town.run_until(lambda: [m for m in viewer.receive() if m.session == f"{2:016x}"])])
+        connection, message = self.harness.wait_for_set_up("a")
+        connection.write(answer(message.session))
+        self.assertIn(binary.ANSWER, [m.kind for m in self.harness.run_until(lambda: [m for m in viewer.receive() if m.session == f"{2:016x}"])])
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -4,8 +4,8 @@
 import sys
 import unittest
 
-from laddergw import interface as face, settings
-from laddergw.platform import allocation as life
+from laddergw import interface, settings
+from laddergw.platform import allocation
 from laddergw.platform import configuration as configurations
 from laddergw.platform import requests
 from laddergw.signalling import binary
@@ -18,28 +18,28 @@
     """A director's fleet list, configuration and end."""
 
     def test_change_log(self):
-        town = PlatformCluster(nodes=("a", "b", "c"))
-        town.run(20)
+        cluster = PlatformCluster(nodes=("a", "b", "c"))
+        cluster.run(20)
         c = member("c", 1, cell=2)
-        town.lines.append("# repeated, cut off in the middle, silent: resumed from the last event, each event applied once")
-        town.log_connection.tell(event(2, c), event(2, c), {"seq": 2})
-        town.run(20)
-        town.log_connection.stream.write(b'{"seq":3,"fleet":{"rev')
-        town.run(1)
-        town.log_connection.stream.abort()
-        town.run(300)
-        town.log_connection.tell(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
-        town.run(20)
-        self.assertEqual({n.id: (n.gone) for n in town.director.nodes.by_id.values()}, {"a": False, "b": True, "c": False})
-        town.lines.append("# all plays go to the remaining node")
-        viewer = town.viewer()
+        cluster.lines.append("# repeated, cut off in the middle, silent: resumed from the last event, each event applied once")
+        cluster.log_connection.send_events(event(2, c), event(2, c), {"seq": 2})
+        cluster.run(20)
+        cluster.log_connection.stream.write(b'{"seq":3,"fleet":{"rev')
+        cluster.run(1)
+        cluster.log_connection.stream.abort()
+        cluster.run(300)
+        cluster.log_connection.send_events(event(3, member("a", 1, "DRAINING")), event(4, member("b", 1, "DELETED")))
+        cluster.run(20)
+        self.assertEqual({n.id: (n.gone) for n in cluster.director.nodes.by_id.values()}, {"a": False, "b": True, "c": False})
+        cluster.lines.append("# all plays go to the remaining node")
+        viewer = cluster.viewer()
         viewer.stream.write(set_up(1) + set_up(2))
-        town.run(50)
-        town.lines.append("# silence, then a gap")
-        town.run(2600)
-        town.log_connection.tell(event(6, member("a", 1)))
-        town.run(300)
-        self.assert_trace("platform_log", town)
+        cluster.run(50)
+        cluster.lines.append("# silence, then a gap")
+        cluster.run(2600)
+        cluster.log_connection.send_events(event(6, member("a", 1)))
+        cluster.run(300)
+        self.assert_trace("platform_log", cluster)
 
     def test_a_list_of_1024_nodes(self):
         """All nodes are taken, half of them change in one event, and a play is placed at the node that holds its title."""
@@ -47,31 +47,31 @@
         terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"] |= {"Positions": 1024, "RackKb": 9e6}
         terms["Siblings"] = 1024
-        town = PlatformCluster(nodes=("n0007",), settings=terms, known={"seq": 1, "results": [event(1, *(member(n, 1, cell=i) for i, n in enumerate(names)), whole=True)]})
-        self.assertEqual(sum(node.state == face.READY for node in town.director.controller.fleet.nodes.values()), 1024)
-        town.run(20)
-        town.log_connection.tell(event(2, *(member(n, 1, "DELETED", cell=i) for i, n in enumerate(names) if i % 2 == 0),
+        cluster = PlatformCluster(nodes=("n0007",), settings=terms, known={"seq": 1, "results": [event(1, *(member(n, 1, cell=i) for i, n in enumerate(names)), whole=True)]})
+        self.assertEqual(sum(node.state == interface.READY for node in cluster.director.controller.fleet.nodes.values()), 1024)
+        cluster.run(20)
+        cluster.log_connection.send_events(event(2, *(member(n, 1, "DELETED", cell=i) for i, n in enumerate(names) if i % 2 == 0),
                                  *(member(f"s{i:04}", 1, cell=i, since=1) for i in range(0, 1024, 2))))
-        town.run(20)
-        self.assertEqual(sum(node.state == face.READY for node in town.director.controller.fleet.nodes.values()), 1024)
-        town.run(600)
-        self.assertEqual(len(town.director.nodes.by_id), 1024)
-        town.viewer().stream.write(set_up(1, figures="home:7;copies:1;top:2"))
-        town.run(50)
-        self.assertTrue(any("node n0007 gets SETUP 1" in line for line in town.lines), town.lines)
+        cluster.run(20)
+        self.assertEqual(sum(node.state == interface.READY for node in cluster.director.controller.fleet.nodes.values()), 1024)
+        cluster.run(600)
+        self.assertEqual(len(cluster.director.nodes.by_id), 1024)
+        cluster.viewer().stream.write(set_up(1, figures="home:7;copies:1;top:2"))
+        cluster.run(50)
+        self.assertTrue(any("node n0007 gets SETUP 1" in line for line in cluster.lines), cluster.lines)
 
     def test_new_configuration(self):
         """Another change log and other terms are in force from then on; a faulty file is refused whole."""
-        town = PlatformCluster()
-        town.hosts["log two"] = town.world.host("log two")
-        town.hosts["log two"].listen(("log two", 1), town.log_came)
-        town.run(20)
+        cluster = PlatformCluster()
+        cluster.hosts["log two"] = cluster.network.host("log two")
+        cluster.hosts["log two"].listen(("log two", 1), cluster.accept_log_connection)
+        cluster.run(20)
         terms = json.loads(json.dumps(BASE_SETTINGS))
         terms["Specifics"]["SeenAfter"] = 700_000
-        town.director.apply_configuration(configurations.parse(configuration_file(changelog="log two:1", settings=terms)))
-        town.run(200)
-        self.assertEqual(town.director.controller.fleet.deployment.seen_after_ms, 700.0)
-        self.assertEqual(sum("log gets since 1" in line for line in town.lines), 2)
+        cluster.director.apply_configuration(configurations.parse(configuration_file(changelog="log two:1", settings=terms)))
+        cluster.run(200)
+        self.assertEqual(cluster.director.controller.fleet.deployment.seen_after_ms, 700.0)
+        self.assertEqual(sum("log gets since 1" in line for line in cluster.lines), 2)
         for changes in ({"settings": {}}, {"known": None}, {"changelog": "x"}, {"listen": 7}, {"settings": BASE_SETTINGS | {"Siblings": "many"}}, {"seed": "zz"}):
             with self.subTest(changes), self.assertRaises(configurations.ConfigurationError):
                 configurations.parse(configuration_file(**changes))
@@ -79,70 +79,73 @@
 
     def test_stop(self):
         """Declines new requests, answers open ones, ends when no play runs or past the longest time limit."""
-        town = PlatformCluster()
-        viewer = town.viewer()
+        cluster = PlatformCluster()
+        viewer = cluster.viewer()
         viewer.stream.write(set_up(1))
-        town.run(50)
-        town.director.stop()
+        cluster.run(50)
+        cluster.director.stop()
         viewer.stream.write(set_up(2) + binary.encode(binary.PING, "0" * 16, (222, b"\0")))
-        town.run(50)
-        town.run(4600)
-        self.assert_trace("platform_stop", town)
-        self.assertFalse(town.hosts["director"].running)
+        cluster.run(50)
+        cluster.run(4600)
+        self.assert_trace("platform_stop", cluster)
+        self.assertFalse(cluster.hosts["director"].running)
 
     def test_exit_waits_for_release_acknowledgements(self):
         """Guards against an exit that loses releases: on sockets, connections were reset with viewers' messages unread, and 60 releases were lost."""
         for acknowledges in True, False:
-            town = PlatformCluster()
-            viewer = town.viewer()
+            cluster = PlatformCluster()
+            viewer = cluster.viewer()
             viewer.stream.write(set_up(1))
-            town.run(50)
-            town.director.stop()
-            town.run(3351 - 50 + 60)
-            self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines))
-            self.assertTrue(town.hosts["director"].running)
+            cluster.run(50)
+            cluster.director.stop()
+            cluster.run(3351 - 50 + 60)
+            self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in cluster.lines))
+            self.assertTrue(cluster.hosts["director"].running)
             if acknowledges:
                 viewer.stream.write(binary.encode(binary.RELEASE_ACK, f"{1:016x}"))
-            town.run(20)
-            self.assertEqual(town.hosts["director"].running, not acknowledges)
-            town.run(300)
-            self.assertFalse(town.hosts["director"].running)
+            cluster.run(20)
+            self.assertEqual(cluster.hosts["director"].running, not acknowledges)
+            cluster.run(300)
+            self.assertFalse(cluster.hosts["director"].running)
 
     def test_controller_fails(self):
         """All open requests are answered and all running plays are released."""
-        town = PlatformCluster()
-        viewer = town.viewer()
+        cluster = PlatformCluster()
+        viewer = cluster.viewer()
         viewer.stream.write(set_up(1))
-        town.run(50)
-        town.answers = {"a": 0, "b": 0}
+        cluster.run(50)
+        cluster.answers = {"a": 0, "b": 0}
         viewer.stream.write(set_up(2))
-        town.run(20)
+        cluster.run(20)
 
         def fails(*_):
             raise RuntimeError("planted")
-        town.director.controller.update_play = fails
-        node = next(iter(town.director.running_plays.values())).node.id
+        cluster.director.controller.update_play = fails
+        node = next(iter(cluster.director.running_plays.values())).node.id
         with self.assertLogs("laddergw.hosting", "ERROR"):
-            town.connections[f"node {node}"].stream.write(rtsp.encode_request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
-            town.run(50)
-        self.assertTrue(any("viewer gets 12 2 cause 41" in line for line in town.lines), town.lines)
-        self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in town.lines), town.lines)
-        self.assertTrue(town.director.broken)
+            cluster.connections[f"node {node}"].stream.write(rtsp.encode_request("ANNOUNCE", "x", f"{1:016x}", (("X-Note", "port"), ("Figure", "0.5"))))
+            cluster.run(50)
+        self.assertTrue(any("viewer gets 12 2 cause 41" in line for line in cluster.lines), cluster.lines)
+        self.assertTrue(any("viewer gets 12 1 cause 41" in line for line in cluster.lines), cluster.lines)
+        self.assertTrue(cluster.director.broken)
 
 
 class TableTests(unittest.TestCase):
     """Tables and decoders without sockets."""
 
     def test_events_that_prove_that_a_set_up_never_ran(self):
-        never = {face.FULL, face.UNREACHABLE, face.NEVER_SENT}
-        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.WITHDRAWN, life.FULL, life.SESSION_UNKNOWN):
-            self.assertIn(life.outcome(life.UNSENT, fact), never, fact)
-        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.NODE_LOST, life.ERROR, life.RESET, life.INTERRUPTED, life.CANCELLED):
-            self.assertNotIn(life.outcome(life.SENT, fact), never, fact)
-        for fact in (life.CONNECTION_LOST, life.MALFORMED, life.TIMED_OUT, life.ACCEPTED, life.FULL):
-            self.assertIsNone(life.outcome(life.RUNNING, fact), fact)
-        self.assertEqual([life.event_of_cause(c) for c in (16, 31, 41, 0)], [life.ENDED, life.VIEWER_LEFT, life.INTERRUPTED, life.INTERRUPTED])
-        self.assertEqual([life.event_of_status(s) for s in (200, 453, 599)], [life.ACCEPTED, life.FULL, life.ERROR])
+        never = {interface.FULL, interface.UNREACHABLE, interface.NEVER_SENT}
+        for event_seen in (allocation.CONNECTION_LOST, allocation.MALFORMED, allocation.TIMED_OUT, allocation.NODE_LOST, allocation.WITHDRAWN,
+                           allocation.FULL, allocation.SESSION_UNKNOWN):
+            self.assertIn(allocation.outcome(allocation.UNSENT, event_seen), never, event_seen)
+        for event_seen in (allocation.CONNECTION_LOST, allocation.MALFORMED, allocation.TIMED_OUT, allocation.NODE_LOST, allocation.ERROR,
+                           allocation.RESET, allocation.INTERRUPTED, allocation.CANCELLED):
+            self.assertNotIn(allocation.outcome(allocation.SENT, event_seen), never, event_seen)
+        for event_seen in (allocation.CONNECTION_LOST, allocation.MALFORMED, allocation.TIMED_OUT, allocation.ACCEPTED, allocation.FULL):
+            self.assertIsNone(allocation.outcome(allocation.RUNNING, event_seen), event_seen)
+        self.assertEqual([allocation.event_of_cause(c) for c in (16, 31, 41, 0)],
+                         [allocation.ENDED, allocation.VIEWER_LEFT, allocation.INTERRUPTED, allocation.INTERRUPTED])
+        self.assertEqual([allocation.event_of_status(s) for s in (200, 453, 599)], [allocation.ACCEPTED, allocation.FULL, allocation.ERROR])
 
     def test_one_decoder_for_json_and_lines(self):
         values = settings.flatten(BASE_SETTINGS)
@@ -152,9 +155,9 @@
         self.assertEqual(settings.decode(values), settings.decode(settings.parse(lines)))
 
     def test_requests(self):
-        found = requests.read(binary.Message(1, f"{7:016x}", {180: b"paid", 183: b"1500", 192: b"7f3a9c21e0b4d655", 210: b"8200.0", 195: b"home:1;copies:3;top:2;again:1", 225: b"v"}),
+        request = requests.read(binary.Message(1, f"{7:016x}", {180: b"paid", 183: b"1500", 192: b"7f3a9c21e0b4d655", 210: b"8200.0", 195: b"home:1;copies:3;top:2;again:1", 225: b"v"}),
                               configurations.parse(configuration_file()))
-        self.assertEqual(found.play_request, face.PlayRequest(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
+        self.assertEqual(request.play_request, interface.PlayRequest(7, 1, 0x7f3a9c21e0b4d655, 1.0, 3.0, 2.0, 8200.0, 1500.0, True))
 
     def test_imports_only_what_it_needs(self):
         """Start time and memory: no modules of other fronts, no framework, no threads of its own."""
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -7,7 +7,7 @@
 from laddergw.signalling import binary
 from laddergw.signalling import changes
 from tests.helpers import TraceTest
-from tests.platform_cluster import member, event, set_up, PlatformCluster, message, answer, release, ReleasingNode, DiscardedLines, FirstCallOnly
+from tests.platform_cluster import member, event, set_up, PlatformCluster, parse_message, answer, release, ReleasingNode, DiscardedLines, FirstCallOnly
 
 
 class MediaNodes(TraceTest):
@@ -90,7 +90,7 @@
         first = next(iter(town.director.open_requests.values())).node.id
         other = "b" if first == "a" else "a"
         town.hosts[other].silent = False
-        town.log_connection.tell(event(2, member(first, 1, "DRAINING", cell="ab".index(first))))
+        town.log_connection.send_events(event(2, member(first, 1, "DRAINING", cell="ab".index(first))))
         town.run(50)
         self.assertTrue(any(f"node {other} gets SETUP 1" in line for line in town.lines), town.lines)
         self.assertFalse(any(f"node {first} gets" in line for line in town.lines))
@@ -104,7 +104,7 @@
             town.director.allocator.set_up_timed_out(town.director.open_requests[f"{1:016x}"])
 
         def leave(town):
-            town.director.admission.handle_release(town.director_side(), f"{1:016x}")
+            town.director.admission.handle_release(town.last_viewer_connection(), f"{1:016x}")
 
         def stop(town):
             town.director.end_all_plays()
@@ -115,9 +115,9 @@
                     town.director.nodes.max_connections = 1 if shared else 22
                     town.director.controller.fleet.nodes[2].backoff_until = 1e12      # node b: all go to a
                     town.viewer()
-                    town.director.admission.handle_message(town.director_side(), message(set_up(1, product="paid")))
+                    town.director.admission.handle_message(town.last_viewer_connection(), parse_message(set_up(1, product="paid")))
                     if shared:
-                        town.director.admission.handle_message(town.director_side(), message(set_up(2, product="paid")))
+                        town.director.admission.handle_message(town.last_viewer_connection(), parse_message(set_up(2, product="paid")))
                     town.director.finish_turn()
                     line, = town.director.nodes.by_id["a"].connections
                     self.assertEqual((line.up, len(line.plays)), (False, 1 + shared))
@@ -138,8 +138,8 @@
         front = town.viewer()
         town.lines = DiscardedLines()
         for i, name in enumerate(names):
-            town.director.admission.handle_message(town.director_side(), message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
-            town.hosts[name].call_at(town.world.now + 3000, lambda name=name: said.setdefault(name, town.world.now))
+            town.director.admission.handle_message(town.last_viewer_connection(), parse_message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
+            town.hosts[name].call_at(town.network.now + 3000, lambda name=name: said.setdefault(name, town.network.now))
             # A node says what it has to tell on an open connection, and once more on the next that opens
             came = town.hosts[name].listeners[0]
             came.accept = lambda stream, name=name, i=i: ReleasingNode(town, name, said, release(i + 1, 16))
@@ -199,7 +199,7 @@
         town.run(50)
         old = next(iter(town.director.running_plays.values())).node
         successor = member("new", 1) | {"host_port": f"{old.id}:1"}
-        town.log_connection.tell(event(2, member(old.id, 1, "DELETED"), successor))
+        town.log_connection.send_events(event(2, member(old.id, 1, "DELETED"), successor))
         town.run(50)
         new = town.director.nodes.by_id["new"]
         self.assertNotEqual(new.number, old.number)
