--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -156,7 +156,7 @@
         return None
 
     def retry_after(self, ms: float | None) -> tuple[int, bytes]:
-        """Returns the parameter that tells a declined viewer how long to stay away."""
+        """Returns the parameter with the time, ms, after which a declined viewer may retry."""
         return binary.RETRY_AFTER, b"%d" % (ms or 0)
 
     def handle_release(self, viewer: ViewerConnection, session: str) -> None:
--- a/laddergw/platform/play_ending.py
+++ b/laddergw/platform/play_ending.py
@@ -28,7 +28,7 @@
             return
         if play.is_running:
             self.remove_running(play)
-            # One that left, by its node's word, gets a release too: its answer may be on its way.
+            # A viewer that left by its node's report is released too: its answer may be on its way.
             if event != allocation.CANCELLED:
                 cause = bytes([self.release_cause(play, event)])
                 self.director.listener.send_until_acknowledged(
@@ -44,7 +44,7 @@
     def release_cause(self, play: Play, event: str) -> int:
         """Returns the cause that the release of a running play states.
 
-        A viewer that left, by its node's word, while our answer was on its way does not count that
+        A viewer that left, as its node reports, while our answer was on its way does not count that
         answer as one. The release is then its final answer, and its cause must be that of one.
         """
         if event in (allocation.INTERRUPTED, allocation.NODE_LOST):
--- a/laddergw/platform/plays.py
+++ b/laddergw/platform/plays.py
@@ -23,7 +23,7 @@
         self.timeout_timer = self.deadline_timer = None
         self.deadline = 0.0  # when its answer is due: shortly before its viewer stops waiting
         self.is_running = False
-        self.answered_at = 0.0  # when its viewer was told that it runs
+        self.answered_at = 0.0  # when its viewer was answered that it runs
         self.answer: rtsp.Message | None = None  # its node's answer, until that is passed on
         # Outcome of its allocation and its node's load report, until the controller gets them.
         self.pending_outcome: tuple | None = None
--- a/laddergw/settings.py
+++ b/laddergw/settings.py
@@ -12,9 +12,9 @@
     """A required setting is missing, or a setting is invalid; the text names its key."""
 
 
-# Product.repeat of each word that a settings' Repeat may be.
+# Product.repeat for each value of a grade's Repeat.
 RETRY_SAFETY = {"pure": "safe", "token": "keyed", "side_effect": "paid"}
-# Words that Reporting.How may be.
+# Values of Reporting.How.
 LOAD_SOURCES = ("answers", "probe", "none")
 # Default of a setting that has none.
 REQUIRED = object()
@@ -29,7 +29,7 @@
     """Returns nested JSON under the same dotted keys as `parse`.
 
     A list of scalars becomes one text joined by commas. The items of any other list get their index
-    as a part of the key, and the list's length stands under `.count`.
+    as a part of the key, and the list's length is stored under `.count`.
     """
     flat = {}
 
--- a/tests/test_orders_repeats.py
+++ b/tests/test_orders_repeats.py
@@ -97,7 +97,7 @@
         """The node closes idle connections after a stated time, and does so as a paid set-up is written: the play would fail."""
         settings = json.loads(json.dumps(BASE_SETTINGS))
         settings["Permissions"]["ConnIdle"] = 10_000_000
-        for idle_ms, fresh in (9_000.0, False), (9_900.0, True):
+        for idle_ms, opens_new in (9_000.0, False), (9_900.0, True):
             with self.subTest(idle_ms):
                 now = [10_000.0]
                 harness = SocketHarness(self, now=lambda: now[0], settings=settings)
@@ -107,11 +107,11 @@
                 viewer = harness.viewer()
                 harness.director_stream(viewer)
                 allocate = harness.director.allocator.allocate
-                if fresh:
+                if opens_new:
                     harness.director.allocator.allocate = lambda *what: (old.close(), allocate(*what))
                 viewer.write(set_up(2, product="paid"))
                 connection, message = harness.wait_for_set_up("a")
-                self.assertEqual(connection is old, not fresh)
+                self.assertEqual(connection is old, not opens_new)
                 connection.write(answer(message.session))
                 self.assertEqual([m.kind for m in harness.run_until(viewer.receive)], [binary.ANSWER])
 
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -42,7 +42,7 @@
         cluster, viewer = scene("the viewer gives up; a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
         cluster.connections["node a"].stream.write(answer(f"{1:016x}"))
         cluster.run(50)
-        self.assert_trace("platform_ways", cluster)
+        self.assert_trace("platform_courses", cluster)
         self.assertEqual((len(cluster.director.open_requests), len(cluster.director.running_plays), len(cluster.director.controller.plays)), (0, 0, 0))
 
     def test_bad_viewers(self):
@@ -91,7 +91,7 @@
         cluster.run(100)
         cluster.viewer("third").stream.write(set_up(5))
         cluster.run(50)
-        self.assert_trace("platform_heard", cluster)
+        self.assert_trace("platform_releases", cluster)
         cluster.run(8500)
         self.assertEqual(len(cluster.director.listener.releases.pending), 0)
 
