--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -7,7 +7,7 @@
 from laddergw.signalling import binary
 from laddergw.signalling import changes
 from tests.helpers import TraceTest
-from tests.platform_cluster import member, event, set_up, PlatformCluster, message, answer, release, ReleasingNode, DiscardedLines, FirstCallOnly
+from tests.platform_cluster import member, event, set_up, PlatformCluster, parse_message, answer, release, ReleasingNode, DiscardedLines, FirstCallOnly
 
 
 class MediaNodes(TraceTest):
@@ -90,7 +90,7 @@
         first = next(iter(cluster.director.open_requests.values())).node.id
         other = "b" if first == "a" else "a"
         cluster.hosts[other].silent = False
-        cluster.log_connection.tell(event(2, member(first, 1, "DRAINING", cell="ab".index(first))))
+        cluster.log_connection.send_events(event(2, member(first, 1, "DRAINING", cell="ab".index(first))))
         cluster.run(50)
         self.assertTrue(any(f"node {other} gets SETUP 1" in line for line in cluster.lines), cluster.lines)
         self.assertFalse(any(f"node {first} gets" in line for line in cluster.lines))
@@ -104,7 +104,7 @@
             cluster.director.allocator.set_up_timed_out(cluster.director.open_requests[f"{1:016x}"])
 
         def leave(cluster):
-            cluster.director.admission.handle_release(cluster.director_side(), f"{1:016x}")
+            cluster.director.admission.handle_release(cluster.last_viewer_connection(), f"{1:016x}")
 
         def stop(cluster):
             cluster.director.end_all_plays()
@@ -115,9 +115,9 @@
                     cluster.director.nodes.max_connections = 1 if shared else 22
                     cluster.director.controller.fleet.nodes[2].backoff_until = 1e12      # node b rests: all set-ups go to a
                     cluster.viewer()
-                    cluster.director.admission.handle_message(cluster.director_side(), message(set_up(1, product="paid")))
+                    cluster.director.admission.handle_message(cluster.last_viewer_connection(), parse_message(set_up(1, product="paid")))
                     if shared:
-                        cluster.director.admission.handle_message(cluster.director_side(), message(set_up(2, product="paid")))
+                        cluster.director.admission.handle_message(cluster.last_viewer_connection(), parse_message(set_up(2, product="paid")))
                     cluster.director.finish_turn()
                     connection, = cluster.director.nodes.by_id["a"].connections
                     self.assertEqual((connection.up, len(connection.plays)), (False, 1 + shared))
@@ -138,8 +138,8 @@
         viewer = cluster.viewer()
         cluster.lines = DiscardedLines()
         for i, name in enumerate(names):
-            cluster.director.admission.handle_message(cluster.director_side(), message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
-            cluster.hosts[name].call_at(cluster.world.now + 3000, lambda name=name: sent_at.setdefault(name, cluster.world.now))
+            cluster.director.admission.handle_message(cluster.last_viewer_connection(), parse_message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
+            cluster.hosts[name].call_at(cluster.network.now + 3000, lambda name=name: sent_at.setdefault(name, cluster.network.now))
             # A node sends its release on an open connection, and once more on the next that opens
             listener = cluster.hosts[name].listeners[0]
             listener.accept = lambda stream, name=name, i=i: ReleasingNode(cluster, name, sent_at, release(i + 1, 16))
@@ -199,7 +199,7 @@
         cluster.run(50)
         old = next(iter(cluster.director.running_plays.values())).node
         successor = member("new", 1) | {"host_port": f"{old.id}:1"}
-        cluster.log_connection.tell(event(2, member(old.id, 1, "DELETED"), successor))
+        cluster.log_connection.send_events(event(2, member(old.id, 1, "DELETED"), successor))
         cluster.run(50)
         new = cluster.director.nodes.by_id["new"]
         self.assertNotEqual(new.number, old.number)
