--- a/benchmarks/broken_fleets.py
+++ b/benchmarks/broken_fleets.py
@@ -6,7 +6,7 @@
 import sys
 
 from laddergw.lab.soak.judge import judge
-from laddergw.lab.soak.judge_cold import excess
+from laddergw.lab.soak.judge_cold import cold_start_excess
 from laddergw.lab.soak.trial import Trial
 from tests.test_platform_fleet import BAD_DAY, DIRECTORS, NODES, RATE, SECONDS, SEED, TERMS
 
@@ -35,7 +35,7 @@
         said = [one for one in found if not one.startswith("director")] + [one for one in found if one.startswith("director")]
         whats = [what for _, what, _ in records]
         print(f"{name}, {directors:g} directors, {rate:g} viewers a second, seed {seed:g}: asked {whats.count('asked')}, set-ups {whats.count('arrived')}, "
-              f"left {whats.count('left')}, starts {whats.count('director starts')}; {len(found)} broken, most at a cold node over chance {excess(records, TERMS):.1f}; {'; '.join(said[:2])[:200]}")
+              f"left {whats.count('left')}, starts {whats.count('director starts')}; {len(found)} broken, most at a cold node over chance {cold_start_excess(records, TERMS):.1f}; {'; '.join(said[:2])[:200]}")
     return 1 if wrong else 0
 
 
--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -17,7 +17,7 @@
 from laddergw.lab.soak import plan
 from laddergw.lab.soak.messages import SETTINGS
 from laddergw.lab.soak.result import play
-from laddergw.lab.soak.terms import USUAL
+from laddergw.lab.soak.terms import DEFAULT_TERMS
 
 SEEDS = range(1, 11)
 JOBS = 4
@@ -61,7 +61,8 @@
         "lost",
     ),
     "grows": Broken(
-        f"held = bytearray({int(USUAL.memory_mb) << 20}); held[::4096] = held[::4096]", "limits"
+        f"held = bytearray({int(DEFAULT_TERMS.memory_mb) << 20}); held[::4096] = held[::4096]",
+        "limits",
     ),
     "spins": Broken(
         "from laddergw.loop import base; ends = base.BaseLoop.end_turn; "
@@ -89,8 +90,8 @@
     for seed in SEEDS:
         with tempfile.TemporaryDirectory() as folder:
             result = play(
-                plan.draw(seed, len(USUAL.products)),
-                USUAL,
+                plan.draw(seed, len(DEFAULT_TERMS.products)),
+                DEFAULT_TERMS,
                 SETTINGS,
                 folder,
                 run=f'exec {sys.executable} -c "{code}"',
--- a/benchmarks/leaving_under_load.py
+++ b/benchmarks/leaving_under_load.py
@@ -93,7 +93,7 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.selector.register(sock, selectors.EVENT_READ, lambda s: self.answered(s))
-        self.say(sock, set_up(number, patience="1500", title=f"{number % 50:016x}", figures=f"home:{number % 3};copies:3;top:2", hint="1000.0"))
+        self.say(sock, set_up(number, wait_limit_ms="1500", title=f"{number % 50:016x}", attributes=f"home:{number % 3};copies:3;top:2", hint="1000.0"))
         if self.draw.random() < 0.5:
             self.at(self.now() + self.draw.random() * 0.3, self.leave, sock, f"{number:016x}", self.draw.randrange(3))
 
--- a/laddergw/cli/rehearsing.py
+++ b/laddergw/cli/rehearsing.py
@@ -43,7 +43,7 @@
     logging.basicConfig(level=logging.WARNING)
     usual = lambda: plant.plant(seed, directors or 4, nodes or 24, rate or 24.0, seconds or 60.0)
     if name == "soak" and day is None:
-        from laddergw.cli.rehearsing_soak import soak
+        from laddergw.cli.rehearse_soak import soak
         from laddergw.lab.soak.plan import Sizes
         return soak(seeds or str(seed), plan, Sizes(directors, seconds, config is not None), config, report, keep, jobs, smaller)
     if name == "apart" and day is None:
--- a/laddergw/lab/soak/change_log.py
+++ b/laddergw/lab/soak/change_log.py
@@ -16,7 +16,7 @@
     return json.dumps(one).encode() + b"\n"
 
 
-class LogSide(Owner):
+class LogConnection(Owner):
     """One director's connection: it asks from where it goes on, and hears all that follows."""
 
     def __init__(self, log: "ChangeLog", director: int):
@@ -52,7 +52,9 @@
 
     def open(self) -> None:
         self.listeners = [
-            self.loop.listen((HOST, port), lambda stream, number=number: LogSide(self, number))
+            self.loop.listen(
+                (HOST, port), lambda stream, number=number: LogConnection(self, number)
+            )
             for number, port in enumerate(self.ports)
         ]
 
@@ -69,7 +71,7 @@
         for side in [] if self.silent else self.sides:
             side.stream.write(line({"seq": len(self.events)}))
 
-    def tell(self, *lines: dict, whole: bool = False) -> None:
+    def publish(self, *lines: dict, whole: bool = False) -> None:
         self.events.append(event(len(self.events) + 1, *lines, whole=whole))
         for line in lines:
             self.record("told", node=line["id"], state=line["phase"])
@@ -83,7 +85,7 @@
             "results": [self.addressed(one, director) for one in self.events],
         }
 
-    def go(self) -> None:
+    def go_down(self) -> None:
         """It is down: every connection ends, new ones are refused."""
         if self.listeners:
             self.record("log away")
@@ -92,7 +94,7 @@
                 listener.close()
             self.cut()
 
-    def come(self) -> None:
+    def come_back(self) -> None:
         if not self.listeners:
             self.open()
             self.record("log back")
@@ -101,13 +103,13 @@
         for side in list(self.sides):
             side.stream.abort()
 
-    def fall_silent(self) -> None:
+    def go_silent(self) -> None:
         """Connections stay open, also new ones, and nothing is said."""
         if not self.silent:
             self.record("log away")
             self.silent = True
 
-    def speak(self) -> None:
+    def resume(self) -> None:
         if self.silent:
             self.silent = False
             self.record("log back")
--- a/laddergw/lab/soak/directors.py
+++ b/laddergw/lab/soak/director_supervisor.py
@@ -13,7 +13,7 @@
 
 from laddergw.lab.soak.messages import configuration
 from laddergw.lab.soak.peers import Owner
-from laddergw.lab.soak.ports import HOST, held_port
+from laddergw.lab.soak.ports import HOST, reserve_port
 from laddergw.lab.soak.terms import settings_for
 from laddergw.signalling import binary
 
@@ -45,7 +45,7 @@
         self.stream.close()
 
 
-class DirectorPlace:
+class DirectorSupervisor:
     """See the module. `trial` owns the loop, the records, the folder and the change log."""
 
     def __init__(self, trial: Any, number: int, run: str):
@@ -54,9 +54,9 @@
             number,
             f"n{number}",
             run,
-            held_port(),
+            reserve_port(),
         )
-        self.address, self.starts, self.process, self.takes, self.stopping = (
+        self.address, self.starts, self.process, self.accepts_plays, self.stopping = (
             self.held.getsockname(),
             0,
             None,
@@ -92,7 +92,7 @@
         self.starts += 1
         self.write_configuration()
         self.trial.record("director starts", director=self.name)
-        self.takes = self.stopping = False
+        self.accepts_plays = self.stopping = False
         environment = os.environ | {
             "PROXY_CONFIG": self.path(),
             "PYTHONDONTWRITEBYTECODE": "1",
@@ -115,20 +115,20 @@
         return os.path.join(self.trial.folder, f"{self.name}.{start}.log")
 
     def look(self, process) -> None:
-        if self.process is process and not self.takes and not self.stopping:
+        if self.process is process and not self.accepts_plays and not self.stopping:
             Tested(self.trial.loop, self.address, lambda: self.ready(process))
             self.trial.loop.call_later(LOOK_MS, lambda: self.look(process))
 
     def ready(self, process) -> None:
-        if self.process is process and not self.takes and not self.stopping:
-            self.takes = True
+        if self.process is process and not self.accepts_plays and not self.stopping:
+            self.accepts_plays = True
             self.trial.record("director ready", director=self.name)
 
     def stop(self) -> None:
         """As at a planned restart: it is told; viewers go on coming for a moment, and on open
         connections until it has ended, which it has
         to before the earliest kill."""
-        if self.process is None or self.stopping or not self.takes:
+        if self.process is None or self.stopping or not self.accepts_plays:
             return
         process, self.stopping = self.process, True
         self.trial.record("director told to stop", director=self.name)
@@ -140,7 +140,7 @@
 
     def no_new_connections(self, process) -> None:
         if self.process is process:
-            self.takes = False
+            self.accepts_plays = False
 
     def kill_stopped(self, process) -> None:
         if process.poll() is None:
@@ -151,7 +151,7 @@
     def kill(self) -> None:
         if self.process is None or self.process.poll() is not None:
             return
-        process, self.process, self.takes = self.process, None, False
+        process, self.process, self.accepts_plays = self.process, None, False
         self.trial.killed.add(process.pid)
         self.trial.record("director killed", director=self.name)
         process.kill()
@@ -166,7 +166,7 @@
             )
 
     def reconfigure(self) -> None:
-        if self.process is not None and self.process.poll() is None and self.takes:
+        if self.process is not None and self.process.poll() is None and self.accepts_plays:
             self.write_configuration()
             self.process.send_signal(signal.SIGHUP)
 
@@ -177,14 +177,14 @@
             else (0,)
         )
         if process is self.process:
-            self.takes, self.process = False, None
+            self.accepts_plays, self.process = False, None
         self.trial.record("director ended", director=self.name, status=status, fine=fine)
         if not self.trial.over:
             self.start()
 
     def measure(self) -> None:
         """Descriptors, resident memory and processor time of its process."""
-        if self.process is None or not self.takes:
+        if self.process is None or not self.accepts_plays:
             return
         try:
             descriptors = len(os.listdir(f"/proc/{self.process.pid}/fd"))
--- a/laddergw/lab/soak/faults.py
+++ b/laddergw/lab/soak/faults.py
@@ -51,24 +51,24 @@
 
     def drain(self, fault: Fault) -> None:
         node = self.node(fault)
-        self.trial.log.tell(node.line("DRAINING"))
+        self.trial.log.publish(node.list_entry("DRAINING"))
         self.trial.loop.call_later(DRAIN_MS, lambda: self.leave(node))
 
     def replace(self, fault: Fault) -> None:
         node = self.node(fault)
-        successor = self.trial.node(f"s{len(self.trial.nodes)}", node.cell, True)
-        self.trial.log.tell(node.line("DRAINING"), successor.line("SERVING"))
+        successor = self.trial.add_node(f"s{len(self.trial.nodes)}", node.cell, True)
+        self.trial.log.publish(node.list_entry("DRAINING"), successor.list_entry("SERVING"))
         self.trial.loop.call_later(DRAIN_MS, lambda: self.leave(node))
 
     def leave(self, node: Node) -> None:
         if not node.gone:
-            self.trial.log.tell(node.line("DELETED"))
+            self.trial.log.publish(node.list_entry("DELETED"))
             self.trial.loop.call_later(GONE_MS, node.die)
 
     def hang(self, fault: Fault) -> None:
         node = self.node(fault)
         node.hang()
-        self.later(fault, node.wake)
+        self.later(fault, node.resume)
 
     def die(self, fault: Fault) -> None:
         self.node(fault).die()
@@ -85,12 +85,12 @@
         self.later(fault, node.accept_again)
 
     def log_away(self, fault: Fault) -> None:
-        self.trial.log.go()
-        self.later(fault, self.trial.log.come)
+        self.trial.log.go_down()
+        self.later(fault, self.trial.log.come_back)
 
     def log_silent(self, fault: Fault) -> None:
-        self.trial.log.fall_silent()
-        self.later(fault, self.trial.log.speak)
+        self.trial.log.go_silent()
+        self.later(fault, self.trial.log.resume)
 
     def log_broken_line(self, fault: Fault) -> None:
         self.trial.log.break_line()
--- a/laddergw/lab/soak/judge.py
+++ b/laddergw/lab/soak/judge.py
@@ -11,12 +11,12 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from laddergw.lab.soak.breaks import Break
 from laddergw.lab.soak.judge_cold import cold
 from laddergw.lab.soak.judge_drains import drains
 from laddergw.lab.soak.judge_limits import further_attempts, spinning
 from laddergw.lab.soak.judge_releases import releases
 from laddergw.lab.soak.terms import Terms
+from laddergw.lab.soak.violation import RuleViolation
 
 GONE_MS = 100.0  # an attempt begins no later than this after its viewer has left: the users' term,
 GONE_CASES = 3  # a break from so many cases on
@@ -27,7 +27,7 @@
 PASSED_ON = "product", "title", "offer"  # fields of a set-up that pass on unchanged
 
 
-def judge(records: Iterable[tuple], terms: Terms) -> list[Break]:
+def judge(records: Iterable[tuple], terms: Terms) -> list[RuleViolation]:
     """All that is broken."""
     records = sorted(records, key=lambda record: record[0])
     rules = (
@@ -55,7 +55,7 @@
     return found
 
 
-def answers(records) -> list[Break]:
+def answers(records) -> list[RuleViolation]:
     """One answer in time to who has not left; none that is not owed twice.
 
     A process that was stopped by a signal answers nothing.
@@ -71,7 +71,7 @@
         came = [(when, facts) for when, what, facts in told if what == "answered"]
         gone_at = min((when for when, what, _ in told if what in EXCUSED), default=math.inf)
         if len(came) > 1:
-            broken.append(Break("twice", f"answered {len(came)} times: {session}", session))
+            broken.append(RuleViolation("twice", f"answered {len(came)} times: {session}", session))
         still = sum(
             max(0.0, min(ends, came[0][0]) - max(begins, at))
             for begins, ends, who in frozen
@@ -79,7 +79,7 @@
         )
         if came and came[0][0] > at + asked["wait_ms"] + LATE_MS + came[0][1]["lag"] + still:
             broken.append(
-                Break(
+                RuleViolation(
                     "lost",
                     f"answered {came[0][0] - at:.0f} ms after it was asked for: {session}",
                     session,
@@ -87,18 +87,18 @@
             )
         if not came and gone_at == math.inf:
             broken.append(
-                Break(
+                RuleViolation(
                     "lost", f"without an answer: {session} at director {asked['director']}", session
                 )
             )
     return broken
 
 
-def made(records) -> list[Break]:
+def made(records) -> list[RuleViolation]:
     """A session is answered with a description that a media node gave for it."""
     given = by_session(records, "made")
     return [
-        Break("lost", f"an answer that no media node made: {session}", session)
+        RuleViolation("lost", f"an answer that no media node made: {session}", session)
         for session, told in by_session(records, "answered").items()
         for _, _, facts in told
         if "text" in facts
@@ -106,7 +106,7 @@
     ]
 
 
-def unchanged(records) -> list[Break]:
+def unchanged(records) -> list[RuleViolation]:
     """Product, title and description reach a media node as the viewer sent them."""
     sent, broken = {}, []
     for _, what, facts in records:
@@ -117,7 +117,7 @@
             changed = [name for name in PASSED_ON if asked.get(name) != facts.get(name)]
             if changed:
                 broken.append(
-                    Break(
+                    RuleViolation(
                         "lost",
                         f"changed on its way, {', '.join(changed)}: {facts['session']}",
                         facts["session"],
@@ -126,7 +126,7 @@
     return broken
 
 
-def refusals(records, paid: set[str]) -> list[Break]:
+def refusals(records, paid: set[str]) -> list[RuleViolation]:
     """Nobody is told that trying again is harmless of a product that runs once and may have run."""
     broken = []
     for session, told in by_session(records, "arrived", "over", "answered").items():
@@ -136,11 +136,13 @@
         if may_have_run > 0 and any(
             what == "answered" and facts["answer"] == "declined" for _, what, facts in told
         ):
-            broken.append(Break("dup", f"declined, though it may have run: {session}", session))
+            broken.append(
+                RuleViolation("dup", f"declined, though it may have run: {session}", session)
+            )
     return broken
 
 
-def once(records, paid: set[str]) -> list[Break]:
+def once(records, paid: set[str]) -> list[RuleViolation]:
     """No product that runs once is set up a second time where the first may have run; no play is
     out at two nodes.
     """
@@ -157,7 +159,7 @@
                 continue
             if both := [node for node in out if (at, node) not in ends]:
                 broken.append(
-                    Break(
+                    RuleViolation(
                         "twice",
                         f"out at {facts['node']} and at {', '.join(both)}: {session}",
                         session,
@@ -167,12 +169,12 @@
             may_have_run += 1
             if may_have_run > 1 and facts["product"] in paid:
                 broken.append(
-                    Break("twice", f"a paid play set up a second time: {session}", session)
+                    RuleViolation("twice", f"a paid play set up a second time: {session}", session)
                 )
     return broken
 
 
-def gone(records) -> list[Break]:
+def gone(records) -> list[RuleViolation]:
     """No attempt begins long after its viewer has left."""
     left, late = {}, []
     for at, what, facts in records:
@@ -185,13 +187,13 @@
                 f"{facts['session']} {at - left[facts['session']]:.0f} ms after its viewer had left"
             )
     return (
-        [Break("gone", f"attempts for who has gone: {', '.join(late)}")]
+        [RuleViolation("gone", f"attempts for who has gone: {', '.join(late)}")]
         if len(late) >= GONE_CASES
         else []
     )
 
 
-def processes(records, terms: Terms) -> list[Break]:
+def processes(records, terms: Terms) -> list[RuleViolation]:
     """Directors start in time, end well, keep their limits and log no trouble."""
     broken, since, took = [], {}, []
     for at, what, facts in records:
@@ -201,15 +203,15 @@
             took.append(at - since.pop(facts["director"]))
         elif what == "director ended" and facts["status"] not in facts["fine"]:
             broken.append(
-                Break("crash", f"director {facts['director']} ended with {facts['status']}")
+                RuleViolation("crash", f"director {facts['director']} ended with {facts['status']}")
             )
         elif what == "trouble in a log":
-            broken.append(Break("crash", f"director {facts['director']}: {facts['line']}"))
+            broken.append(RuleViolation("crash", f"director {facts['director']}: {facts['line']}"))
         elif what == "held" and (
             facts["descriptors"] > terms.sockets or facts["memory_mb"] > terms.memory_mb
         ):
             broken.append(
-                Break(
+                RuleViolation(
                     "limits",
                     f"director {facts['director']} holds {facts['descriptors']} descriptors, "
                     f"{facts['memory_mb']:.0f} MB",
@@ -217,7 +219,7 @@
             )
     if sum(ms <= READY_MS for ms in took) < READY_PART * (len(took) + len(since)):
         broken.append(
-            Break(
+            RuleViolation(
                 "crash", f"{len(since)} never ready, the others after {sorted(map(round, took))} ms"
             )
         )
--- a/laddergw/lab/soak/judge_cold.py
+++ b/laddergw/lab/soak/judge_cold.py
@@ -5,8 +5,8 @@
 import math
 from collections import defaultdict
 
-from laddergw.lab.soak.breaks import Break
 from laddergw.lab.soak.terms import Terms
+from laddergw.lab.soak.violation import RuleViolation
 
 
 def allowed(now: float, started: float, terms: Terms) -> float:
@@ -17,7 +17,7 @@
     return terms.multiple * terms.streams / terms.warm_ms * warmth * terms.fall_ms
 
 
-def excess(records, terms: Terms) -> float:
+def cold_start_excess(records, terms: Terms) -> float:
     """The most that any span of the settings' time held, at any node that is still cold, over N + 2
     roots of N + 2.
     """
@@ -38,10 +38,10 @@
     return most
 
 
-def cold(records, terms: Terms) -> list[Break]:
-    over = excess(records, terms)
+def cold(records, terms: Terms) -> list[RuleViolation]:
+    over = cold_start_excess(records, terms)
     return (
-        [Break("failback", f"a cold node was sent {over:.1f} over what chance explains")]
+        [RuleViolation("failback", f"a cold node was sent {over:.1f} over what chance explains")]
         if over > 0
         else []
     )
--- a/laddergw/lab/soak/judge_drains.py
+++ b/laddergw/lab/soak/judge_drains.py
@@ -2,7 +2,7 @@
 
 import math
 
-from laddergw.lab.soak.breaks import SLACK_MS, Break
+from laddergw.lab.soak.violation import SLACK_MS, RuleViolation
 
 DRAIN_LEAST_MS = 250.0  # nothing new to a node so long after a director was told that it drains
 UNTOLD_MS = 4_000.0  # what the change log cannot tell counts as told so long after it went away,
@@ -23,7 +23,7 @@
     return at
 
 
-def drains(records, grace_ms: float) -> list[Break]:
+def drains(records, grace_ms: float) -> list[RuleViolation]:
     """Nothing new goes to a node that drains, once that counts as told."""
     away: list[list[float]] = []
     told: dict[str, float] = {}
@@ -43,7 +43,7 @@
         ):
             since = at - told[facts["node"]]
             broken.append(
-                Break(
+                RuleViolation(
                     "drain",
                     f"{facts['session']} to {facts['node']}, "
                     f"{since:.0f} ms after it was told to drain",
--- a/laddergw/lab/soak/judge_limits.py
+++ b/laddergw/lab/soak/judge_limits.py
@@ -2,14 +2,14 @@
 
 from collections import deque
 
-from laddergw.lab.soak.breaks import Break
 from laddergw.lab.soak.terms import Budget
+from laddergw.lab.soak.violation import RuleViolation
 
 BUDGET_SLACK, BUDGET_MORE = 1.15, 1.0  # the budget grows by this, by the protocol page
 SPINS_MS, SPINS_SHARE = 2_000.0, 0.95  # so long at this share of a processor
 
 
-def further_attempts(records: list[tuple], budget: Budget | None) -> list[Break]:
+def further_attempts(records: list[tuple], budget: Budget | None) -> list[RuleViolation]:
     """In no window does a director send more further attempts than its budget allows."""
     if budget is None:
         return []
@@ -36,11 +36,11 @@
             allowed = (budget.free + budget.share * len(taken)) * BUDGET_SLACK + BUDGET_MORE
             if len(spent) > allowed:
                 what_was = f"{len(spent)} further attempts, {allowed:.1f} allowed: {director}"
-                broken.append(Break("budget", what_was, facts["session"]))
+                broken.append(RuleViolation("budget", what_was, facts["session"]))
     return broken
 
 
-def spinning(records: list[tuple]) -> list[Break]:
+def spinning(records: list[tuple]) -> list[RuleViolation]:
     """No director uses up a processor for long."""
     since: dict[str, tuple[float, float]] = {}
     broken = []
@@ -52,6 +52,8 @@
         if used < used_then or used - used_then < SPINS_SHARE * (at - begun):
             since[director] = at, used
         elif at - begun >= SPINS_MS:
-            broken.append(Break("limits", f"director {director} spins: {used - used_then:.0f} ms"))
+            broken.append(
+                RuleViolation("limits", f"director {director} spins: {used - used_then:.0f} ms")
+            )
             since[director] = at, used
     return broken
--- a/laddergw/lab/soak/judge_releases.py
+++ b/laddergw/lab/soak/judge_releases.py
@@ -9,13 +9,13 @@
 
 import math
 
-from laddergw.lab.soak.breaks import SLACK_MS, Break
+from laddergw.lab.soak.violation import SLACK_MS, RuleViolation
 
 HEARD_MS = 1_000.0
 UNHEARD_MS = 8_000.0
 
 
-def releases(records) -> list[Break]:
+def releases(records) -> list[RuleViolation]:
     """What stood and was not released in time, of which its director is to blame."""
     ways, end_of_trial = ways_open(records), max((at for at, _, _ in records), default=0.0)
     director_of = {
@@ -33,7 +33,7 @@
             continue
         if process_end < due and released is None:
             broken.append(
-                Break(
+                RuleViolation(
                     "lost", f"still stood as its director ended: {session} at {director}", session
                 )
             )
@@ -43,7 +43,7 @@
             continue
         late = f"{released - due:.0f} ms late" if released is not None else "never"
         broken.append(
-            Break(
+            RuleViolation(
                 "lost",
                 f"was over ({why}), and its viewer was told {late}: {session} at {director}",
                 session,
--- a/laddergw/lab/soak/messages.py
+++ b/laddergw/lab/soak/messages.py
@@ -78,9 +78,9 @@
 def set_up(
     session: int,
     product: str = "guide",
-    patience: str = "1500",
+    wait_limit_ms: str = "1500",
     title: str = "7f3a9c21e0b4d655",
-    figures: str = "home:0;copies:3;top:2;viewer:00000000b4d65521",
+    attributes: str = "home:0;copies:3;top:2;viewer:00000000b4d65521",
     hint: str = "30000.0",
     text: bytes = b"v=0\r\n",
 ) -> bytes:
@@ -89,9 +89,9 @@
         binary.SET_UP,
         f"{session:016x}",
         (binary.PRODUCT, product.encode()),
-        (binary.WAIT_LIMIT, patience.encode()),
+        (binary.WAIT_LIMIT, wait_limit_ms.encode()),
         (binary.TITLE, title.encode()),
-        (binary.ATTRIBUTES, figures.encode()),
+        (binary.ATTRIBUTES, attributes.encode()),
         (binary.HINT, hint.encode()),
         (binary.DESCRIPTION, text),
     )
--- a/laddergw/lab/soak/node_side.py
+++ b/laddergw/lab/soak/node_connection.py
@@ -36,7 +36,7 @@
         return kind in self.now
 
 
-class NodeSide(Owner):
+class NodeConnection(Owner):
     """One connection from a director, by its number."""
 
     def __init__(self, node: "Node", director: int):
--- a/laddergw/lab/soak/nodes.py
+++ b/laddergw/lab/soak/nodes.py
@@ -8,8 +8,8 @@
 import time
 
 from laddergw.lab.soak.messages import member, release
-from laddergw.lab.soak.node_side import ENDED, Conditions, NodeSide
-from laddergw.lab.soak.ports import HOST, held_port
+from laddergw.lab.soak.node_connection import ENDED, Conditions, NodeConnection
+from laddergw.lab.soak.ports import HOST, reserve_port
 from laddergw.signalling import rtsp
 
 LENGTH_MS = 400.0, 2_000.0  # of a play
@@ -46,16 +46,18 @@
         # by director: sessions whose end it has not acknowledged, with the cause
         self.untold: dict[int, dict[str, int]] = {}
         # held past its death: its ports must refuse, and never be another trial's
-        self.ports = [held_port() for _ in range(directors)]
+        self.ports = [reserve_port() for _ in range(directors)]
         self.listeners = [
-            loop.listen(port.getsockname(), lambda stream, number=number: NodeSide(self, number))
+            loop.listen(
+                port.getsockname(), lambda stream, number=number: NodeConnection(self, number)
+            )
             for number, port in enumerate(self.ports)
         ]
         self.since = time.time() * 1000 if cold else 0
         if cold:
             record("started", node=name)
 
-    def line(self, phase: str) -> dict:
+    def list_entry(self, phase: str) -> dict:
         """Of the list of media nodes; the address is filled in for each director."""
         return member(self.id, 1, phase, self.cell, self.since)
 
@@ -67,7 +69,7 @@
         text = f"{session}\r\nc=IN IP4 10.0.0.{host}\r\nm=audio {port} RTP/AVP 0 8 101\r\n"
         return text.encode()
 
-    def play(self, session: str, side: NodeSide) -> None:
+    def play(self, session: str, side: NodeConnection) -> None:
         self.playing[session] = side
         self.loop.call_later(self.draw.uniform(*LENGTH_MS), lambda: self.end(session))
 
@@ -91,7 +93,7 @@
         if speaker is not None:
             speaker.write(release(int(session, 16), cause))
 
-    def torn_down(self, side: NodeSide, session: str) -> None:
+    def torn_down(self, side: NodeConnection, session: str) -> None:
         for one in {side, self.playing.pop(session, side)}:
             one.over(session)
         self.untold.get(side.director, {}).pop(session, None)
@@ -114,7 +116,7 @@
         """
         self.still = True
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         self.still = False
 
     def stop_accepting(self) -> None:
--- a/laddergw/lab/soak/ports.py
+++ b/laddergw/lab/soak/ports.py
@@ -9,7 +9,7 @@
 SYSTEM_RANGE = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
-class HeldPort(socket.socket):
+class ReservedPort(socket.socket):
     """A free port, bound and not listening: a listener that reuses addresses may have it, and
     nobody else is given it. It lies under those
     that the system gives, which it would give to another that reuses addresses while nobody
@@ -26,11 +26,11 @@
         self.mark.close()
 
 
-def held_port() -> HeldPort:
+def reserve_port() -> ReservedPort:
     """Raises OSError where no port is free."""
     first = int(SYSTEM_RANGE.read_text().split()[0])
     for _ in range(PORTS):
-        held = HeldPort()
+        held = ReservedPort()
         try:
             address = HOST, first - 1 - random.SystemRandom().randrange(PORTS)
             held.mark.bind(address)
--- a/laddergw/lab/soak/result.py
+++ b/laddergw/lab/soak/result.py
@@ -36,7 +36,7 @@
     crossed: int  # set-ups that crossed a close and went again
     lag_ms: float
     judged: bool
-    breaks: list[judge.Break]
+    breaks: list[judge.RuleViolation]
     stories: list[
         str
     ]  # of the first breaks: the session's lines over all processes, and the faults then open
@@ -86,7 +86,7 @@
             stream.write(msgspec.json.encode(record) + b"\n")
 
 
-def story(broken: judge.Break, records: list[tuple], folder: str) -> str:
+def story(broken: judge.RuleViolation, records: list[tuple], folder: str) -> str:
     """What led to a break, a line each, at most so many."""
     seen = [
         (at, what, facts)
--- a/laddergw/lab/soak/terms.py
+++ b/laddergw/lab/soak/terms.py
@@ -147,4 +147,4 @@
     }
 
 
-USUAL = terms_of(configuration()["settings"], 256)
+DEFAULT_TERMS = terms_of(configuration()["settings"], 256)
--- a/laddergw/lab/soak/trial.py
+++ b/laddergw/lab/soak/trial.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from laddergw.lab.soak.change_log import ChangeLog
-from laddergw.lab.soak.directors import DirectorPlace, default_run
+from laddergw.lab.soak.director_supervisor import DirectorSupervisor, default_run
 from laddergw.lab.soak.faults import Faults
-from laddergw.lab.soak.fronts import Front
 from laddergw.lab.soak.messages import SETTINGS
-from laddergw.lab.soak.node_side import Conditions
+from laddergw.lab.soak.node_connection import Conditions
 from laddergw.lab.soak.nodes import Node
 from laddergw.lab.soak.plan import Plan
-from laddergw.lab.soak.ports import held_port
-from laddergw.lab.soak.terms import CELLS, USUAL, Terms
+from laddergw.lab.soak.ports import reserve_port
+from laddergw.lab.soak.terms import CELLS, DEFAULT_TERMS, Terms
+from laddergw.lab.soak.viewer_group import ViewerGroup
 from laddergw.loop.sockets import SocketLoop
 
 PATIENCE_S = 60.0
@@ -48,7 +48,7 @@
         script: Script,
         seed: int,
         run: str | None = None,
-        terms: Terms = USUAL,
+        terms: Terms = DEFAULT_TERMS,
         settings: dict[str, Any] = SETTINGS,
         keep: str | None = None,
         log_level: str = "INFO",
@@ -74,7 +74,7 @@
         self.folder_held = None if keep else tempfile.TemporaryDirectory()
         self.folder = keep or self.folder_held.name
         os.makedirs(self.folder, exist_ok=True)
-        self.logs_held = [held_port() for _ in range(directors)]
+        self.logs_held = [reserve_port() for _ in range(directors)]
         self.nodes: dict[str, Node] = {}
         self.log = ChangeLog(
             self.loop,
@@ -82,15 +82,17 @@
             [held.getsockname()[1] for held in self.logs_held],
             lambda name, director: self.nodes[name].address_for(director),
         )
-        self.log.tell(
-            *(self.node(f"s{n}", n % CELLS, False).line("SERVING") for n in range(nodes)),
+        self.log.publish(
+            *(self.add_node(f"s{n}", n % CELLS, False).list_entry("SERVING") for n in range(nodes)),
             whole=True,
         )
         self.directors = [
-            DirectorPlace(self, number, run or default_run()) for number in range(directors)
+            DirectorSupervisor(self, number, run or default_run()) for number in range(directors)
         ]
         self.fronts = [
-            Front(self.loop, self.draw, self.record, self.conditions, place, self.next_session)
+            ViewerGroup(
+                self.loop, self.draw, self.record, self.conditions, place, self.next_session
+            )
             for place in self.directors
         ]
         self.loop.on_turn_end(self.turn_ends)
@@ -105,7 +107,7 @@
             (self.loop.now, what, facts | {"lag": max(0.0, self.loop.now - self.turned)})
         )
 
-    def node(self, name: str, cell: int, cold: bool) -> Node:
+    def add_node(self, name: str, cell: int, cold: bool) -> Node:
         node = self.nodes[name] = Node(
             self.loop, self.draw, self.record, self.conditions, name, cell, cold, self.number
         )
@@ -123,7 +125,7 @@
         self.loop.call_later(
             self.draw.expovariate(self.rate * (3 if crowded else 1) / 1000), self.arrive
         )
-        able = [front for front in self.fronts if front.place.takes or front.place.stopping]
+        able = [front for front in self.fronts if front.place.accepts_plays or front.place.stopping]
         if able:
             front = able[0] if crowded else self.draw.choice(able)
             front.ask(
@@ -149,7 +151,7 @@
     def settled(self) -> bool:
         """Nothing plays and nobody waits, or the time for that is over."""
         if self.loop.now < self.ends + LEAST_TAIL_MS or not all(
-            place.takes for place in self.directors
+            place.accepts_plays for place in self.directors
         ):
             return False
         return self.loop.now >= self.ends + SETTLE_MS or not any(
@@ -159,7 +161,7 @@
     def run(self) -> list[tuple]:
         """Plays all of it; the records."""
         try:
-            self.wait(lambda: all(place.takes for place in self.directors))
+            self.wait(lambda: all(place.accepts_plays for place in self.directors))
             began, self.ends = self.loop.now, self.loop.now + self.seconds * 1000
             for at, act in self.script:
                 self.loop.call_at(began + at, lambda act=act: act(self))
--- a/laddergw/lab/soak/viewers.py
+++ b/laddergw/lab/soak/viewer_connection.py
@@ -8,7 +8,7 @@
 from laddergw.signalling import binary
 
 if TYPE_CHECKING:
-    from laddergw.lab.soak.fronts import Front
+    from laddergw.lab.soak.viewer_group import ViewerGroup
 
 REFUSALS = 34, 42, 102  # causes that let a viewer come again
 LEAVES, LEAVES_MS = 0.3, 300.0  # part of the viewers that leave before their answer, within so long
@@ -33,10 +33,10 @@
     return f"{session}\r\nc=IN IP4 10.0.0.9\r\nm=audio 31000 RTP/AVP 0\r\n"
 
 
-class FrontSide(Owner):
+class ViewerConnection(Owner):
     """One connection to a director's process."""
 
-    def __init__(self, front: "Front"):
+    def __init__(self, front: "ViewerGroup"):
         self.front, self.reader, self.requests = front, binary.Reader(), {}
         self.process, self.writer, self.waiting = (
             front.place.process,
--- a/laddergw/lab/soak/fronts.py
+++ b/laddergw/lab/soak/viewer_group.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from laddergw.lab.soak.bad_clients import GARBAGE, BadClient
-from laddergw.lab.soak.node_side import Conditions
+from laddergw.lab.soak.node_connection import Conditions
 from laddergw.lab.soak.terms import Product
-from laddergw.lab.soak.viewers import FrontSide, Request
+from laddergw.lab.soak.viewer_connection import Request, ViewerConnection
 from laddergw.signalling import binary
 
 DIAL_MS = 2_000.0
@@ -16,7 +16,7 @@
 ON_OPEN = 0.7  # part of the requests that go on a connection that is open already
 
 
-class Front:
+class ViewerGroup:
     """The viewers of one director's place."""
 
     def __init__(
@@ -30,7 +30,7 @@
             place,
             next_session,
         )
-        self.sides: list[FrontSide] = []
+        self.sides: list[ViewerConnection] = []
         self.numbers = itertools.count()
         self.standing: dict[str, Request] = {}
 
@@ -41,15 +41,15 @@
         if self.place.process is not None:
             self.carrier().ask(Request(self.next_session(), product))
 
-    def carrier(self) -> FrontSide:
+    def carrier(self) -> ViewerConnection:
         usable = [
             side
             for side in self.sides
             if side.process is self.place.process and side.stream.sock is not None
         ]
-        if usable and (not self.place.takes or self.draw.random() < ON_OPEN):
+        if usable and (not self.place.accepts_plays or self.draw.random() < ON_OPEN):
             return self.draw.choice(usable)
-        side = FrontSide(self)
+        side = ViewerConnection(self)
         self.loop.dial(self.place.address, side, DIAL_MS)
         return side
 
@@ -68,7 +68,7 @@
         self.standing.pop(request.session, None)
         self.record("released", session=request.session)
 
-    def cut_off(self, side: FrontSide, request: Request) -> None:
+    def cut_off(self, side: ViewerConnection, request: Request) -> None:
         """A connection ended with a request on it that has no answer."""
         if request.asked_ms is None:
             request.state = "over"  # its last byte never left
@@ -89,7 +89,7 @@
                 stopping=self.place.stopping,
             )
             request.crossed, request.asked_ms = True, None
-            again = FrontSide(self)
+            again = ViewerConnection(self)
             self.loop.dial(self.place.address, again, DIAL_MS)
             again.ask(request)
         else:
@@ -107,5 +107,5 @@
 
     def misbehave(self) -> None:
         """One client that sends what cannot be used, and reads what comes."""
-        if self.place.takes:
+        if self.place.accepts_plays:
             self.loop.dial(self.place.address, BadClient(self.draw.choice(GARBAGE)), DIAL_MS)
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -101,7 +101,7 @@
         viewer, node = self.director.viewer(), self.director.nodes["a"]
         self.start_play(viewer, 1)
         # One connection is up, and busy
-        connection = self.director.request_play(viewer, 2, product="paid", patience="6000")
+        connection = self.director.request_play(viewer, 2, product="paid", wait_limit_ms="6000")
         node.stop_accepting()
         viewer.write(set_up(3) + set_up(4))
         for session in 3, 4:
@@ -178,7 +178,7 @@
     # written slowly.
     def test_a_slow_writer_keeps_its_open_set_up(self):
         viewer = self.director.viewer()
-        connection = self.director.request_play(viewer, 1, product="paid", patience="6000")
+        connection = self.director.request_play(viewer, 1, product="paid", wait_limit_ms="6000")
         viewer.write(set_up(2)[:20])
         # Neither a message nor the connection's end comes while a message may take 2 s
         with self.assertRaises(AssertionError):
--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -64,7 +64,7 @@
         for n in range(IDLE_CLIENTS):
             viewer = self.viewer()
             with contextlib.suppress(ConnectionError):       # it may have been closed for another one already
-                viewer.write(set_up(n, title=f"{n:016x}", figures=f"home:{n % 3};copies:1;top:2") if n % 3 else PING)
+                viewer.write(set_up(n, title=f"{n:016x}", attributes=f"home:{n % 3};copies:1;top:2") if n % 3 else PING)
             for node in self.nodes:
                 for connection, message in node.receive():
                     connection.write(b"RTSP/1.0 453 X\r\nCSeq: 1\r\nSession: " + message.session.encode() + b"\r\nContent-Length: 0\r\n\r\n")
@@ -83,7 +83,7 @@
     def test_every_node_gets_its_release_where_nodes_outnumber_descriptors(self):
         """A play runs at each of 120 nodes, with at most 22 connections to nodes, as the order to stop comes: all plays are released."""
         viewer = self.viewer()
-        viewer.write(*(set_up(n + 1, figures=f"home:{n % 3};copies:1;top:2;at:{node.name}") for n, node in enumerate(self.nodes)), PING)
+        viewer.write(*(set_up(n + 1, attributes=f"home:{n % 3};copies:1;top:2;at:{node.name}") for n, node in enumerate(self.nodes)), PING)
         released = {}
 
         def receive():
--- a/tests/test_orders_ends.py
+++ b/tests/test_orders_ends.py
@@ -64,7 +64,7 @@
         """They come on two connections, and the release is read first: the play is released at its node and to its viewer."""
         first, second = self.harness.viewer(), self.harness.viewer()
         streams = [self.harness.director_stream(first), self.harness.director_stream(second)]
-        hand_over = set_up(2, figures="home:0;copies:3;top:2;at:a")
+        hand_over = set_up(2, attributes="home:0;copies:3;top:2;at:a")
         second.write(VIEWER_RELEASE)
         self.harness.wait_for_unread(streams[1], len(VIEWER_RELEASE))
         self.harness.turn()
--- a/tests/test_orders_files.py
+++ b/tests/test_orders_files.py
@@ -205,7 +205,7 @@
         now = [0.0]
         harness = SocketHarness(self, now=lambda: now[0], settings=settings_with(Grades=grades("paid")))
         viewer = harness.viewer()
-        viewer.write(set_up(1, product="paid", patience="2900"))
+        viewer.write(set_up(1, product="paid", wait_limit_ms="2900"))
         harness.wait_for_set_up("a")
         current = harness.director.configuration
         harness.director.apply_configuration(parse_configuration(settings=settings_with(Grades=[BASE_SETTINGS["Grades"][0] | {"GiveUp": 500_000}]))._replace(
--- a/tests/test_orders_leaving.py
+++ b/tests/test_orders_leaving.py
@@ -153,7 +153,7 @@
         harness = SocketHarness(self, now=lambda: now[0])
         harness.turns(3)
         viewer = harness.viewer()
-        viewer.write(set_up(2, patience="150"))
+        viewer.write(set_up(2, wait_limit_ms="150"))
         now[0] += 800.0
         harness.turns(6)
         self.assertEqual([m.kind for m in viewer.receive()], [binary.RELEASE])
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -183,7 +183,7 @@
         old one lives. Once the list names the successor, the old one's plays are over."""
         _, log = self.accept(200)
         viewer = self.harness.viewer()
-        viewer.write(set_up(1, figures="home:0;copies:1;top:2"))
+        viewer.write(set_up(1, attributes="home:0;copies:1;top:2"))
         connection, message = self.harness.wait_for_set_up("a")
         connection.write(answer(message.session))
         self.harness.run_until(viewer.receive)
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -80,7 +80,7 @@
         viewer = self.harness.viewer()
         viewer.write(PING)
         self.harness.run_until(viewer.receive)
-        self.in_the_last_turn(lambda: viewer.write(set_up(5, figures="home:0;copies:3;top:2;at:a")))
+        self.in_the_last_turn(lambda: viewer.write(set_up(5, attributes="home:0;copies:3;top:2;at:a")))
         self.harness.director.stop()
         self.run_to_exit()
         self.assertEqual((self.causes(viewer), viewer.ended), ([("5", BROKEN)], "end"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -56,7 +56,7 @@
         self.assertEqual(sum(node.state == interface.READY for node in cluster.director.controller.fleet.nodes.values()), 1024)
         cluster.run(600)
         self.assertEqual(len(cluster.director.nodes.by_id), 1024)
-        cluster.viewer().stream.write(set_up(1, figures="home:7;copies:1;top:2"))
+        cluster.viewer().stream.write(set_up(1, attributes="home:7;copies:1;top:2"))
         cluster.run(50)
         self.assertTrue(any("node n0007 gets SETUP 1" in line for line in cluster.lines), cluster.lines)
 
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -15,7 +15,7 @@
         cluster = PlatformCluster()
         cluster.lines.append("# handed over before a node of the list has sent anything, whatever its patience; refused from an unknown node")
         viewer = cluster.viewer()
-        viewer.stream.write(set_up(1, patience="4294967", figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:z"))
+        viewer.stream.write(set_up(1, wait_limit_ms="4294967", attributes="home:0;copies:3;top:2;at:a") + set_up(2, attributes="home:0;copies:3;top:2;at:z"))
         cluster.run(20)
         cluster.lines.append("# its connections are reset, the node is alive: the play goes on, and its release comes on another connection")
         cluster.connections["node a"].stream.abort()
@@ -70,7 +70,7 @@
         viewer.stream.write(set_up(1))
         cluster.run(50)
         cluster.answers = {"a": 0}
-        viewer.stream.write(set_up(2, product="paid", patience="300"))
+        viewer.stream.write(set_up(2, product="paid", wait_limit_ms="300"))
         before = cluster.connections["node a"]
         cluster.run(290)
         cluster.connections["node a"].stream.write(release(1, 16))       # crosses the close at the time-out, or comes on the new connection
@@ -138,7 +138,7 @@
         viewer = cluster.viewer()
         cluster.lines = DiscardedLines()
         for i, name in enumerate(names):
-            cluster.director.admission.handle_message(cluster.last_viewer_connection(), parse_message(set_up(i + 1, figures=f"home:0;copies:3;top:2;at:{name}")))
+            cluster.director.admission.handle_message(cluster.last_viewer_connection(), parse_message(set_up(i + 1, attributes=f"home:0;copies:3;top:2;at:{name}")))
             cluster.hosts[name].call_at(cluster.network.now + 3000, lambda name=name: sent_at.setdefault(name, cluster.network.now))
             # A node sends its release on an open connection, and once more on the next that opens
             listener = cluster.hosts[name].listeners[0]
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -12,7 +12,7 @@
 import tomllib
 import unittest
 
-from laddergw.lab.soak.ports import held_port
+from laddergw.lab.soak.ports import reserve_port
 from tests.platform_cluster import configuration_file
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -43,7 +43,7 @@
 
     def __init__(self, folder, name, log_port=4001, descriptors=None, log_level="INFO", **changes):
         self.name, self.path, self.log, self.at = name, folder / f"{name}.json", "", None
-        self.held = held_port()
+        self.held = reserve_port()
         self.port = self.held.getsockname()[1]
         self.write(log_port, **changes)
         run = (f"ulimit -n {descriptors}; " if descriptors else "") + RUN.replace(".venv/bin/python", sys.executable)
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -36,9 +36,9 @@
         cluster, viewer = scene("a play that its node calls left is released to its viewer too: our answer may still be on its way", set_up(1))
         cluster.connections["node a"].stream.write(release(1, 31))
         cluster.run(50)
-        scene("no answer: given up at the controller's time-out, then retried elsewhere", set_up(1, patience="3000"), wait=1200, a=0)
-        scene("a paid play without an answer is not retried; it fails in time", set_up(1, product="paid", patience="700"), wait=1200, a=0)
-        scene("no node answers: declined when there is no other node, with a retry-after time", set_up(1, patience="3000"), wait=2500, a=0, b=0)
+        scene("no answer: given up at the controller's time-out, then retried elsewhere", set_up(1, wait_limit_ms="3000"), wait=1200, a=0)
+        scene("a paid play without an answer is not retried; it fails in time", set_up(1, product="paid", wait_limit_ms="700"), wait=1200, a=0)
+        scene("no node answers: declined when there is no other node, with a retry-after time", set_up(1, wait_limit_ms="3000"), wait=2500, a=0, b=0)
         cluster, viewer = scene("the viewer gives up; a late answer changes nothing", set_up(1), binary.encode(binary.RELEASE, f"{1:016x}", (222, b"\x10")), a=0)
         cluster.connections["node a"].stream.write(answer(f"{1:016x}"))
         cluster.run(50)
@@ -55,8 +55,8 @@
         good.stream.write(set_up(2))
         cluster.run(5)
         cases = {"noise": b"\xff" * 50, "short": b"\0\3abc", "silent": b"", "half": set_up(9)[:30], "type": b"\0\x09\x63" + b"\0" * 8,
-                 "product": set_up(10, product="none"), "patience": set_up(11, patience="nan"), "negative": set_up(12, patience="-5"),
-                 "home": set_up(13, figures="home:99;copies:3;top:2"), "no figures": set_up(14, figures="x"), "title": set_up(15, title="../.."),
+                 "product": set_up(10, product="none"), "patience": set_up(11, wait_limit_ms="nan"), "negative": set_up(12, wait_limit_ms="-5"),
+                 "home": set_up(13, attributes="home:99;copies:3;top:2"), "no figures": set_up(14, attributes="x"), "title": set_up(15, title="../.."),
                  "no id": set_up(0), "hint": set_up(16, hint="1e400"), "open id": set_up(2, text=b"other"), "running id": set_up(1, text=b"other"),
                  "unknown": binary.encode(binary.RELEASE, f"{77:016x}", (222, b"\x10")), "director": binary.encode(binary.ANSWER, f"{2:016x}"),
                  "twice": set_up(20) + set_up(20, text=b"other"), "no parameters": binary.encode(binary.SET_UP, f"{21:016x}")}
@@ -187,7 +187,7 @@
         at that moment was lost, and so was a release of a director that was left without a connection."""
         cluster = PlatformCluster()
         front, other = cluster.viewer("front"), cluster.viewer("other")
-        front.stream.write(set_up(1, figures="home:0;copies:3;top:2;at:a") + set_up(2, figures="home:0;copies:3;top:2;at:a"))
+        front.stream.write(set_up(1, attributes="home:0;copies:3;top:2;at:a") + set_up(2, attributes="home:0;copies:3;top:2;at:a"))
         cluster.run(20)
         for controlled in cluster.director.controller.fleet.nodes.values():
             controlled.backoff_until = 1e12
@@ -204,7 +204,7 @@
         cluster.run(20)
         self.assertEqual([line.split(maxsplit=1)[1] for line in cluster.lines if " 12 1 " in line or " 12 2 " in line],
                          ["front gets 12 1 cause 16", "other gets 12 1 cause 16", "other gets 12 2 cause 16"])
-        cluster.viewer("third").stream.write(set_up(4, figures="home:0;copies:3;top:2;at:a"))
+        cluster.viewer("third").stream.write(set_up(4, attributes="home:0;copies:3;top:2;at:a"))
         cluster.run(20)
         self.assertEqual(sum("third gets 12" in line for line in cluster.lines), 2, cluster.lines)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,11 +9,11 @@
 
 import typer
 
-from laddergw.cli import rehearsing_soak
+from laddergw.cli import rehearse_soak
 from laddergw.lab.soak import plan
 from laddergw.lab.soak.messages import SETTINGS
 from laddergw.lab.soak.result import play
-from laddergw.lab.soak.terms import USUAL
+from laddergw.lab.soak.terms import DEFAULT_TERMS
 
 SEEDS = 14, 25, 40  # each with restarts, drains and an outage of the change log; some 12 s each
 # of the requests of a plan without its crowds: a fleet that refuses everybody keeps every rule
@@ -31,8 +31,8 @@
     def test_seeds_keep_every_rule(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                drawn = plan.draw(seed, len(USUAL.products))
-                result = play(drawn, USUAL, SETTINGS, str(self.folder / str(seed)))
+                drawn = plan.draw(seed, len(DEFAULT_TERMS.products))
+                result = play(drawn, DEFAULT_TERMS, SETTINGS, str(self.folder / str(seed)))
                 self.assertTrue(result.judged, f"its own lag was {result.lag_ms} ms")
                 self.assertEqual(result.breaks, [], "\n\n".join(result.stories))
                 self.assertGreater(result.played, LEAST_PLAYED * drawn.rate * drawn.seconds)
@@ -59,12 +59,10 @@
                 contextlib.redirect_stderr(io.StringIO()) as said,
             ):
                 with self.assertRaises(typer.Exit) as ended:
-                    rehearsing_soak.soak(
-                        seeds, plan_file, plan.Sizes(), config, None, None, 1, None
-                    )
+                    rehearse_soak.soak(seeds, plan_file, plan.Sizes(), config, None, None, 1, None)
                 self.assertEqual(
                     (ended.exception.exit_code, said.getvalue().count("\n")),
-                    (rehearsing_soak.EXIT_COULD_NOT, 1),
+                    (rehearse_soak.EXIT_COULD_NOT, 1),
                 )
 
 
--- a/tests/test_soak_releases.py
+++ b/tests/test_soak_releases.py
@@ -3,7 +3,7 @@
 import unittest
 
 from laddergw.lab.soak.judge import judge
-from laddergw.lab.soak.terms import USUAL as TERMS
+from laddergw.lab.soak.terms import DEFAULT_TERMS as TERMS
 from tests.soak_records import GOOD, JudgeTest, answered, arrived, asked, at
 
 
