--- a/benchmarks/limits_random.py
+++ b/benchmarks/limits_random.py
@@ -6,14 +6,14 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.director.director import Director
 from laddergw.lab import audit, limits as lab
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.terms import limits as files
-from laddergw.terms.loading import usual
+from laddergw.terms.loading import default_terms
 
 SECONDS, RATE = 6.0, 20.0
 
@@ -21,9 +21,9 @@
 def one(number: int) -> tuple[int, str, str]:
     logging.disable(logging.CRITICAL)
     the_plant = plant(1 + number % 25, directors=3, nodes=10, rate=RATE, seconds=SECONDS)
-    house = houses.read(the_plant.house(0, ("d", 1), ("list", 1), 1))
+    house = director_files.read(the_plant.house(0, ("d", 1), ("list", 1), 1))
     text = lab.sound(77, number, house)
-    limits = files.read(text, house.names, usual(house))
+    limits = files.read(text, house.names, default_terms(house))
 
     class Under(Director):
         def __init__(self, loop, house, **more):
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -27,9 +27,9 @@
 from laddergw.planner.server import Planner
 from laddergw.store.keeper import Store
 from laddergw.fleet import versions
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.terms.limits import Limits
-from laddergw.terms.loading import load, usual
+from laddergw.terms.loading import load, default_terms
 
 PLAYS_A_SECOND = 2         # of each director: 24 a second for each 12
 CUT_PART, CUT_MS, SOAK_MS = 0.1, 40_000.0, 5_000.0
@@ -42,7 +42,7 @@
 
     def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
         self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
-        self.limits, self.watch, self.pages, self.tries, self.on_node = Limits("built in", usual(house)), lambda what, **facts: None, {}, {}, {}
+        self.limits, self.watch, self.pages, self.tries, self.on_node = Limits("built in", default_terms(house)), lambda what, **facts: None, {}, {}, {}
         self.stopping, self.bounds, self.chance, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
         self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, changed=lambda *given: None)
@@ -65,7 +65,7 @@
         host = world.host("p0")
         self.planner = Planner(host, "p0.1", ("p0", 8300), Store(os.path.join(folder, "store")), (("lab", b"key of the planners"),), clock=lambda: time.perf_counter() * 1000)
         self.time_turns(host)
-        house = houses.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
+        house = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
         self.lines, self.directors, self.sides = Lines(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
             light = Light(world, house, number, nodes)
--- a/laddergw/cli/__main__.py
+++ b/laddergw/cli/__main__.py
@@ -56,15 +56,15 @@
 @app.command()
 def check(files: Annotated[list[Path], typer.Argument(help="directors' files")]) -> None:
     """Checks directors' files and tells everything that is wrong, with its place. Ends with 2 where a file is refused."""
-    from laddergw.terms import house
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms import director_file
+    from laddergw.terms.sexpr import FileRejected
     refused = 0
     for file in files:
         try:
-            read = house.read_file(str(file))
+            read = director_file.read_file(str(file))
             typer.echo(f"{file}: good: director {read.number} of {read.deployment.directors}, {len(read.names)} products, "
                        f"{len(read.deployment.ladder)} rungs")
-        except Refused as error:
+        except FileRejected as error:
             refused += 1
             typer.echo(str(error), err=True)
     raise typer.Exit(2 if refused else 0)
--- a/laddergw/cli/dayings.py
+++ b/laddergw/cli/dayings.py
@@ -11,11 +11,11 @@
 
 def days_of(book: Path | None) -> dict:
     from laddergw.lab import daybook
-    from laddergw.terms.reading import text_of
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.reading import read_text
+    from laddergw.terms.sexpr import FileRejected
     try:
-        return daybook.book() if book is None else daybook.read(text_of(str(book)), book.name)
-    except Refused as error:
+        return daybook.book() if book is None else daybook.read(read_text(str(book)), book.name)
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_REFUSED) from None
 
--- a/laddergw/cli/experimenting.py
+++ b/laddergw/cli/experimenting.py
@@ -15,10 +15,10 @@
 ) -> None:
     """Plays what is missing and tells, variant by variant, the difference with its interval. Ends with 1 where one is still open, 2 where the file is refused."""
     from laddergw.lab import experiment as lab
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.sexpr import FileRejected
     try:
         told = lab.read_file(str(file))
-    except Refused as error:
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_REFUSED) from None
     folder = tempfile.gettempdir()
--- a/laddergw/cli/fleet.py
+++ b/laddergw/cli/fleet.py
@@ -15,11 +15,11 @@
 
 
 def read(house: Path):
-    from laddergw.terms import house as houses
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms import director_file as director_files
+    from laddergw.terms.sexpr import FileRejected
     try:
-        return houses.read_file(str(house))
-    except Refused as error:
+        return director_files.read_file(str(house))
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
 
--- a/laddergw/cli/manifests.py
+++ b/laddergw/cli/manifests.py
@@ -85,7 +85,7 @@
     from laddergw.programme.index import RuleIndex
     from laddergw.programme.rules import read
     from laddergw.programme.schedule import schedule
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.sexpr import FileRejected
     source = load(file)
     if not isinstance(source, Media):
         typer.echo(f"{file}: a multivariant playlist; stitch its media playlists", err=True)
@@ -97,7 +97,7 @@
         items = {one.item: Item(one.item, load(rules.parent / programme.pieces[one.item].playlist)) for one in placed}
         out = stitched(source, [Insertion(source.sequence + one.place, items[one.item], one.place < len(source.segments)
                                           and source.segments[one.place].discontinuity) for one in placed])
-    except (OSError, Refused, CannotStitch, ValueError) as error:
+    except (OSError, FileRejected, CannotStitch, ValueError) as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_BAD) from None
     for one in placed:
--- a/laddergw/cli/planning.py
+++ b/laddergw/cli/planning.py
@@ -11,15 +11,15 @@
 @app.command()
 def show(house: Annotated[Path, typer.Argument(help="a director's file that names planners")], nodes: Annotated[int, typer.Option(help="so many of the most asked")] = 20) -> None:
     """Hears plans as an edge does, and prints the first of each planner that answers."""
-    from laddergw.terms import house as houses
+    from laddergw.terms import director_file as director_files
     from laddergw.loop.sockets import SocketLoop
     from laddergw.loop.tls import TlsStream, client_context
     from laddergw.planner import plan as plans, wire
     from laddergw.planner.peer import Peer
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.sexpr import FileRejected
     try:
-        told = houses.read_file(str(house))
-    except Refused as error:
+        told = director_files.read_file(str(house))
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
     loop, left = SocketLoop(), set(told.planners)
--- a/laddergw/cli/rehearsing_fleet.py
+++ b/laddergw/cli/rehearsing_fleet.py
@@ -12,11 +12,11 @@
     from laddergw.lab import line_script, script
     from laddergw.lab.fleet_processes import FleetProcesses
     from laddergw.lab.fleet_stage import FleetStage
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.sexpr import FileRejected
     began, the_script = time.monotonic(), script.bad_day(the_plant)
     try:
         faults = line_script.read_file(str(lines)) if lines is not None else None
-    except Refused as error:
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_COULD_NOT) from None
     stage = FleetStage(the_plant, the_script, kills, faults=faults) if memory else FleetProcesses(the_plant, the_script, kills, str(keep) if keep else None, log, faults)
@@ -35,14 +35,14 @@
     """A bad day on which edges share further allocations; lines, planners and edges fail. The most that any window held is counted from the edges' own taps."""
     from laddergw.lab import line_script, script
     from laddergw.lab.budget_processes import BudgetProcesses, storms
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.sexpr import FileRejected
     if memory:
         typer.echo("rehearse budgets plays as processes; in memory it is tests and benchmarks/budgets_use.py", err=True)
         raise typer.Exit(EXIT_COULD_NOT)
     began, the_script = time.monotonic(), sorted(script.bad_day(the_plant) + storms(the_plant))
     try:
         faults = line_script.read_file(str(lines)) if lines is not None else None
-    except Refused as error:
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_COULD_NOT) from None
     stage = BudgetProcesses(the_plant, the_script, kills, str(keep) if keep else None, log, faults)
--- a/laddergw/cli/terms.py
+++ b/laddergw/cli/terms.py
@@ -11,11 +11,11 @@
 
 
 def house_of(path: Path):
-    from laddergw.terms import house
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms import director_file
+    from laddergw.terms.sexpr import FileRejected
     try:
-        return house.read_file(str(path))
-    except Refused as error:
+        return director_file.read_file(str(path))
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_REFUSED) from None
 
@@ -23,12 +23,12 @@
 def loaded(file: Path, house, proved: bool):
     """The limits, or every reason against them; `proved` False: their form only."""
     from laddergw.terms import limits
-    from laddergw.terms.loading import load_file, usual
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms.loading import load_file, default_terms
+    from laddergw.terms.sexpr import FileRejected
     if not proved:
         try:
-            return limits.read_file(str(file), house.names, usual(house))
-        except Refused as error:
+            return limits.read_file(str(file), house.names, default_terms(house))
+        except FileRejected as error:
             typer.echo(str(error), err=True)
             raise typer.Exit(EXIT_REFUSED) from None
     found = load_file(str(file), house)
@@ -66,8 +66,8 @@
 def explain(file: File, house: House, product: Annotated[str, typer.Option()], route: Annotated[str, typer.Option()] = "/") -> None:
     """What holds for a route and product, which line says so, and the longest life that a play can have under it."""
     from laddergw.terms import search
-    from laddergw.terms.generations import budget_names, show
-    from laddergw.terms.proof import margin
+    from laddergw.terms.generations import budget_names, format_value
+    from laddergw.terms.proof import answer_margin_ms
     told = house_of(house)
     limits = loaded(file, told, False)
     if product not in told.names:
@@ -75,21 +75,21 @@
         raise typer.Exit(EXIT_REFUSED)
     found = limits.find(route, product)
     for field, value in found.terms._asdict().items():
-        where = f"{found.told[field].place}, {found.told[field].source}" if field in found.told else "built in, or follows from others"
-        typer.echo(f"{field.replace('_', '-'):18} {show(value):>18}   {where}")
-    typer.echo(f"{'budgets':18} {', '.join(budget_names(found.rows, limits)) or 'the director only':>18}")
-    report = search.search(search.alike(search.Terms(found.terms, told.deployment.products[told.names.index(product)].repeat, margin(limits, told), told.deployment.max_allocations)))
-    typer.echo(f"\n{report.states} moments searched" + ("" if report.whole else ", not all of them: the bound was met"))
-    typer.echo("a life that breaks a rule: " + report.seen.what if report.seen else "the longest life to its answer:")
-    for at, words in (report.seen.life if report.seen else report.worst):
+        where = f"{found.file_values[field].place}, {found.file_values[field].source}" if field in found.file_values else "built in, or follows from others"
+        typer.echo(f"{field.replace('_', '-'):18} {format_value(value):>18}   {where}")
+    typer.echo(f"{'budgets':18} {', '.join(budget_names(found.entries, limits)) or 'the director only':>18}")
+    report = search.search(search.canonical_terms(search.SearchTerms(found.terms, told.deployment.products[told.names.index(product)].repeat, answer_margin_ms(limits, told), told.deployment.max_allocations)))
+    typer.echo(f"\n{report.states} moments searched" + ("" if report.is_complete else ", not all of them: the bound was met"))
+    typer.echo("a life that breaks a rule: " + report.counterexample.description if report.counterexample else "the longest life to its answer:")
+    for at, words in (report.counterexample.timeline if report.counterexample else report.longest_timeline):
         typer.echo(f"{at:9.1f} ms  {words}")
-    raise typer.Exit(EXIT_REFUSED if report.seen else 0)
+    raise typer.Exit(EXIT_REFUSED if report.counterexample else 0)
 
 
 @app.command()
 def diff(old: File, new: Annotated[Path, typer.Argument(help="the file that is to follow")], house: House) -> None:
     """What the second file changes, a line each, as the log tells it at a switch."""
-    from laddergw.terms.generations import changes
+    from laddergw.terms.generations import describe_changes
     told = house_of(house)
-    for line in changes(loaded(old, told, False), loaded(new, told, False)):
+    for line in describe_changes(loaded(old, told, False), loaded(new, told, False)):
         typer.echo(line)
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -15,7 +15,7 @@
 from laddergw.machines import admission
 from laddergw.director.carrying import MOVED, STOPPED, Carrying, written
 from laddergw.director.fleet import Fleet
-from laddergw.terms.house import House
+from laddergw.terms.director_file import DirectorFile
 from laddergw.machines.play import PlayState
 from laddergw.director.link import Link
 from laddergw.machines.concurrency import OFF, ConcurrencyLimits, at_limit
@@ -26,8 +26,8 @@
 from laddergw.http.limits import PeerLimits
 from laddergw.http.server import Exchange, Server
 from laddergw.terms.effect import deployment_with
-from laddergw.terms.generations import Generations, allowed, budget_names, changes
-from laddergw.terms.limits import Limits, usual as usual_terms
+from laddergw.terms.generations import Generations, budget_names, budget_terms, describe_changes
+from laddergw.terms.limits import Limits, default_terms as built_in_terms
 
 
 def no_word(what: str, **facts: Any) -> None:
@@ -38,15 +38,15 @@
     """See the module. `wall` is the wall clock in ms, for tokens; `watch(what, **facts)` is told of each decision."""
     controller_class = Controller
 
-    def __init__(self, loop, house: House, wall: Callable[[], float] = lambda: time.time() * 1000,
+    def __init__(self, loop, house: DirectorFile, wall: Callable[[], float] = lambda: time.time() * 1000,
                  tap: Callable | None = None, watch: Callable = no_word, limits: Limits | None = None):
         self.loop, self.house, self.wall, self.tap, self.watch = loop, house, wall, tap, watch
         self.bounds = house.bounds
         self.products = {name: index for index, name in enumerate(house.names)}
-        usual = usual_terms(house.bounds.max_lease_ms, alloc.CONFIRM_GRACE_MS)
+        usual = built_in_terms(house.bounds.max_lease_ms, alloc.CONFIRM_GRACE_MS)
         self.generations = Generations(limits or Limits("built in", usual), loop.now)
         self.budgets = RetryBudgets()
-        self.budgets.configure(allowed(self.limits))
+        self.budgets.configure(budget_terms(self.limits))
         self.room = ConcurrencyLimits(self.limits.adaptive)
         self.most_importance = max(product.importance for product in house.deployment.products)
         self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
@@ -77,9 +77,9 @@
 
     def change_limits(self, limits: Limits) -> list[str]:
         """A checked file takes effect at this moment, for plays that come from now on; what it changes, a line each."""
-        changed = changes(self.limits, limits)
+        changed = describe_changes(self.limits, limits)
         self.generations.switch(limits, self.loop.now)
-        self.budgets.configure(allowed(limits))
+        self.budgets.configure(budget_terms(limits))
         self.room.change_kind(limits.adaptive)
         self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
         self.watch("limits changed", generation=self.generations.current.number, lines=len(changed))
@@ -87,7 +87,7 @@
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
         return changed
 
-    def change_house(self, house: House) -> None:
+    def change_house(self, house: DirectorFile) -> None:
         """The file read again: its keys, deployment and peers hold from now on; plays under way keep the terms that they were taken on.
         What needs a restart stays as it is. The way back is the same step."""
         self.change_keys(house.keys, house.retired)
@@ -104,7 +104,7 @@
 
     def limits_refused(self, texts: list[str]) -> None:
         """A file was refused: what is in force stays."""
-        self.generations.refused += 1
+        self.generations.rejected += 1
         self.watch("limits refused", faults=len(texts), first=texts[0] if texts else "")
         if self.tap is not None:
             self.tap("limits refused", self.loop.now, {"faults": texts})
@@ -153,12 +153,12 @@
             exchange.answer(400, frames.problem(str(error)))
             return
         product = self.products[request.product]
-        generation, repeat = self.generations.take(), self.house.deployment.products[product].repeat
-        margin = self.bounds.answer_margin_ms if self.limits.margin is None else self.limits.margin.value
+        generation, repeat = self.generations.begin_play(), self.house.deployment.products[product].repeat
+        margin = self.bounds.answer_margin_ms if self.limits.answer_margin is None else self.limits.answer_margin.value
         effective = self.limits.find(request.route, request.product)
         life = PlayState(effective.terms, repeat, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
         self.numbers += 1
-        ply = Try(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.rows, self.limits),
+        ply = Try(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.entries, self.limits),
                   self.house.deployment)
         product_row = self.house.deployment.products[product]
         slow = at_limit(self.waiting, self.room.total_limit(self.ready_nodes()), product_row.importance, self.most_importance, ply.earlier.tries)
@@ -253,7 +253,7 @@
     def forget(self, ply: Try) -> None:
         ply.stop_timers()
         if self.tries.pop(ply.id, None) is not None:
-            self.generations.drop(ply.generation)
+            self.generations.end_play(ply.generation)
 
     # Verdicts
 
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -13,14 +13,14 @@
 from typing import Callable
 
 from laddergw.terms.limits import Limits
-from laddergw.terms.loading import Loaded, load, load_file
+from laddergw.terms.loading import LoadResult, load, load_file
 from laddergw.terms.sexpr import Fault, Place
 
 LOOK_MS = 250.0            # pace of looks: a change is in force within a second, its check aside
 GOOD = ".good"             # behind the file's name: the last version that was in force
 CHECK_MOST_MS = 30_000.0   # for a check: then it is given up and the file counts as refused
 
-Checked = Callable[[Loaded], None]
+Checked = Callable[[LoadResult], None]
 
 
 class InPlace:
@@ -52,7 +52,7 @@
             answer.seek(0)
             with asked, answer:
                 told = answer.read() if status == 0 else b""
-            done(pickle.loads(told) if told else Loaded(None, (Fault(Place(name, 1, 1), "", f"its check ended with {status}"),)))
+            done(pickle.loads(told) if told else LoadResult(None, (Fault(Place(name, 1, 1), "", f"its check ended with {status}"),)))
 
 
 class LimitsFile:
@@ -98,7 +98,7 @@
             self.loop.call_later(LOOK_MS, lambda: self.bring(data, sure, done))
             return
 
-        def checked(loaded: Loaded) -> None:
+        def checked(loaded: LoadResult) -> None:
             self.checking = False
             against = loaded.texts() if loaded.limits is None else list(filter(None, [sure(loaded.limits)]))
             if not against:
@@ -110,7 +110,7 @@
         self.checking = True
         self.checker.check(data, self.name, checked)
 
-    def checked(self, loaded: Loaded) -> None:
+    def checked(self, loaded: LoadResult) -> None:
         self.checking = False
         if loaded.limits is not None:
             keep_good(self.path, self.data)
@@ -140,7 +140,7 @@
     replaced(path + GOOD, data)
 
 
-def at_start(path: str, house) -> tuple[Loaded, list[str]]:
+def at_start(path: str, house) -> tuple[LoadResult, list[str]]:
     """What a director starts with: the file, or where it is refused the last good copy; and what speaks against the file."""
     loaded = load_file(path, house)
     if loaded.limits is not None:
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.director.director import Director
 from laddergw.director.limits_file import Beside, LimitsFile, at_start
 from laddergw.director.watching import Watcher, health, logger
@@ -47,22 +47,22 @@
     """The file anew, at SIGHUP: its keys, deployment and peers hold from now on; a refused file, or one that the limits in force do not fit,
     changes nothing; the rest waits for a restart."""
     try:
-        house = houses.read_file(path)
-    except houses.Refused as error:
+        house = director_files.read_file(path)
+    except director_files.FileRejected as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
         return
-    against = houses.switch_fault(director.house, house)
+    against = director_files.switch_fault(director.house, house)
     if against is None and limits is not None:
         against = "; ".join(load_file(limits, house).texts()) or None
     if against is not None:
         log.error("file refused", faults=[against])
         return
-    others = houses.other_changes(director.house, house)
+    others = director_files.restart_only_changes(director.house, house)
     director.change_house(house)
     log.info("keys changed", signs=house.keys[0][0], taken=[name for name, _ in house.keys], retired=sorted(house.retired), for_restart=others)
 
 
-def planner_side(director: Director, house: houses.House):
+def planner_side(director: Director, house: director_files.DirectorFile):
     """The line to the planners that the file names; None where it names none."""
     if not house.planners:
         return None
@@ -95,8 +95,8 @@
     """Runs one director until it is told to stop. Returns the process's exit status: 2 where the file is refused. `make` is
     called as Director is; `set_up(director, log)` once it listens. `limits`: the operators' file, watched."""
     try:
-        house = houses.read_file(path)
-    except houses.Refused as error:
+        house = director_files.read_file(path)
+    except director_files.FileRejected as error:
         print(error, file=sys.stderr)
         return EXIT_FILE
     loaded = None
--- a/laddergw/director/watching.py
+++ b/laddergw/director/watching.py
@@ -92,7 +92,7 @@
             for name, value in (("waiting", director.waiting), ("held", director.held), ("lag_ms", director.loop.max_lag_ms),
                                 ("nodes", len(director.fleet.links)), ("bad_list_frames", director.fleet.bad_frames),
                                 ("limits_generation", director.generations.current.number), ("limits_older", len(director.generations.older)),
-                                ("limits_refused", director.generations.refused)):
+                                ("limits_refused", director.generations.rejected)):
                 self.gauges[name].set(value)
             text = generate_latest(self.registry) + self.quantiles()
             exchange.answer(200, text, "text/plain; version=0.0.4")
--- a/laddergw/edge/program.py
+++ b/laddergw/edge/program.py
@@ -8,20 +8,20 @@
 from laddergw.edge.front import Front
 from laddergw.programme import rules as programmes
 from laddergw.programme.rules import Programme
-from laddergw.terms.reading import text_of
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.reading import read_text
+from laddergw.terms.sexpr import FileRejected
 
 
 def read_rules(path: str) -> Programme:
-    """Raises Refused with every fault, an unreadable file included."""
-    return programmes.read(text_of(path), os.path.basename(path))
+    """Raises FileRejected with every fault, an unreadable file included."""
+    return programmes.read(read_text(path), os.path.basename(path))
 
 
 def run(path: str, rules: str | None, level: str, tap_file: str | None, source: str, limits: str | None = None) -> int:
     """Runs one edge until it is told to stop; 2 where a file is refused at the start."""
     try:
         programme = read_rules(rules) if rules else Programme({}, ())
-    except Refused as error:
+    except FileRejected as error:
         print(error, file=sys.stderr)
         return program.EXIT_FILE
 
@@ -30,7 +30,7 @@
             try:
                 front.change_programme(read_rules(rules))
                 log.info("rules changed", rules=len(front.programme.rules), items=len(front.programme.pieces))
-            except Refused as error:             # the rules in force stay
+            except FileRejected as error:         # the rules in force stay
                 log.error("rules refused", faults=[str(fault) for fault in error.faults])
         def both() -> None:
             front.read_again()
--- a/laddergw/lab/daybook.py
+++ b/laddergw/lab/daybook.py
@@ -16,8 +16,8 @@
 
 from laddergw.lab.plant import Plant, between, draw, plant
 from laddergw.lab.script import NODE_FAULTS, Trouble, fault, pick, restart, rolling_deploy
-from laddergw.terms.reading import Faults, Reader
-from laddergw.terms.sexpr import Fault, Form, Place, Refused, parse
+from laddergw.terms.reading import Faults, FormReader
+from laddergw.terms.sexpr import Fault, Form, Place, FileRejected, parse
 
 BOOK = os.path.join(os.path.dirname(__file__), "daybook.scm")
 VALUES = {"still": None, "errors": 0.8, "mute": 1.0, "late": 900.0, "cut": 0.5, "drip": 1.0, "lose": 0.4, "hush": 0.4, "sag": 0.5, "stall": 1.0}
@@ -60,16 +60,16 @@
 
 
 def read(text: str, file: str = "text") -> dict[str, Day]:
-    """All days of a text, by name, in its order. Raises Refused with every fault."""
+    """All days of a text, by name, in its order. Raises FileRejected with every fault."""
     faults, found = Faults(), {}
     for form in parse(text, file):
         if not isinstance(form, Form) or form.name != "day" or not form.rest or isinstance(form.rest[0], Form):
-            raise Refused([Fault(getattr(form, "place", Place(file, 1, 1)), "", 'holds (day "name" ...) forms only')])
+            raise FileRejected([Fault(getattr(form, "place", Place(file, 1, 1)), "", 'holds (day "name" ...) forms only')])
         name = str(form.rest[0].value)
         if name in found:
             faults.add(form.place, f"day {name}", f"stands twice, first at line {found[name].place.line}")
-        found[name] = take_day(Reader(Form(form.items[:1] + form.items[2:], form.place), faults, f"day {name}"), name, form.place)
-    faults.settle()
+        found[name] = take_day(FormReader(Form(form.items[:1] + form.items[2:], form.place), faults, f"day {name}"), name, form.place)
+    faults.raise_if_any()
     return found
 
 
@@ -79,65 +79,65 @@
         return read(stream.read(), "daybook.scm")
 
 
-def take_day(top: Reader, name: str, place: Place) -> Day:
+def take_day(top: FormReader, name: str, place: Place) -> Day:
     told = {key: top.number(key, None, low, high, whole) for key, (low, high, whole) in PLANT_KEYS.items()}
     crowd: dict[str, Any] = {}
-    under = top.under("crowd", None)
+    under = top.subform("crowd", None)
     if under is not None:
         crowd = {key: under.number(key, None, 0, 1) for key in CROWD_KEYS}
         for key, size in (("shape", 2), ("burst", 3), ("hot", 4)):
             crowd[key] = take_rows(under, key, size)
-        under.no_others()
+        under.reject_unknown_keys()
     events = []
     for kind in EVENTS:
-        top.known.add(kind)
-        events += [take_event(top, form, kind) for form in top.keys.get(kind, ())]
+        top.known_keys.add(kind)
+        events += [take_event(top, form, kind) for form in top.forms.get(kind, ())]
     says = top.word("says")
-    top.no_others()
+    top.reject_unknown_keys()
     return Day(name, says or "", {key: value for key, value in told.items() if value is not None}, {key: value for key, value in crowd.items() if value},
                tuple(sorted(filter(None, events), key=lambda event: event.order)), place)
 
 
-def take_rows(under: Reader, key: str, size: int) -> tuple[tuple[float, ...], ...]:
+def take_rows(under: FormReader, key: str, size: int) -> tuple[tuple[float, ...], ...]:
     values = under.numbers(key, None, 0, 1e9)
     if values is None:
         return ()
     if len(values) % size:
-        under.fault(under.places[key], key, f"takes figures in groups of {size}, not {len(values)}")
+        under.add_fault(under.places[key], key, f"takes figures in groups of {size}, not {len(values)}")
     return tuple(tuple(values[at:at + size]) for at in range(0, len(values) - size + 1, size))
 
 
-def take_event(top: Reader, form: Form, kind: str) -> Event | None:
+def take_event(top: FormReader, form: Form, kind: str) -> Event | None:
     words = [item for item in form.rest if not isinstance(item, Form)]
-    under = Reader(Form((form.items[0],) + tuple(item for item in form.rest if isinstance(item, Form)), form.place), top.faults, top.label(kind))
+    under = FormReader(Form((form.items[0],) + tuple(item for item in form.rest if isinstance(item, Form)), form.place), top.faults, top.label(kind))
     what = str(words[0].value) if words else ""
     if kind == "nodes-fault" and what not in VALUES:
-        under.fault(form.place, "", f"{what!r} is none of {', '.join(VALUES)}")
+        under.add_fault(form.place, "", f"{what!r} is none of {', '.join(VALUES)}")
     if len(words) > (kind == "nodes-fault"):
-        under.fault(words[-1].place, "", f"a stray value {words[-1].value!r}")
+        under.add_fault(words[-1].place, "", f"a stray value {words[-1].value!r}")
     more = {}
     for key in EVENTS[kind]:
         figure = take_range(under, key.rstrip("?"), key.endswith("?"))
         if figure is not None:
             more[key.rstrip("?")] = figure
     at = take_range(under, "at", False)
-    under.no_others()
+    under.reject_unknown_keys()
     if at is None or any(key not in more for key in EVENTS[kind] if not key.endswith("?")):
         return None
     return Event(kind, what, at, more, form.place.line * 10_000 + form.place.column)
 
 
-def take_range(under: Reader, key: str, may_miss: bool) -> Range | None:
-    if key not in under.keys:
-        under.known.add(key)
+def take_range(under: FormReader, key: str, may_miss: bool) -> Range | None:
+    if key not in under.forms:
+        under.known_keys.add(key)
         if not may_miss:
-            under.fault(under.form.place, key, "is missing")
+            under.add_fault(under.form.place, key, "is missing")
         return None
     values = under.numbers(key, None, 0, 1e6)
     if values is None:
         return None
     if len(values) > 2 or values[0] > values[-1]:
-        under.fault(under.places[key], key, "takes one figure, or two from low to high")
+        under.add_fault(under.places[key], key, "takes one figure, or two from low to high")
         return None
     return Range(values[0], values[-1])
 
--- a/laddergw/lab/experiment.py
+++ b/laddergw/lab/experiment.py
@@ -18,7 +18,7 @@
 import apsw
 
 from laddergw.lab.compare import OPEN, Difference, compare
-from laddergw.terms.reading import Faults, Reader, only_form, text_of
+from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
 
 MEASURES = ("service", "worth", "first_ms", "tries")
 RUN_MOST_S = 1_800.0       # of one run
@@ -57,40 +57,40 @@
 
 
 def read_file(path: str) -> Experiment:
-    """Raises Refused with every fault."""
+    """Raises FileRejected with every fault."""
     from laddergw.lab import daybook
     faults = Faults()
-    top = Reader(only_form(text_of(path), os.path.basename(path), "experiment"), faults)
+    top = FormReader(parse_single_form(read_text(path), os.path.basename(path), "experiment"), faults)
     names = [item.value for item in top.form.rest if hasattr(item, "value")]
     known = daybook.book()
     days = tuple(map(str, top.words("days") or ()))
     for day in days:
         if day not in known:
-            top.fault(top.places["days"], "days", f"no day {day!r}")
+            top.add_fault(top.places["days"], "days", f"no day {day!r}")
     seeds = top.numbers("seeds", (1.0, 10.0), 0, 1e9, 2)
     if seeds[0] > seeds[1]:
-        top.fault(top.places["seeds"], "seeds", "takes a first and a last one")
-    variants = tuple(take_variant(reader, os.path.dirname(path)) for reader in top.each("variant"))
+        top.add_fault(top.places["seeds"], "seeds", "takes a first and a last one")
+    variants = tuple(take_variant(reader, os.path.dirname(path)) for reader in top.subforms("variant"))
     if len(variants) < 2:
-        top.fault(top.form.place, "variant", "two at least")
+        top.add_fault(top.form.place, "variant", "two at least")
     found = Experiment(str(names[0]) if names else "", days, (int(seeds[0]), int(seeds[1])), top.word("measure", "service", MEASURES), top.number("matters", 0.01, 0, 1e6),
                        top.number("confidence", 0.95, 0.5, 0.9999), variants, take_changes(top))
     top.form = top.form._replace(items=tuple(item for item in top.form.items if not hasattr(item, "value") or item is top.form.items[0]))
-    top.no_others()
-    faults.settle()
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     return found
 
 
-def take_variant(read: Reader, folder: str) -> Variant:
+def take_variant(read: FormReader, folder: str) -> Variant:
     limits = read.word("limits", None)
     if limits is not None and not os.path.isfile(os.path.join(folder, limits)):
-        read.fault(read.places["limits"], "limits", f"no file {limits!r} beside this one")
-    variant = Variant(read.title, int(read.whole("planners", 0, 0, 2)), os.path.join(folder, limits) if limits is not None else None, read.word("revision", None), take_changes(read))
-    read.no_others()
+        read.add_fault(read.places["limits"], "limits", f"no file {limits!r} beside this one")
+    variant = Variant(read.name, int(read.integer("planners", 0, 0, 2)), os.path.join(folder, limits) if limits is not None else None, read.word("revision", None), take_changes(read))
+    read.reject_unknown_keys()
     return variant
 
 
-def take_changes(read: Reader) -> dict[str, float]:
+def take_changes(read: FormReader) -> dict[str, float]:
     found = {key: read.number(key, None, 0.01, 1e6, whole) for key, whole in CHANGES.items()}
     return {key: value for key, value in found.items() if value is not None}
 
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -25,7 +25,7 @@
 from laddergw.planner import wire
 from laddergw.planner.audit_side import limits_text
 from laddergw.planner.peer import Peer
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.terms.loading import load
 
 SWITCH_MS = 5_000.0        # between versions: each edge searches each of them in a process beside it
@@ -41,7 +41,7 @@
                  faults: list[LineFault] | None = None):
         super().__init__(plant, script, kills, folder, level)
         self.lines = Lines(self.loop, self.record, plant.seed)
-        self.read_house = houses.read(plant.house(0, (HOST, 1), (HOST, 1), plant.seed))
+        self.read_house = director_files.read(plant.house(0, (HOST, 1), (HOST, 1), plant.seed))
         self.switches, self.wants, self.wanting, self.verdict, self.facts = 0, 0, False, ["the judge was never asked"], {}
         ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(PLANNERS)]
         self.faults = schedule(plant.seed, *ends, plant.crowd.seconds * 1000) if faults is None else faults
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -23,8 +23,8 @@
 from laddergw.lab.wanting import Wanting
 from laddergw.planner.edge_side import EdgeSide
 from laddergw.store import ledger as ledgers
-from laddergw.terms import house as houses
-from laddergw.terms.generations import flat
+from laddergw.terms import director_file as director_files
+from laddergw.terms.generations import flatten
 from laddergw.terms.loading import load
 
 RELAY_PORT = 9_000
@@ -51,7 +51,7 @@
         self.note_limits()
 
     def note_limits(self) -> None:
-        self.tally.limits = "\n".join(f"{key} = {value}" for key, value in flat(self.limits).items())
+        self.tally.limits = "\n".join(f"{key} = {value}" for key, value in flatten(self.limits).items())
 
     def tallied(self, what: str, **facts) -> None:
         ply = self.tries.get(facts.get("play"))
@@ -78,7 +78,7 @@
     def __init__(self, plant: Plant, script: list[Trouble], kills: int = 6, director_class=Tallied, faults: list[LineFault] | None = None):
         super().__init__(plant, script, TWO, kills, director_class=director_class)
         self.lines = Lines(self.world.host("relay"), self.record, plant.seed)
-        self.house = houses.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.tallies: dict[str, Tally] = {}
         self.switches = 0
         ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(TWO)]
--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -5,8 +5,8 @@
 """
 import os
 
-from laddergw.terms import house as houses
-from laddergw.terms.house import House
+from laddergw.terms import director_file as director_files
+from laddergw.terms.director_file import DirectorFile
 from laddergw.lab.plant import Plant, between, draw
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_memory import MemoryStage
@@ -20,14 +20,14 @@
 SOUND_TRIES = 200          # drawn until one is accepted
 
 
-def version(seed: int, number: int, house: House) -> tuple[str, bool]:
+def version(seed: int, number: int, house: DirectorFile) -> tuple[str, bool]:
     """The text of a version, and whether it is sound."""
     if draw(seed, "broken", number) < BROKEN_PART:
         return broken(seed, number), False
     return sound(seed, number, house), True
 
 
-def sound(seed: int, number: int, house: House) -> str:
+def sound(seed: int, number: int, house: DirectorFile) -> str:
     """The first drawn text that is accepted: the search decides, not the drawing."""
     for turn in range(SOUND_TRIES):
         text = drawn(seed, (number, turn), house.names)
@@ -79,7 +79,7 @@
 
     def __init__(self, plant: Plant, script: list[Trouble], **more):
         super().__init__(plant, script, **more)
-        self.house = houses.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.numbers = 0
         self.loop.call_later(EVERY_MS, self.switch)
 
@@ -102,7 +102,7 @@
 
     def __init__(self, plant: Plant, script: list[Trouble], folder: str | None = None, level: str = "warning"):
         super().__init__(plant, script, folder, level)
-        self.house = houses.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
+        self.house = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
         self.limits, self.numbers = self.file("limits.terms"), 0
         self.write(sound(plant.seed, 0, self.house))
 
--- a/laddergw/lab/line_script.py
+++ b/laddergw/lab/line_script.py
@@ -3,14 +3,14 @@
     (lines (fault cut (at 1200) (from d0) (to p1) (way back) (for 900))
            (fault rate (at 2000) (from d2) (to p0) (value 4000) (for 2500)))
 
-Times in ms from the first viewer; what each fault does stands in lines.py. Raises Refused with every fault of a script, its place and key.
+Times in ms from the first viewer; what each fault does stands in lines.py. Raises FileRejected with every fault of a script, its place and key.
 """
 import os
 from typing import NamedTuple
 
 from laddergw.lab.lines import WAYS
 from laddergw.lab.plant import between, draw
-from laddergw.terms.reading import Faults, Reader, only_form, text_of
+from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
 
 FAULT_MS = (250.0, 1_100.0)        # between drawn faults, over the whole plant
 LASTS_MS = (300.0, 5_000.0)        # of one: silence is told after 2 s, leases run 3 s
@@ -44,21 +44,21 @@
 def read(text: str, name: str) -> list[LineFault]:
     """A script, in order of time."""
     faults = Faults()
-    top, found = Reader(only_form(text, name, "lines"), faults), []
-    for one in top.each("fault", once=False):
-        what = one.title
+    top, found = FormReader(parse_single_form(text, name, "lines"), faults), []
+    for one in top.subforms("fault", unique=False):
+        what = one.name
         if what not in WITH_WAY + WITH_VALUE + ALONE:
-            one.fault(one.form.place, "", f"no such fault; {', '.join(WITH_WAY + WITH_VALUE + ALONE)} are known")
-        value = one.word("way", None, among=WAYS) if what in WITH_WAY else one.number("value", low=1e-3, high=1e9) if what in WITH_VALUE else None
+            one.add_fault(one.form.place, "", f"no such fault; {', '.join(WITH_WAY + WITH_VALUE + ALONE)} are known")
+        value = one.word("way", None, allowed=WAYS) if what in WITH_WAY else one.number("value", low=1e-3, high=1e9) if what in WITH_VALUE else None
         found.append(LineFault(one.number("at"), one.word("from") or "", one.word("to") or "", what, value, one.number("for", low=1.0)))
-        one.no_others()
-    top.no_others()
-    faults.settle()
+        one.reject_unknown_keys()
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     return sorted(found, key=lambda fault: fault.at)
 
 
 def read_file(path: str) -> list[LineFault]:
-    return read(text_of(path), os.path.basename(path))
+    return read(read_text(path), os.path.basename(path))
 
 
 def write(script: list[LineFault]) -> str:
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -7,7 +7,7 @@
 import os
 import signal
 
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.lab import limits
 from laddergw.lab.plant import Plant, draw
 from laddergw.lab.script import Trouble
@@ -74,11 +74,11 @@
 
     def switch(self, director, text: str) -> None:
         try:
-            house = houses.read(text)
-        except houses.Refused:
+            house = director_files.read(text)
+        except director_files.FileRejected:
             self.refused += 1
             return
-        if houses.switch_fault(director.house, house) is None:
+        if director_files.switch_fault(director.house, house) is None:
             director.change_house(house)
 
 
--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -2,7 +2,7 @@
 from typing import Callable
 
 from laddergw.director.director import Director
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from laddergw.lab.conductor import Conductor
 from laddergw.lab.list_stand_in import ListStandIn
 from laddergw.lab.node_stand_in import NodeStandIn, Rack
--- a/laddergw/lab/storm.py
+++ b/laddergw/lab/storm.py
@@ -12,7 +12,7 @@
 from laddergw.lab.script import Trouble, fault
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.terms import limits as files
-from laddergw.terms.loading import usual
+from laddergw.terms.loading import default_terms
 
 STILL_AT_MS, STILL_MS = 26_000.0, 5_000.0   # past the pacing that follows a director's start
 LATE_MS = 2_000.0          # of the late kind: past the module's patience, within viewers' limits
@@ -49,7 +49,7 @@
 
     class Under(Director):
         def __init__(self, loop, house, **more):
-            super().__init__(loop, house, limits=files.read(f"(limits (adaptive {adaptive}))", house.names, usual(house)), **more)
+            super().__init__(loop, house, limits=files.read(f"(limits (adaptive {adaptive}))", house.names, default_terms(house)), **more)
     nodes = [node.node for node in the_plant.nodes]
     script = [Trouble(STILL_AT_MS, "still", node, STILL_MS) for node in nodes] if kind == "still" else fault(nodes, "late", STILL_AT_MS, STILL_MS, LATE_MS)
     stage = MemoryStage(the_plant, script, Under)
--- a/laddergw/planner/audit_side.py
+++ b/laddergw/planner/audit_side.py
@@ -19,7 +19,7 @@
 from laddergw.interface import DECLINED
 from laddergw.machines.admission import Rejection
 from laddergw.planner import wire
-from laddergw.terms.generations import flat
+from laddergw.terms.generations import flatten
 
 CHANGES = {"limits changed": versions.LIMITS, "deployment changed": versions.HOUSE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
 
@@ -34,7 +34,7 @@
 
 def limits_text(limits) -> list[str]:
     """What a version of limits is made of."""
-    return [f"{key} = {value}" for key, value in flat(limits).items()]
+    return [f"{key} = {value}" for key, value in flatten(limits).items()]
 
 
 class AuditSide:
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/edge_side.py
@@ -21,7 +21,7 @@
 from laddergw.fleet.grants import Holding
 from laddergw.fleet.telling import Told
 from laddergw.planner.trust import Trust
-from laddergw.terms.generations import of_the_fleet
+from laddergw.terms.generations import fleet_budget_windows
 
 WHOLE_EACH = 40            # a whole one each ten seconds, whatever was sent before
 REDIAL_MS, DIAL_MS = 500.0, 1_000.0
@@ -43,7 +43,7 @@
         self.audit = AuditSide(self)
         self.holding = Holding(director.house.issuer) if director.house.issuer else None
         if self.holding is not None:
-            self.holding.set(of_the_fleet(director.limits))
+            self.holding.set(fleet_budget_windows(director.limits))
             director.budgets.fleet_grants, self.watched, director.watch = self.holding, director.watch, self.watch
             if director.tap is not None:
                 self.holding.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
@@ -73,7 +73,7 @@
 
     def watch(self, what: str, **facts) -> None:
         if what == "limits changed":
-            self.holding.set(of_the_fleet(self.director.limits))
+            self.holding.set(fleet_budget_windows(self.director.limits))
         self.watched(what, **facts)
 
     # Digests
--- a/laddergw/planner/program.py
+++ b/laddergw/planner/program.py
@@ -11,7 +11,7 @@
 import sys
 from typing import NamedTuple
 
-from laddergw.terms.house import signing_keys, take_planners, take_tls
+from laddergw.terms.director_file import read_signing_keys, read_addresses, read_tls
 from laddergw.director.watching import logger
 from laddergw.fleet.issuing import Budget
 from laddergw.loop import signal_mask
@@ -20,8 +20,8 @@
 from laddergw.planner.plan import Keys
 from laddergw.planner.server import Planner
 from laddergw.store.keeper import Store, StoreError
-from laddergw.terms.reading import Faults, Reader, only_form, text_of
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
+from laddergw.terms.sexpr import FileRejected
 
 COLLECT_MS = 600_000.0     # between collections of cycles: only ended connections leave any; left to itself, the collector walks over the audit's book all the time
 EXIT_GOOD, EXIT_FAILED, EXIT_FILE = 0, 1, 2
@@ -41,22 +41,22 @@
 
 
 def read_file(path: str) -> Office:
-    """Raises Refused with every fault, an unreadable file included."""
+    """Raises FileRejected with every fault, an unreadable file included."""
     faults = Faults()
-    top = Reader(only_form(text_of(path), os.path.basename(path), "planner"), faults)
-    office = Office(top.word("name") or "", top.address("listen"), top.word("store", None), signing_keys(top), top.atoms("leads", None, 0, 0) is not None,
-                    take_planners(top, "other"), take_tls(top), top.whole("seed", 1, 0, 2 ** 63), take_budgets(top))
-    top.no_others()
-    faults.settle()
+    top = FormReader(parse_single_form(read_text(path), os.path.basename(path), "planner"), faults)
+    office = Office(top.word("name") or "", top.address("listen"), top.word("store", None), read_signing_keys(top), top.atoms("leads", None, 0, 0) is not None,
+                    read_addresses(top, "other"), read_tls(top), top.integer("seed", 1, 0, 2 ** 63), take_budgets(top))
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     return office
 
 
-def take_budgets(top: Reader) -> tuple[Budget, ...]:
+def take_budgets(top: FormReader) -> tuple[Budget, ...]:
     """Budgets of the fleet: (budget "tenant basin" (whole 40) (window-ms 10000))."""
     found = []
-    for one in top.each("budget"):
-        found.append(Budget(one.title, one.whole("whole", 0, 0, 1_000_000_000) or 0, one.number("window-ms", 10_000.0, 100, 3_600_000)))
-        one.no_others()
+    for one in top.subforms("budget"):
+        found.append(Budget(one.name, one.integer("whole", 0, 0, 1_000_000_000) or 0, one.number("window-ms", 10_000.0, 100, 3_600_000)))
+        one.reject_unknown_keys()
     return tuple(found)
 
 
@@ -67,7 +67,7 @@
         planner.keys = office.keys
         planner.auditing.budgeting.set(office.budgets)
         log.info("keys changed", signs=planner.keys[0][0], taken=[name for name, _ in planner.keys])
-    except Refused as error:
+    except FileRejected as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
 
 
@@ -75,7 +75,7 @@
     """Runs one planner until it is told to stop; 2 where its file is refused, 1 where its store or port cannot be had."""
     try:
         office = read_file(path)
-    except Refused as error:
+    except FileRejected as error:
         print(error, file=sys.stderr)
         return EXIT_FILE
     log = logger(level).bind(planner=office.name)
--- a/laddergw/programme/rules.py
+++ b/laddergw/programme/rules.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from laddergw.hls.values import time_ms
-from laddergw.terms.reading import Faults, Reader, only_form
+from laddergw.terms.reading import Faults, FormReader, parse_single_form
 
 BEFORE, AT, EVERY, CUE, AFTER = "before", "at-ms", "every-ms", "at-cue", "after"
 PLACES = (BEFORE, AT, EVERY, CUE, AFTER)
@@ -56,76 +56,76 @@
 
 
 def read(text: str, file: str = "text") -> Programme:
-    """Raises Refused with every fault of the file."""
+    """Raises FileRejected with every fault of the file."""
     faults = Faults()
-    top = Reader(only_form(text, file, "programme"), faults)
-    readers = top.each("item")
-    pieces = {reader.title: take_piece(reader) for reader in readers}
+    top = FormReader(parse_single_form(text, file, "programme"), faults)
+    readers = top.subforms("item")
+    pieces = {reader.name: take_piece(reader) for reader in readers}
     for reader in readers:
         check_shorter(reader, pieces)
-    rules = tuple(take_rule(reader, pieces) for reader in top.each("rule"))
-    top.no_others()
-    faults.settle()
+    rules = tuple(take_rule(reader, pieces) for reader in top.subforms("rule"))
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     return Programme(pieces, rules)
 
 
-def take_piece(read: Reader) -> Piece:
+def take_piece(read: FormReader) -> Piece:
     nodes = read.numbers("nodes", low=0)
     if nodes and any(node != int(node) for node in nodes):
-        read.fault(read.places["nodes"], "nodes", "a node is a whole number")
-    piece = Piece(read.title, read.word("playlist"), read.number("length-ms", low=100, high=LONGEST_MS),
+        read.add_fault(read.places["nodes"], "nodes", "a node is a whole number")
+    piece = Piece(read.name, read.word("playlist"), read.number("length-ms", low=100, high=LONGEST_MS),
                   tuple(int(node) for node in nodes or ()), read.word("shorter", None),
                   read.number("rate-kb", None, 1e-6, 1e9))
     if piece.playlist and (piece.playlist.startswith("/") or ".." in posixpath.normpath(piece.playlist).split("/")):
-        read.fault(read.places["playlist"], "playlist", f"{piece.playlist!r} leads out of the folder")
-    read.no_others()
+        read.add_fault(read.places["playlist"], "playlist", f"{piece.playlist!r} leads out of the folder")
+    read.reject_unknown_keys()
     return piece
 
 
-def check_shorter(read: Reader, pieces: dict[str, Piece]) -> None:
-    piece = pieces[read.title]
+def check_shorter(read: FormReader, pieces: dict[str, Piece]) -> None:
+    piece = pieces[read.name]
     if piece.shorter is None:
         return
     other, place = pieces.get(piece.shorter), read.places["shorter"]
     if other is None:
-        read.fault(place, "shorter", f"no item {piece.shorter!r}")
+        read.add_fault(place, "shorter", f"no item {piece.shorter!r}")
     elif other.length_ms is not None and piece.length_ms is not None and other.length_ms >= piece.length_ms:
-        read.fault(place, "shorter", f"{piece.shorter!r} lasts {other.length_ms:g} ms, not less than {piece.length_ms:g}")
+        read.add_fault(place, "shorter", f"{piece.shorter!r} lasts {other.length_ms:g} ms, not less than {piece.length_ms:g}")
 
 
-def take_rule(read: Reader, pieces: dict[str, Piece]) -> Rule:
+def take_rule(read: FormReader, pieces: dict[str, Piece]) -> Rule:
     items = read.words("items") or ()
     for name in items:
         if name not in pieces:
-            read.fault(read.places["items"], "items", f"no item {name!r}")
+            read.add_fault(read.places["items"], "items", f"no item {name!r}")
     if not items:
-        read.fault(read.places.get("items", read.form.place), "items", "names no item")
+        read.add_fault(read.places.get("items", read.form.place), "items", "names no item")
     place, at, cue = take_place(read)
     since, until = (date(read, key, usual) for key, usual in (("since", -math.inf), ("until", math.inf)))
     if since >= until:
-        read.fault(read.places["until"], "until", "is not later than since")
-    rule = Rule(read.title, tuple(items), place, at, cue, frozenset(read.words("products", ()) or ()), tuple(read.words("routes", ()) or ()),
-                since, until, read.whole("most", 0, 0, 1_000), read.whole("rank", 0, 0, 1_000),
+        read.add_fault(read.places["until"], "until", "is not later than since")
+    rule = Rule(read.name, tuple(items), place, at, cue, frozenset(read.words("products", ()) or ()), tuple(read.words("routes", ()) or ()),
+                since, until, read.integer("most", 0, 0, 1_000), read.integer("rank", 0, 0, 1_000),
                 read.number("gap-ms", 0.0, 0, LONGEST_MS), read.word("otherwise", SKIP, (SKIP, SHORTER, LATER)))
     if rule.otherwise == SHORTER and not any(pieces[name].shorter for name in items if name in pieces):
-        read.fault(read.places["otherwise"], "otherwise", "none of its items has a shorter one")
-    read.no_others()
+        read.add_fault(read.places["otherwise"], "otherwise", "none of its items has a shorter one")
+    read.reject_unknown_keys()
     return rule
 
 
-def take_place(read: Reader) -> tuple[str, tuple[float, ...], str | None]:
-    stated = [key for key in PLACES if key in read.keys]
+def take_place(read: FormReader) -> tuple[str, tuple[float, ...], str | None]:
+    stated = [key for key in PLACES if key in read.forms]
     if len(stated) != 1:
         told = "is missing" if not stated else f"is told {len(stated)} times: {', '.join(stated)}"
-        read.fault(read.form.place, "its place", f"{told}; one of {', '.join(PLACES)}")
-        read.known.update(PLACES)
+        read.add_fault(read.form.place, "its place", f"{told}; one of {', '.join(PLACES)}")
+        read.known_keys.update(PLACES)
         return BEFORE, (), None
     place = stated[0]
     if place in (AT, EVERY):
         low = LEAST_EVERY_MS if place == EVERY else 0.0
         at = read.numbers(place, low=low, size=1 if place == EVERY else None) or ()
         if list(at) != sorted(set(at)):
-            read.fault(read.places[place], place, "times must rise")
+            read.add_fault(read.places[place], place, "times must rise")
         return place, tuple(at), None
     if place == CUE:
         return place, (), read.word(place)
@@ -133,12 +133,12 @@
     return place, (), None
 
 
-def date(read: Reader, key: str, usual: float) -> float:
+def date(read: FormReader, key: str, usual: float) -> float:
     text = read.word(key, None)
     if text is None:
         return usual
     try:
         return time_ms(text)
     except ValueError as error:
-        read.fault(read.places[key], key, str(error))
+        read.add_fault(read.places[key], key, str(error))
         return usual
--- a/laddergw/terms/checking.py
+++ b/laddergw/terms/checking.py
@@ -3,12 +3,12 @@
 import pickle
 import sys
 
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.terms.loading import load
 
 
 def main() -> None:
-    house = houses.read_file(sys.argv[1])
+    house = director_files.read_file(sys.argv[1])
     sys.stdout.buffer.write(pickle.dumps(load(sys.stdin.buffer.read(), sys.argv[2], house)))
 
 
--- a/laddergw/terms/generations.py
+++ b/laddergw/terms/generations.py
@@ -2,7 +2,7 @@
 
 A file is checked whole and then switched at one moment: plays that come from then on are under the new one, plays under way keep theirs.
 """
-from laddergw.terms.limits import Budget, Limits, Row
+from laddergw.terms.limits import Budget, Limits, LimitsEntry
 from laddergw.machines.concurrency import OFF
 from laddergw.machines.retry_budget import BudgetTerms
 
@@ -20,14 +20,14 @@
     def __init__(self, limits: Limits, now: float):
         self.current = Generation(1, limits, now)
         self.older: dict[int, Generation] = {}
-        self.switches = self.refused = 0
+        self.switches = self.rejected = 0
 
-    def take(self) -> Generation:
+    def begin_play(self) -> Generation:
         """A play begins under what is in force."""
         self.current.plays += 1
         return self.current
 
-    def drop(self, generation: Generation) -> None:
+    def end_play(self, generation: Generation) -> None:
         """A play of it is over; an old one goes with its last."""
         generation.plays -= 1
         if not generation.plays:
@@ -42,35 +42,35 @@
         return self.current
 
 
-def budget_names(rows: tuple[Row, ...], limits: Limits) -> tuple[str, ...]:
-    """The budgets that a play on these rows draws on: its routes' and their tenants'."""
-    names = [row.name for row in rows if row.budget is not None]
-    for row in rows:
-        tenant = limits.tenants.get(row.tenant) if row.tenant else None
+def budget_names(entries: tuple[LimitsEntry, ...], limits: Limits) -> tuple[str, ...]:
+    """The budgets that a play on these entries draws on: its routes' and their tenants'."""
+    names = [entry.name for entry in entries if entry.budget is not None]
+    for entry in entries:
+        tenant = limits.tenants.get(entry.tenant) if entry.tenant else None
         if tenant is not None and tenant.budget is not None and tenant.name not in names:
             names.append(tenant.name)
     return tuple(names)
 
 
-def allowed(limits: Limits) -> dict[str, BudgetTerms]:
+def budget_terms(limits: Limits) -> dict[str, BudgetTerms]:
     """All budgets of routes and tenants, by name."""
-    rows = [row for _, row in limits.routes] + list(limits.tenants.values())
-    return {row.name: as_allowed(row.budget) for row in rows if row.budget is not None}
+    entries = [entry for _, entry in limits.routes] + list(limits.tenants.values())
+    return {entry.name: budget_terms_of(entry.budget) for entry in entries if entry.budget is not None}
 
 
-def as_allowed(budget: Budget) -> BudgetTerms:
+def budget_terms_of(budget: Budget) -> BudgetTerms:
     """Of a fleet's budget the share of its own plays is the director's; the rest is granted."""
     return BudgetTerms(0.0 if budget.fleet else budget.free, budget.share, budget.window_ms)
 
 
-def of_the_fleet(limits: Limits) -> dict[str, float]:
+def fleet_budget_windows(limits: Limits) -> dict[str, float]:
     """Windows of budgets that planners grant, ms, by name."""
-    return {row.name: row.budget.window_ms for row in [row for _, row in limits.routes] + list(limits.tenants.values()) if row.budget is not None and row.budget.fleet}
+    return {entry.name: entry.budget.window_ms for entry in [entry for _, entry in limits.routes] + list(limits.tenants.values()) if entry.budget is not None and entry.budget.fleet}
 
 
-def changes(old: Limits, new: Limits) -> list[str]:
+def describe_changes(old: Limits, new: Limits) -> list[str]:
     """What differs, a line each, in the order of the new file; what went last."""
-    before, after = flat(old), flat(new)
+    before, after = flatten(old), flatten(new)
     lines = []
     for key, value in after.items():
         if key not in before:
@@ -80,30 +80,30 @@
     return lines + [f"- {key} {value}" for key, value in before.items() if key not in after]
 
 
-def flat(limits: Limits) -> dict[str, str]:
+def flatten(limits: Limits) -> dict[str, str]:
     """Every value of a file by its name in words."""
-    found = {"cold-pace": show(limits.cold_pace.value)} if limits.cold_pace.source != "built in" else {}
-    if limits.margin is not None:
-        found["answer-margin-ms"] = show(limits.margin.value)
+    found = {"cold-pace": format_value(limits.cold_pace.value)} if limits.cold_pace.source != "built in" else {}
+    if limits.answer_margin is not None:
+        found["answer-margin-ms"] = format_value(limits.answer_margin.value)
     if limits.adaptive != OFF:
         found["adaptive"] = limits.adaptive
     if limits.budget is not None:
-        found["budget"] = show(limits.budget[:3])
-    rows = ([limits.defaults] if limits.defaults else []) + [*limits.products.values(), *limits.tenants.values()] + [row for _, row in limits.routes]
-    for row in rows:
-        name = " ".join((row.name, *row.products))
+        found["budget"] = format_value(limits.budget[:3])
+    entries = ([limits.defaults] if limits.defaults else []) + [*limits.products.values(), *limits.tenants.values()] + [entry for _, entry in limits.routes]
+    for entry in entries:
+        name = " ".join((entry.name, *entry.products))
         found[name] = ""
-        for field, told in row.values.items():
-            found[f"{name}: {field.replace('_', '-')}"] = show(told.value)
-        for key, told in (("floor", row.floor), ("seats", row.seats)):
-            if told is not None:
-                found[f"{name}: {key}"] = show(told.value)
-        if row.budget is not None:
-            found[f"{name}: budget"] = show(row.budget[:3]) + (" of the fleet" if row.budget.fleet else "")
-        if row.tenant is not None:
-            found[f"{name}: tenant"] = row.tenant
+        for field, sourced in entry.values.items():
+            found[f"{name}: {field.replace('_', '-')}"] = format_value(sourced.value)
+        for key, sourced in (("floor", entry.floor), ("seats", entry.seats)):
+            if sourced is not None:
+                found[f"{name}: {key}"] = format_value(sourced.value)
+        if entry.budget is not None:
+            found[f"{name}: budget"] = format_value(entry.budget[:3]) + (" of the fleet" if entry.budget.fleet else "")
+        if entry.tenant is not None:
+            found[f"{name}: tenant"] = entry.tenant
     return found
 
 
-def show(value) -> str:
+def format_value(value) -> str:
     return " ".join(f"{one:g}" for one in value) if isinstance(value, tuple) else f"{value:g}"
--- a/laddergw/terms/limits.py
+++ b/laddergw/terms/limits.py
@@ -13,8 +13,8 @@
 
 from laddergw.machines.play import PlayTerms
 from laddergw.machines.concurrency import KINDS as ADAPTIVE, OFF
-from laddergw.terms.reading import Faults, Reader, only_form, text_of
-from laddergw.terms.routes import At, RouteTrie
+from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
+from laddergw.terms.routes import RouteScope, RouteTrie
 from laddergw.terms.sexpr import Place
 
 BUILT_IN, LONGEST_MS = Place("built in", 0, 0), 600_000.0
@@ -42,7 +42,7 @@
                "settle-ms": "a retry waits as long as its viewer says that an earlier try is unsettled"}
 
 
-class Told(NamedTuple):
+class SourcedValue(NamedTuple):
     """A value and where it stands."""
     value: Any
     place: Place
@@ -58,46 +58,46 @@
     fleet: bool = False                # `free` is the planners' to grant: budgets.md
 
 
-class Row(NamedTuple):
+class LimitsEntry(NamedTuple):
     """A form with values. `values`: by field of PlayTerms."""
     name: str
-    values: dict[str, Told]
+    values: dict[str, SourcedValue]
     place: Place
     products: tuple[str, ...] = ()     # of a route: only these; empty: all
     tenant: str | None = None
     budget: Budget | None = None
-    floor: Told | None = None          # of a product
-    seats: Told | None = None
+    floor: SourcedValue | None = None  # of a product
+    seats: SourcedValue | None = None
 
 
-class Effective(NamedTuple):
+class EffectiveTerms(NamedTuple):
     """What holds for a route and product, with where each value comes from."""
     terms: PlayTerms
-    told: dict[str, Told]
-    rows: tuple[Row, ...]              # the route's own, shortest prefix first
+    file_values: dict[str, SourcedValue]
+    entries: tuple[LimitsEntry, ...]   # the route's own, shortest prefix first
 
     def place(self, field: str) -> Place:
-        return self.told[field].place if field in self.told else BUILT_IN
+        return self.file_values[field].place if field in self.file_values else BUILT_IN
 
 
 class Limits:
     """A file that could be read. Whether it is safe is not said here: terms/proof.py."""
 
     def __init__(self, file: str, usual: PlayTerms):
-        self.file, self.usual = file, usual
-        self.margin: Told | None = None
-        self.cold_pace = Told(1.0, BUILT_IN, "built in")
+        self.file, self.default_terms = file, usual
+        self.answer_margin: SourcedValue | None = None
+        self.cold_pace = SourcedValue(1.0, BUILT_IN, "built in")
         self.budget: Budget | None = None
         self.adaptive = OFF                    # how the waiting room follows nodes' answers: machines/concurrency.py
-        self.defaults: Row | None = None
-        self.products: dict[str, Row] = {}
-        self.tenants: dict[str, Row] = {}
-        self.routes: list[tuple[At, Row]] = []
+        self.defaults: LimitsEntry | None = None
+        self.products: dict[str, LimitsEntry] = {}
+        self.tenants: dict[str, LimitsEntry] = {}
+        self.routes: list[tuple[RouteScope, LimitsEntry]] = []
         self.trie = RouteTrie(())
-        self.known: dict[tuple, Effective] = {}
-        self.sets: dict[tuple, Effective] = {}
+        self.known: dict[tuple, EffectiveTerms] = {}
+        self.sets: dict[tuple, EffectiveTerms] = {}
 
-    def find(self, route: str, product: str) -> Effective:
+    def find(self, route: str, product: str) -> EffectiveTerms:
         """The values for a play: looked up once for each route, shared by all routes that the same forms hold for."""
         found = self.known.get((route, product))
         if found is None:
@@ -111,14 +111,14 @@
             self.known[route, product] = found
         return found
 
-    def effective(self, rows: tuple[Row, ...], product: str) -> Effective:
-        told: dict[str, Told] = {}
+    def effective(self, rows: tuple[LimitsEntry, ...], product: str) -> EffectiveTerms:
+        told: dict[str, SourcedValue] = {}
         for row in (self.defaults, self.products.get(product), *rows):
             if row is not None:
                 told |= row.values
-        return Effective(follow(self.usual._replace(**{field: one.value for field, one in told.items()}), self.usual.grace_ms, told), told, rows)
+        return EffectiveTerms(follow(self.default_terms._replace(**{field: one.value for field, one in told.items()}), self.default_terms.grace_ms, told), told, rows)
 
-    def classes(self, names: tuple[str, ...]) -> list[tuple[str, str, Effective]]:
+    def classes(self, names: tuple[str, ...]) -> list[tuple[str, str, EffectiveTerms]]:
         """Every set of values that a play can meet, by a route that meets it, and its product."""
         found = []
         for product in names:
@@ -130,7 +130,7 @@
         return found
 
 
-def follow(t: PlayTerms, grace_ms: float, told: dict[str, Told]) -> PlayTerms:
+def follow(t: PlayTerms, grace_ms: float, told: dict[str, SourcedValue]) -> PlayTerms:
     """What is not told follows from what is: a lease outlives its time-out by the built-in grace, a release may take as long as the
     lease, and a connection no longer than the set-up."""
     if "set_up_ms" in told and "lease_ms" not in told:
@@ -146,105 +146,105 @@
     return t
 
 
-def example(at: At) -> str:
+def example(at: RouteScope) -> str:
     """Something behind a prefix that its first pattern takes."""
     return at.titles[0].replace("*", "").replace("?", "0") if at.titles else ""
 
 
 def read_file(path: str, names: tuple[str, ...], usual: PlayTerms) -> Limits:
-    """Raises Refused with every fault, an unreadable file included."""
-    return read(text_of(path), names, usual, path.rpartition("/")[2])
+    """Raises FileRejected with every fault, an unreadable file included."""
+    return read(read_text(path), names, usual, path.rpartition("/")[2])
 
 
 def read(text: str, names: tuple[str, ...], usual: PlayTerms, file: str = "text") -> Limits:
-    """`names`: the deployment's products. Raises Refused with every fault of the form; the rules are proof.py's."""
+    """`names`: the deployment's products. Raises FileRejected with every fault of the form; the rules are proof.py's."""
     faults = Faults()
-    top, found = Reader(only_form(text, file, "limits"), faults), Limits(file, usual)
-    found.margin = take_number(top, "answer-margin-ms", 0, 1_000)
+    top, found = FormReader(parse_single_form(text, file, "limits"), faults), Limits(file, usual)
+    found.answer_margin = take_number(top, "answer-margin-ms", 0, 1_000)
     found.cold_pace = take_number(top, "cold-pace", 0.01, 100) or found.cold_pace
     found.budget = take_budget(top)
     found.adaptive = top.word("adaptive", OFF, ADAPTIVE)
-    defaults = top.under("defaults", None)
+    defaults = top.subform("defaults", None)
     if defaults is not None:
         found.defaults = take_row(defaults, "defaults", names)
-    for reader in top.each("product"):
-        if reader.title not in names:
-            reader.fault(reader.form.place, "", f"no product {reader.title!r}; the director has {', '.join(names)}")
-        found.products[reader.title] = take_row(reader, f"product {reader.title}", names)
-    for reader in top.each("tenant"):
-        found.tenants[reader.title] = take_row(reader, f"tenant {reader.title}", names)
+    for reader in top.subforms("product"):
+        if reader.name not in names:
+            reader.add_fault(reader.form.place, "", f"no product {reader.name!r}; the director has {', '.join(names)}")
+        found.products[reader.name] = take_row(reader, f"product {reader.name}", names)
+    for reader in top.subforms("tenant"):
+        found.tenants[reader.name] = take_row(reader, f"tenant {reader.name}", names)
     take_routes(top, found, names)
-    top.no_others()
-    faults.settle()
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     found.trie = RouteTrie(at for at, _ in found.routes)
     return found
 
 
-def take_routes(top: Reader, found: Limits, names: tuple[str, ...]) -> None:
+def take_routes(top: FormReader, found: Limits, names: tuple[str, ...]) -> None:
     seen: dict[tuple, Place] = {}
-    for order, reader in enumerate(top.each("route", once=False)):
+    for order, reader in enumerate(top.subforms("route", unique=False)):
         titles = tuple(map(str, reader.words("titles", ()) or ()))
-        at, row = At(reader.title, titles, order), take_row(reader, " ".join(("route", reader.title, *titles)), names)
+        at, row = RouteScope(reader.name, titles, order), take_row(reader, " ".join(("route", reader.name, *titles)), names)
         if not at.prefix.startswith("/"):
-            reader.fault(reader.form.place, "", f"{at.prefix!r} does not begin with /")
+            reader.add_fault(reader.form.place, "", f"{at.prefix!r} does not begin with /")
         same = at.prefix, titles, row.products
         if same in seen:
-            reader.fault(reader.form.place, "", f"stands twice, first at line {seen[same].line}")
+            reader.add_fault(reader.form.place, "", f"stands twice, first at line {seen[same].line}")
         seen.setdefault(same, reader.form.place)
         if row.tenant is not None and row.tenant not in found.tenants:
-            reader.fault(reader.places["tenant"], "tenant", f"no tenant {row.tenant!r}")
+            reader.add_fault(reader.places["tenant"], "tenant", f"no tenant {row.tenant!r}")
         found.routes.append((at, row))
 
 
-def take_row(read: Reader, name: str, names: tuple[str, ...]) -> Row:
+def take_row(read: FormReader, name: str, names: tuple[str, ...]) -> LimitsEntry:
     kind, values = name.partition(" ")[0], {}
     if kind != "tenant":
-        read.known.update(KINDS)
+        read.known_keys.update(KINDS)
         for key, spec in KINDS.items():
-            if key in read.keys:
+            if key in read.forms:
                 told = take_value(read, key, spec, name)
                 if told is not None:
                     values[spec.field] = told
         for key, why in NOT_OFFERED.items():
-            for form in read.keys.get(key, ()):
-                read.fault(form.place, key, f"is not offered: {why}")
-                read.known.add(key)
-    row = Row(name, values, read.form.place)
+            for form in read.forms.get(key, ()):
+                read.add_fault(form.place, key, f"is not offered: {why}")
+                read.known_keys.add(key)
+    row = LimitsEntry(name, values, read.form.place)
     if kind == "route":
         products = tuple(map(str, read.words("products", ()) or ()))
         for product in products:
             if product not in names:
-                read.fault(read.places["products"], "products", f"no product {product!r}; the director has {', '.join(names)}")
+                read.add_fault(read.places["products"], "products", f"no product {product!r}; the director has {', '.join(names)}")
         row = row._replace(products=products, tenant=read.word("tenant", None))
     if kind in ("route", "tenant"):
         row = row._replace(budget=take_budget(read, ("director", "fleet")))
     if kind == "product":
         row = row._replace(floor=take_number(read, "floor", 0, 100, True), seats=take_number(read, "seats", 0, 1_000_000, True))
-    read.no_others()
+    read.reject_unknown_keys()
     return row
 
 
-def take_value(read: Reader, key: str, spec: Kind, source: str) -> Told | None:
+def take_value(read: FormReader, key: str, spec: Kind, source: str) -> SourcedValue | None:
     if spec.size == 1:
         return take_number(read, key, spec.low, spec.high, spec.whole, source)
     values = read.numbers(key, None, spec.low, spec.high, spec.size)
-    return None if values is None else Told(tuple(values), read.places[key], source)
+    return None if values is None else SourcedValue(tuple(values), read.places[key], source)
 
 
-def take_number(read: Reader, key: str, low: float, high: float, whole: bool = False, source: str = "") -> Told | None:
+def take_number(read: FormReader, key: str, low: float, high: float, whole: bool = False, source: str = "") -> SourcedValue | None:
     value = read.number(key, None, low, high, whole)
-    return None if value is None else Told(value, read.places[key], source)
+    return None if value is None else SourcedValue(value, read.places[key], source)
 
 
-def take_budget(read: Reader, scopes: tuple[str, ...] = ("director",)) -> Budget | None:
-    if (under := read.under("budget", None)) is None:
+def take_budget(read: FormReader, scopes: tuple[str, ...] = ("director",)) -> Budget | None:
+    if (under := read.subform("budget", None)) is None:
         return None
     budget = Budget(under.number("free", 0.0, 0, 1e9), under.number("share", 0.0, 0, 100), under.number("window-ms", 10_000.0, 100, 3_600_000), under.form.place,
-                    under.word("scope", "director", among=scopes) == "fleet")
-    under.no_others()
+                    under.word("scope", "director", allowed=scopes) == "fleet")
+    under.reject_unknown_keys()
     return budget
 
 
-def usual(lease_most_ms: float, grace_ms: float) -> PlayTerms:
+def default_terms(lease_most_ms: float, grace_ms: float) -> PlayTerms:
     """What holds where a director has no such file: its own bound on leases, and the module's word."""
     return PlayTerms(set_up_ms=lease_most_ms - grace_ms, connect_ms=lease_most_ms - grace_ms, lease_ms=lease_most_ms, release_ms=lease_most_ms)
--- a/laddergw/terms/proof.py
+++ b/laddergw/terms/proof.py
@@ -8,11 +8,11 @@
 
 from laddergw import interface as face
 from laddergw.control.candidates import COLD_RAMP_SHARE
-from laddergw.terms.house import House
+from laddergw.terms.director_file import DirectorFile
 from laddergw.machines.play import PlayTerms
 from laddergw.terms import search
-from laddergw.terms.limits import Effective, Limits, Told, usual
-from laddergw.terms.search import Terms
+from laddergw.terms.limits import EffectiveTerms, Limits, SourcedValue, default_terms
+from laddergw.terms.search import SearchTerms
 from laddergw.terms.sexpr import Place
 
 CONFIRM_MS = 20.0          # between a set-up's time-out and its lease's end: an answer just in time must still be confirmed
@@ -45,10 +45,10 @@
     """A route and product that meet one set of values."""
     route: str
     product: str
-    effective: Effective
+    effective: EffectiveTerms
 
 
-def prove(limits: Limits, house: House) -> list[Objection]:
+def prove(limits: Limits, house: DirectorFile) -> list[Objection]:
     """All objections, in order of their lines. None: the file may be loaded at this director's deployment."""
     classes = [Class(*one) for one in limits.classes(house.names)]
     found = list(figures(limits, house, classes)) + list(terms_kept(limits, house)) + list(cold(limits, house.deployment)) + list(budget(limits, house.deployment))
@@ -57,18 +57,18 @@
     return sorted(found, key=lambda one: (one.place.line, one.place.column, one.reason))
 
 
-def margin(limits: Limits, house: House) -> float:
-    return house.bounds.answer_margin_ms if limits.margin is None else limits.margin.value
+def answer_margin_ms(limits: Limits, house: DirectorFile) -> float:
+    return house.bounds.answer_margin_ms if limits.answer_margin is None else limits.answer_margin.value
 
 
 # Figures
 
-def figures(limits: Limits, house: House, classes: Iterable[Class]) -> Iterable[Objection]:
+def figures(limits: Limits, house: DirectorFile, classes: Iterable[Class]) -> Iterable[Objection]:
     """What makes no sense, once for each line that says it."""
     seen = set()
     for one in classes:
-        for field, reason in nonsense(one.effective.terms, house, margin(limits, house)):
-            told = one.effective.told
+        for field, reason in nonsense(one.effective.terms, house, answer_margin_ms(limits, house)):
+            told = one.effective.file_values
             fields = [name for name in (field, *PARTNERS.get(field, ())) if name in told]
             if not fields:
                 continue                         # nothing of it stands in the file
@@ -84,7 +84,7 @@
     "first_frame_ms": ("time_limit_ms",), "set_up_ms": ("time_limit_ms", "lease_ms"), "copy_after_ms": ("read_copies", "first_segment_ms")}
 
 
-def nonsense(t: PlayTerms, house: House, margin_ms: float) -> Iterable[tuple[str, str]]:
+def nonsense(t: PlayTerms, house: DirectorFile, margin_ms: float) -> Iterable[tuple[str, str]]:
     most, left = house.bounds.max_lease_ms, t.time_limit_ms - margin_ms
     if t.lease_ms > most:
         yield "lease_ms", f"a lease of {t.lease_ms:g} ms is over the director's lease-most-ms, {most:g}"
@@ -130,7 +130,7 @@
 
 # Terms that are the rules'
 
-def terms_kept(limits: Limits, house: House) -> Iterable[Objection]:
+def terms_kept(limits: Limits, house: DirectorFile) -> Iterable[Objection]:
     """Floors and seats may only be made stricter."""
     for name, product in zip(house.names, house.deployment.products):
         row = limits.products.get(name)
@@ -189,44 +189,44 @@
 
 # Lives
 
-def lives(limits: Limits, house: House, classes: list[Class]) -> Iterable[Objection]:
+def lives(limits: Limits, house: DirectorFile, classes: list[Class]) -> Iterable[Objection]:
     """One objection for each search that found a life that breaks a rule, with the lines without which it would not."""
-    edge, most, groups = margin(limits, house), house.deployment.max_allocations, {}
+    edge, most, groups = answer_margin_ms(limits, house), house.deployment.max_allocations, {}
     repeats = {name: product.repeat for name, product in zip(house.names, house.deployment.products)}
     for one in classes:
-        key = search.alike(Terms(one.effective.terms, repeats[one.product], edge, most))
+        key = search.canonical_terms(SearchTerms(one.effective.terms, repeats[one.product], edge, most))
         groups.setdefault(key, []).append(one)
-    own, found = usual(house.bounds.max_lease_ms, 0.0), {}
+    own, found = default_terms(house.bounds.max_lease_ms, 0.0), {}
     for key, alike in groups.items():
         report = search.search(key)
-        if report.seen is not None:
+        if report.counterexample is not None:
             lines = tuple(culprits(limits, alike[0].effective, key, own))
-            found.setdefault(lines, []).append((report.seen, alike))
+            found.setdefault(lines, []).append((report.counterexample, alike))
     for lines, same in found.items():            # the same lines, seen at many routes: told once, with the shortest life
-        seen, alike = min(same, key=lambda one: (len(one[0].moves), len(one[0].life)))
+        seen, alike = min(same, key=lambda one: (len(one[0].moves), len(one[0].timeline)))
         met = alike + [one for _, others in same for one in others if others is not alike]
         told = ", ".join(f"{one.product} at {one.route}" for one in met[:LEAST_CLASSES]) + (f" and {len(met) - LEAST_CLASSES} more" if len(met) > LEAST_CLASSES else "")
         place = lines[0][0] if lines else Place(limits.file, 1, 1)
-        yield Objection(place, lines[0][1].strip("()").partition(" ")[0] if lines else "", f"{seen.what}: {told}", seen.rule, seen.life, lines, seen.moves,
+        yield Objection(place, lines[0][1].strip("()").partition(" ")[0] if lines else "", f"{seen.description}: {told}", seen.rule, seen.timeline, lines, seen.moves,
                         alike[0].route, alike[0].product, seen.wait_ms)
 
 
-def culprits(limits: Limits, effective: Effective, key: Terms, own: PlayTerms) -> list[tuple[Place, str]]:
+def culprits(limits: Limits, effective: EffectiveTerms, key: SearchTerms, own: PlayTerms) -> list[tuple[Place, str]]:
     """The values of the file without which the life would not break: each is put back to what is built in, the others left."""
     found = []
     for field in TIMING:
-        if field in effective.told:
+        if field in effective.file_values:
             changed = key.play._replace(**{field: getattr(own, field)})
-            if search.search(key._replace(play=changed)).seen is None:
-                found.append((effective.told[field].place, words(field, effective.told[field])))
-    if limits.margin is not None and search.search(key._replace(margin_ms=max(40.0, key.margin_ms))).seen is None:
-        found.append((limits.margin.place, f"(answer-margin-ms {limits.margin.value:g})"))
+            if search.search(key._replace(play=changed)).counterexample is None:
+                found.append((effective.file_values[field].place, words(field, effective.file_values[field])))
+    if limits.answer_margin is not None and search.search(key._replace(margin_ms=max(40.0, key.margin_ms))).counterexample is None:
+        found.append((limits.answer_margin.place, f"(answer-margin-ms {limits.answer_margin.value:g})"))
     if not found:                                # no one value alone: all that the life depends on
-        found = [(effective.told[field].place, words(field, effective.told[field])) for field in TIMING if field in effective.told]
+        found = [(effective.file_values[field].place, words(field, effective.file_values[field])) for field in TIMING if field in effective.file_values]
     return sorted(found, key=lambda one: (one[0].line, one[0].column))
 
 
-def words(field: str, told: Told) -> str:
+def words(field: str, told: SourcedValue) -> str:
     value = told.value if isinstance(told.value, tuple) else (told.value,)
     return f"({KEY_OF.get(field, field.replace('_', '-'))} {' '.join(f'{one:g}' for one in value)})"
 
--- a/laddergw/terms/routes.py
+++ b/laddergw/terms/routes.py
@@ -6,7 +6,7 @@
 from typing import Iterable, NamedTuple
 
 
-class At(NamedTuple):
+class RouteScope(NamedTuple):
     """Where a form holds. `titles` empty: for all behind the prefix. `order`: its place in the file."""
     prefix: str
     titles: tuple[str, ...]
@@ -25,13 +25,13 @@
 
     def __init__(self):
         self.parts: dict[str, Node] = {}
-        self.ends: list[tuple[str, At]] = []     # prefixes that end within the next part, with what they begin it with
+        self.ends: list[tuple[str, RouteScope]] = []     # prefixes that end within the next part, with what they begin it with
 
 
 class RouteTrie:
     """Forms by prefix. A prefix may end in the middle of a part: "/arch" holds for "/archive/7"."""
 
-    def __init__(self, forms: Iterable[At]):
+    def __init__(self, forms: Iterable[RouteScope]):
         self.root = Node()
         for at in forms:
             *parts, last = at.prefix.split("/")
@@ -40,7 +40,7 @@
                 node = node.parts.setdefault(part, Node())
             node.ends.append((last, at))
 
-    def find(self, route: str) -> list[At]:
+    def find(self, route: str) -> list[RouteScope]:
         """All forms that hold, the shortest prefix first; at one prefix those without titles first, then in the file's order."""
         found, node = [], self.root
         for part in route.split("/"):
@@ -53,10 +53,10 @@
         return sorted(found, key=rank)
 
 
-def rank(at: At) -> tuple:
+def rank(at: RouteScope) -> tuple:
     return len(at.prefix), bool(at.titles), at.order
 
 
-def scan(forms: Iterable[At], route: str) -> list[At]:
+def scan(forms: Iterable[RouteScope], route: str) -> list[RouteScope]:
     """The same by a walk of all forms: for small files, and to measure against."""
     return sorted((at for at in forms if at.holds(route)), key=rank)
--- a/laddergw/terms/search.py
+++ b/laddergw/terms/search.py
@@ -19,7 +19,7 @@
 BYTES = 9                  # of a set-up, as good as any
 
 
-class Terms(NamedTuple):
+class SearchTerms(NamedTuple):
     """What one search is about. `attempts`: the deployment's bound."""
     play: PlayTerms
     repeat: str
@@ -27,24 +27,24 @@
     attempts: int
 
 
-class Seen(NamedTuple):
+class Counterexample(NamedTuple):
     """A life that breaks a rule: rule, what happens, and the life as (ms, words), the play's first request at 0."""
     rule: str
-    what: str
-    life: tuple[tuple[float, str], ...]
+    description: str
+    timeline: tuple[tuple[float, str], ...]
     moves: tuple[str, ...]          # what nodes, network and viewer did, in order
     wait_ms: float                  # the viewer's own wait
 
 
-class Report(NamedTuple):
-    """What a search came to. `worst`: the longest life without a break, by its end."""
-    seen: Seen | None
+class SearchReport(NamedTuple):
+    """What a search came to. `longest_timeline`: the longest life without a break, by its end."""
+    counterexample: Counterexample | None
     states: int
-    whole: bool                     # the bound on states was not met
-    worst: tuple[tuple[float, str], ...]
+    is_complete: bool               # the bound on states was not met
+    longest_timeline: tuple[tuple[float, str], ...]
 
 
-class World:
+class SearchState:
     """A moment between steps: the try's life, and what nodes may hold of the play, until when. `told` is a chain of (before, (ms,
     words)), newest first."""
     __slots__ = ("now", "asked_at", "wait_ms", "tries", "life", "holds", "told", "moves")
@@ -53,10 +53,10 @@
         self.now, self.asked_at, self.wait_ms, self.tries = now, asked_at, wait_ms, tries
         self.life, self.holds, self.told, self.moves = life, holds, told, moves
 
-    def then(self, words: str = "", move: str = "", now: float | None = None, life: PlayState | None = None, holds: tuple[float, ...] | None = None) -> "World":
+    def then(self, words: str = "", move: str = "", now: float | None = None, life: PlayState | None = None, holds: tuple[float, ...] | None = None) -> "SearchState":
         """The moment that follows: at `now`, with what happened in words, and whose move it was."""
         when = self.now if now is None else now
-        return World(when, self.asked_at, self.wait_ms, self.tries, life or self.life, self.holds if holds is None else holds,
+        return SearchState(when, self.asked_at, self.wait_ms, self.tries, life or self.life, self.holds if holds is None else holds,
                      (self.told, (when, words)) if words else self.told, self.moves + (move,) if move else self.moves)
 
 
@@ -77,33 +77,33 @@
 class Search:
     """One set of terms."""
 
-    def __init__(self, terms: Terms):
+    def __init__(self, terms: SearchTerms):
         self.terms, self.seen, self.states, self.whole = terms, set(), 0, True
-        self.found: Seen | None = None         # the break with the fewest moves so far
+        self.found: Counterexample | None = None         # the break with the fewest moves so far
         self.longest: tuple[float, tuple] = (0.0, ())
         self.attempts = min(terms.play.attempts, terms.attempts)
 
-    def run(self) -> Report:
+    def run(self) -> SearchReport:
         for part in (1.0, SHORT_PART):
-            self.ask(World(0.0, 0.0, self.terms.play.time_limit_ms * part, 0, None, (), (), ()))
-        return Report(self.found, self.states, self.whole, unwind(self.longest[1]))
+            self.ask(SearchState(0.0, 0.0, self.terms.play.time_limit_ms * part, 0, None, (), (), ()))
+        return SearchReport(self.found, self.states, self.whole, unwind(self.longest[1]))
 
-    def breaks(self, seen: Seen) -> None:
+    def breaks(self, seen: Counterexample) -> None:
         if self.found is None or len(seen.moves) < len(self.found.moves):
             self.found = seen
 
     # A try
 
-    def ask(self, world: World) -> None:
+    def ask(self, world: SearchState) -> None:
         """The viewer asks, a first time or again, at a director that knows its token only."""
         if world.tries >= TRIES_MOST or self.found is not None and len(world.moves) >= len(self.found.moves):
             return
         life = PlayState(self.terms.play, self.terms.repeat, world.now, max(0.0, world.wait_ms - self.terms.margin_ms), self.terms.margin_ms)
         holds = tuple(until for until in world.holds if until > world.now)
         words = "the viewer asks again, at another director" if world.tries else f"the viewer asks, and waits {world.wait_ms:g} ms"
-        self.choose(World(world.now, world.now, world.wait_ms, world.tries + 1, life, holds, (world.told, (world.now, words)), world.moves))
+        self.choose(SearchState(world.now, world.now, world.wait_ms, world.tries + 1, life, holds, (world.told, (world.now, words)), world.moves))
 
-    def choose(self, world: World) -> bool | None:
+    def choose(self, world: SearchState) -> bool | None:
         """The module chooses a node, as often as it is asked; how often that is, the life says."""
         now, life = world.now, world.life
         key = (round(now - world.asked_at, 3), world.tries, life.attempts_made, life.may_have_run, world.wait_ms,
@@ -134,7 +134,7 @@
         self.over(world.then("its node drains: it is taken back", "drains", now + pause), again(a).withdrawn())
         return self.send(world.then(now=now + pause), a)
 
-    def send(self, world: World, a: Allocation) -> None:
+    def send(self, world: SearchState, a: Allocation) -> None:
         """The set-up goes out: all that can become of it."""
         now, terms, number = world.now, self.terms.play, world.life.attempts_made
         name = f"set-up {number}"
@@ -161,21 +161,21 @@
             self.answered(held.then("the time limit is near: failed, the set-up is given up", "silent", world.life.answer_deadline))
         self.gone(held, a)
 
-    def hold(self, world: World, a: Allocation, name: str) -> World | None:
+    def hold(self, world: SearchState, a: Allocation, name: str) -> SearchState | None:
         """A node takes it, and holds it until its lease ends unless a release reaches it before. None: it was one too many."""
         for until in world.holds:
             if until > world.now + WAY_MS:
                 told = world.then(f"{name}: a second node takes the play, the first may hold it until {until:g} ms")
-                return self.breaks(Seen("once", f"two allocations out for {until - world.now:g} ms", unwind(told.told), world.moves + ("taken",), world.wait_ms))
+                return self.breaks(Counterexample("once", f"two allocations out for {until - world.now:g} ms", unwind(told.told), world.moves + ("taken",), world.wait_ms))
         return world.then(f"{name}: sent, its lease ends at {a.lease_ends_at:g} ms", holds=world.holds + (a.lease_ends_at,))
 
-    def gone(self, held: World, a: Allocation) -> None:
+    def gone(self, held: SearchState, a: Allocation) -> None:
         """While it is out its viewer leaves, or its director dies: the viewer knows how long the try may be unsettled, and waits."""
         settled = held.asked_at + held.wait_ms
         for move, words in (("viewer leaves", "the viewer leaves"), ("director dies", "the director dies")):
             self.ask(held.then(words, move).then(now=max(settled, held.now)))
 
-    def given_up(self, world: World, a: Allocation, step: AllocationActions) -> None:
+    def given_up(self, world: SearchState, a: Allocation, step: AllocationActions) -> None:
         """A release goes out: it is acknowledged at once, or never."""
         assert step.release
         acked = again(a)
@@ -188,7 +188,7 @@
         else:
             self.answered(world.then("the time limit is near: failed", "release lost", world.life.answer_deadline))
 
-    def over(self, world: World, step: AllocationActions) -> None:
+    def over(self, world: SearchState, step: AllocationActions) -> None:
         """An allocation is over: another may be had."""
         if step.ended is None:
             return
@@ -196,16 +196,16 @@
         life.allocation_ended(step.ended)
         self.choose(world.then(life=life))
 
-    def late(self, world: World) -> bool:
+    def late(self, world: SearchState) -> bool:
         """An answer goes out: whether it is past the viewer's limit."""
         limit = world.asked_at + world.wait_ms
         if world.now > limit:
-            self.breaks(Seen("answers", f"answered {world.now - limit:g} ms past the limit", unwind(world.told), world.moves, world.wait_ms))
+            self.breaks(Counterexample("answers", f"answered {world.now - limit:g} ms past the limit", unwind(world.told), world.moves, world.wait_ms))
         elif world.now - world.asked_at >= self.longest[0] and world.tries == 1:
             self.longest = world.now - world.asked_at, world.told
         return world.now > limit
 
-    def answered(self, world: World) -> None:
+    def answered(self, world: SearchState) -> None:
         """The viewer has its answer, and comes again as soon as it may."""
         if self.late(world):
             return
@@ -220,12 +220,12 @@
     return other
 
 
-def search(terms: Terms) -> Report:
+def search(terms: SearchTerms) -> SearchReport:
     """All lives under these terms, within the bounds."""
     return Search(terms).run()
 
 
-def alike(terms: Terms) -> Terms:
+def canonical_terms(terms: SearchTerms) -> SearchTerms:
     """Terms without what no life depends on, so that routes which differ in that share a search."""
     play = terms.play._replace(first_frame_ms=0.0, first_segment_ms=0.0, read_copies=0, copy_after_ms=0.0, viewer_tries=1,
                                retry_after_ms=(terms.play.retry_after_ms[0], 0.0), attempts=min(terms.play.attempts, terms.attempts))
--- a/laddergw/terms/sexpr.py
+++ b/laddergw/terms/sexpr.py
@@ -44,7 +44,7 @@
         return f"{self.place}: {self.key}: {self.reason}" if self.key else f"{self.place}: {self.reason}"
 
 
-class Refused(Exception):
+class FileRejected(Exception):
     """A file that is not taken; `faults` holds everything found wrong, in the file's order."""
 
     def __init__(self, faults: list[Fault]):
@@ -113,17 +113,17 @@
 
 
 def parse(text: str, file: str = "text") -> tuple:
-    """All forms and atoms of a text. Raises Refused with the place of what cannot be read."""
+    """All forms and atoms of a text. Raises FileRejected with the place of what cannot be read."""
     if len(text) > MOST_BYTES:
-        raise Refused([Fault(Place(file, 1, 1), "", f"{len(text)} characters, {MOST_BYTES} at most")])
+        raise FileRejected([Fault(Place(file, 1, 1), "", f"{len(text)} characters, {MOST_BYTES} at most")])
     if "\0" in text:
         line = text.count("\n", 0, text.index("\0")) + 1
-        raise Refused([Fault(Place(file, line, 1), "", "holds a NUL character")])
+        raise FileRejected([Fault(Place(file, line, 1), "", "holds a NUL character")])
     depth_check(text, file)
     try:
         return Build(file).transform(PARSER.parse(text))
     except lark.exceptions.UnexpectedInput as error:
-        raise Refused([unexpected(error, text, file)]) from None
+        raise FileRejected([unexpected(error, text, file)]) from None
 
 
 def depth_check(text: str, file: str) -> None:
@@ -145,7 +145,7 @@
         elif char == "(":
             depth += 1
             if depth > MOST_DEPTH:
-                raise Refused([Fault(Place(file, line, 1), "", f"nested deeper than {MOST_DEPTH}")])
+                raise FileRejected([Fault(Place(file, line, 1), "", f"nested deeper than {MOST_DEPTH}")])
         elif char == ")":
             depth -= 1
 
--- a/tests/replays.py
+++ b/tests/replays.py
@@ -8,10 +8,10 @@
 from collections import deque
 
 from laddergw.director.director import Director
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from laddergw.lab.tap import tap
 from laddergw.terms import limits as files
-from laddergw.terms.loading import usual
+from laddergw.terms.loading import default_terms
 from tests.broken_limits import HOUSE
 from tests.town import Ask, Town
 
@@ -24,7 +24,7 @@
 
     def __init__(self, text: str, nodes: int = 8):
         self.house = read(HOUSE)
-        self.loaded = files.read(text, self.house.names, usual(self.house))
+        self.loaded = files.read(text, self.house.names, default_terms(self.house))
         self.moves: deque = deque()
         super().__init__(nodes=nodes, directors=2)
         for number in self.nodes:
--- a/tests/test_budgets_town.py
+++ b/tests/test_budgets_town.py
@@ -10,9 +10,9 @@
 from laddergw.planner.budgeting import identity
 from laddergw.store.keeper import Store
 from laddergw.terms.loading import load
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.sexpr import FileRejected
 from laddergw.terms import limits as files
-from laddergw.terms.loading import usual
+from laddergw.terms.loading import default_terms
 from tests.fleet_town import FleetTown
 
 NAME, WINDOW_MS, WHOLE = "tenant basin", 2_000.0, 12
@@ -126,8 +126,8 @@
     def test_what_a_file_may_say(self):
         house = self.town.directors[0].house
         for text in b'(limits (budget (free 5) (scope fleet)))', b'(limits (tenant "basin" (budget (free 5) (scope world))))':
-            with self.assertRaises(Refused):
-                files.read(text.decode(), house.names, usual(house))
+            with self.assertRaises(FileRejected):
+                files.read(text.decode(), house.names, default_terms(house))
 
 
 if __name__ == "__main__":
--- a/tests/test_daybook.py
+++ b/tests/test_daybook.py
@@ -5,7 +5,7 @@
 from laddergw.lab import audit, daybook, shrink
 from laddergw.lab.script import KINDS, Trouble
 from laddergw.lab.stage_memory import MemoryStage
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.sexpr import FileRejected
 
 BAD = {
     "holds (day": "(night)", "says: is missing": '(day "a")', "is not known here; seconds?": '(day "a" (says "x") (secnds 5))', "stands twice": '(day "a" (says "x")) (day "a" (says "y"))',
@@ -18,7 +18,7 @@
 class Read(unittest.TestCase):
     def test_faults_with_their_places(self):
         for told, text in BAD.items():
-            with self.subTest(told), self.assertRaises(Refused) as caught:
+            with self.subTest(told), self.assertRaises(FileRejected) as caught:
                 daybook.read(text, "d.scm")
             self.assertIn(told, str(caught.exception))
             self.assertTrue(all(fault.place.line == 1 for fault in caught.exception.faults))
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -9,7 +9,7 @@
 from laddergw.lab import experiment as lab
 from laddergw.lab.compare import ALIKE, BETTER, OPEN, WORSE, compare
 from laddergw.lab.experiment import Experiment, Job, Results, Variant
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.sexpr import FileRejected
 
 FILE = """(experiment "e" (days calm deaths) (seeds 1 4) (measure service) (matters 0.02) (seconds 4) (nodes 6) (directors 2) (rate 6)
   (variant "as it is") (variant "other" (planners 1)))"""
@@ -90,7 +90,7 @@
                            (FILE.replace("1 4", "4 1"), "a first and a last"), (FILE.replace("(matters", "(mattters"), "is not known here")):
             with open(path, "w") as stream:
                 stream.write(text)
-            with self.subTest(told), self.assertRaisesRegex(Refused, told):
+            with self.subTest(told), self.assertRaisesRegex(FileRejected, told):
                 lab.read_file(path)
 
     def test_a_real_pair(self):
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -3,8 +3,8 @@
 
 from hypothesis import given, settings, strategies as st
 
-from laddergw.terms import house
-from laddergw.terms.sexpr import Atom, Form, Refused, parse
+from laddergw.terms import director_file
+from laddergw.terms.sexpr import Atom, Form, FileRejected, parse
 from tests.helpers import TraceTest
 
 VALID = """; a director's file
@@ -32,10 +32,10 @@
     """Valid and faulty files, and their forms."""
 
     def test_valid_file(self):
-        read = house.read(VALID)
+        read = director_file.read(VALID)
         self.assertEqual((read.names, read.deployment.directors, read.deployment.budget_free), (("hearing", "notice"), 4, 3))
         self.assertEqual(read.deployment.products[1][:2], (2, "paid"))
-        self.assertEqual(read.bounds, house.DirectorLimits())
+        self.assertEqual(read.bounds, director_file.DirectorLimits())
 
     def test_each_fault_is_reported_with_its_place(self):
         class Trace:
@@ -43,25 +43,25 @@
         for old, new in CHANGES:
             self.assertIn(old, VALID)
             Trace.lines.append(f"# {old.strip()} becomes {new.replace(chr(0), 'NUL')!r}")
-            with self.assertRaises(Refused) as caught:
-                house.read(VALID.replace(old, new, 1), "house.scm")
+            with self.assertRaises(FileRejected) as caught:
+                director_file.read(VALID.replace(old, new, 1), "house.scm")
             Trace.lines += str(caught.exception).splitlines()
         self.assert_trace("files", Trace)
 
     def test_all_faults_are_reported_at_once(self):
         text = VALID.replace("(streams 20)", "(streams x)").replace("(floor 1)", "(floor 9)").replace("8200", "-1")
-        with self.assertRaises(Refused) as caught:
-            house.read(text)
+        with self.assertRaises(FileRejected) as caught:
+            director_file.read(text)
         self.assertEqual([fault.place.line for fault in caught.exception.faults], [2, 3, 5])
 
     def test_path_that_is_not_a_file(self):
         for path in "/nowhere/at/all", "/":
-            with self.assertRaises(Refused):
-                house.read_file(path)
+            with self.assertRaises(FileRejected):
+                director_file.read_file(path)
 
     def test_text_too_deep_and_too_large(self):
         for text in "(" * 500, "x" * 5_000_000:
-            with self.assertRaises(Refused):
+            with self.assertRaises(FileRejected):
                 parse(text)
 
     @settings(max_examples=150, deadline=None)
@@ -87,7 +87,7 @@
     def test_any_text_is_parsed_or_refused_with_a_place(self, text):
         try:
             self.assertTrue(all(isinstance(item, (Atom, Form)) for item in parse(text)))
-        except Refused as error:
+        except FileRejected as error:
             self.assertTrue(all(fault.place.line >= 1 for fault in error.faults))
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -9,7 +9,7 @@
 from laddergw.lab.player_stand_in import Player, Wire
 from laddergw.programme import rules
 from laddergw.terms.limits import read as read_limits
-from laddergw.terms.loading import usual
+from laddergw.terms.loading import default_terms
 from tests.town import Town
 
 RULES = """(programme
@@ -161,7 +161,7 @@
         """A node that sets up and is silent on playlists: a copy of each read goes to another holder, and the session begins in time."""
         front = self.front_of()
         front.loop.now = self.town.world.now
-        front.change_limits(read_limits("(limits (defaults (read-copies 1) (copy-after-ms 150)))", front.house.names, usual(front.house)))
+        front.change_limits(read_limits("(limits (defaults (read-copies 1) (copy-after-ms 150)))", front.house.names, default_terms(front.house)))
         self.town.nodes[1].fault("no playlists", True)
         for number in (3, 5, 7, 9, 11, 13):
             self.play(number, home=1, copies=2, wait_ms=1_500)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings, strategies as st
 
 from laddergw.machines import play as plays
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from laddergw.machines.play import PlayState, PlayTerms
 from laddergw.machines.retry_budget import BUCKETS, BudgetTerms, RetryBudgets, SlidingWindowCounter
 from laddergw.terms import limits as files, search
-from laddergw.terms.generations import changes
-from laddergw.terms.loading import load, usual
-from laddergw.terms.routes import At, RouteTrie, scan
+from laddergw.terms.generations import describe_changes
+from laddergw.terms.loading import load, default_terms
+from laddergw.terms.routes import RouteScope, RouteTrie, scan
 from tests.broken_limits import BROKEN, GOOD, HOUSE
 from tests.replays import Replay
 from tests.town import Ask
@@ -34,7 +34,7 @@
 
 
 def limits(text):
-    return files.read(text, LIVES.names, usual(LIVES))
+    return files.read(text, LIVES.names, default_terms(LIVES))
 
 
 class Refused(unittest.TestCase):
@@ -146,20 +146,20 @@
     @settings(max_examples=150)
     @given(FORMS, st.sampled_from(("/", "/a", "/a/", "/a/b", "/a/b/x1", "/ab/x", "/a/bb", "/c", "", "/b/é")))
     def test_the_trie_finds_what_a_scan_finds(self, drawn, route):
-        forms = [At(prefix, titles, order) for order, (prefix, titles) in enumerate(drawn)]
+        forms = [RouteScope(prefix, titles, order) for order, (prefix, titles) in enumerate(drawn)]
         self.assertEqual(RouteTrie(forms).find(route), scan(forms, route))
 
     def test_changes_are_told(self):
         old = limits('(limits (cold-pace 0.5) (defaults (attempts 2)) (route "/a/" (connect-ms 5)))')
         new = limits('(limits (defaults (attempts 3)) (route "/a/" (titles "x") (connect-ms 5)) (product paid (floor 2)))')
-        self.assertEqual(changes(old, old), [])
-        self.assertEqual(changes(old, new), ["  defaults: attempts 2 -> 3", "+ product paid ", "+ product paid: floor 2", "+ route /a/ x ", "+ route /a/ x: connect-ms 5",
+        self.assertEqual(describe_changes(old, old), [])
+        self.assertEqual(describe_changes(old, new), ["  defaults: attempts 2 -> 3", "+ product paid ", "+ product paid: floor 2", "+ route /a/ x ", "+ route /a/ x: connect-ms 5",
                                              "- cold-pace 0.5", "- route /a/ ", "- route /a/: connect-ms 5"])
 
     def test_searches_are_shared(self):
         routes = "".join(f'(route "/r{n}/" (first-segment-ms {500 + n}) (connect-ms {100 + n % 2}))' for n in range(40))
         classes = limits(f"(limits {routes})").classes(("safe", "paid"))
-        found = {search.alike(search.Terms(one.terms, "safe", 40.0, 3)) for _, _, one in classes}
+        found = {search.canonical_terms(search.SearchTerms(one.terms, "safe", 40.0, 3)) for _, _, one in classes}
         self.assertEqual((len(classes), len(found)), (82, 3))
 
 
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -7,7 +7,7 @@
 from laddergw.director.limits_file import Beside, InPlace, LimitsFile, at_start
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.generations import Generations
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from tests.broken_limits import HOUSE
 from tests.test_limits import LIVES, limits, under
 from tests.town import Town
@@ -157,14 +157,14 @@
 
     def test_generations_go_with_their_last_play(self):
         kept = Generations(limits("(limits)"), 0.0)
-        one, two = kept.take(), kept.take()
+        one, two = kept.begin_play(), kept.begin_play()
         kept.switch(limits("(limits)"), 1.0)
-        three = kept.take()
+        three = kept.begin_play()
         kept.switch(limits("(limits)"), 2.0)
-        kept.drop(one)
-        kept.drop(three)
+        kept.end_play(one)
+        kept.end_play(three)
         self.assertEqual(list(kept.older), [1])
-        kept.drop(two)
+        kept.end_play(two)
         self.assertEqual((kept.older, kept.current.number, kept.switches), ({}, 3, 2))
 
 if __name__ == "__main__":
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -5,7 +5,7 @@
 from laddergw.lab.lines import HELD_MOST, Line, Lines
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.loop.sockets import SocketLoop
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.sexpr import FileRejected
 from tests.test_loop import Peer
 
 
@@ -181,7 +181,7 @@
 
     def test_a_script_with_faults_is_refused_with_all_of_them(self):
         text = "(lines (fault rust (at 1) (from d0) (to p0) (for 5)) (fault cut (at -1) (from d0) (way up) (for 5) (hue 3)))"
-        with self.assertRaises(Refused) as refused:
+        with self.assertRaises(FileRejected) as refused:
             line_script.read(text, "script")
         told = "\n".join(map(str, refused.exception.faults))
         for key in "rust", "at", "to", "way", "hue":
--- a/tests/test_programme.py
+++ b/tests/test_programme.py
@@ -10,7 +10,7 @@
 from laddergw.programme.rules import Rule
 from laddergw.programme.schedule import schedule
 from laddergw.programme.sources import Holder, choose, fetch_from, not_here
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.sexpr import FileRejected
 from tests.helpers import TraceTest
 
 GOOD = """(programme
@@ -50,7 +50,7 @@
         for old, new in CHANGES:
             self.assertIn(old, GOOD)
             Lines.lines.append(f"# {old} becomes {new or 'nothing'}")
-            with self.assertRaises(Refused) as caught:
+            with self.assertRaises(FileRejected) as caught:
                 rules.read(GOOD.replace(old, new, 1), "tide.scm")
             Lines.lines += str(caught.exception).splitlines()
         self.assert_trace("programme_files", Lines)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -3,7 +3,7 @@
 import unittest
 
 from laddergw import peer_messages
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.director.carrying import LOST
 from laddergw.director.director import Director
 from laddergw.director.post import STALE_MS, Post
@@ -69,11 +69,11 @@
         held = next(iter(director.tries.values()))
         rate, house = director.rate(held), director.house
         for text, why in ((file_with("(told-by guess)"), "told-by"), (file_with("(join 2)"), "join"), (file_with(product="(live maybe)"), "live")):
-            with self.assertRaisesRegex(houses.Refused, why):
-                houses.read(text)
-        other = houses.read(file_with().replace("(product safe", "(product unheard (importance 1)) (product safe"))
-        self.assertIn("product", houses.switch_fault(house, other))
-        new = houses.read(file_with("(probes yes) (told-by probe) (join 0.3)", product="(live yes)").replace("100 200 400", "50 90 130"))
+            with self.assertRaisesRegex(director_files.FileRejected, why):
+                director_files.read(text)
+        other = director_files.read(file_with().replace("(product safe", "(product unheard (importance 1)) (product safe"))
+        self.assertIn("product", director_files.switch_fault(house, other))
+        new = director_files.read(file_with("(probes yes) (told-by probe) (join 0.3)", product="(live yes)").replace("100 200 400", "50 90 130"))
         director.change_house(new)
         self.assertEqual((director.rate(held), director.house.deployment.told_by), (rate, "probe"))
         director.change_house(house)
@@ -84,7 +84,7 @@
     def test_a_probe_is_sent_and_its_answer_places_the_play(self):
         town = Town()
         director = town.directors[0]
-        director.change_house(houses.read(file_with("(probes yes) (told-by probe)")))
+        director.change_house(director_files.read(file_with("(probes yes) (told-by probe)")))
         ask = town.ask()
         town.run(600)
         self.assertEqual(ask.answer, "playing")
@@ -140,13 +140,13 @@
 
 class Files(unittest.TestCase):
     def test_peers_are_checked_with_their_place(self):
-        good = houses.read(file_with(top='(peer 1 "10.0.0.2" 8100)'))
+        good = director_files.read(file_with(top='(peer 1 "10.0.0.2" 8100)'))
         self.assertEqual((good.peers, good.deployment.peers, good.deployment.number), (((1, ("10.0.0.2", 8100)),), True, 0))
         for top in '(peer 1 "a" 80) (peer 1 "b" 80)', '(peer x "a" 80)', '(peer 1 "a" 99999)', "(peer 1)":
-            with self.assertRaisesRegex(houses.Refused, "peer"):
-                houses.read(file_with(top=top))
+            with self.assertRaisesRegex(director_files.FileRejected, "peer"):
+                director_files.read(file_with(top=top))
 
     def test_what_is_missing_leaves_the_behaviour_as_it_was(self):
-        d = houses.read(file_with()).deployment
+        d = director_files.read(file_with()).deployment
         self.assertEqual((d.probes, d.told_by, d.probe_price, d.cross_price, d.zone, d.peers, d.peer_price, d.join, d.products[0].live),
                          (False, "answers", 0.0, 0.0, 0, False, 0.0, 1.0, False))
--- a/tests/town.py
+++ b/tests/town.py
@@ -2,7 +2,7 @@
 import json
 
 from laddergw.director.director import Director
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from laddergw.http.client import Pool
 from laddergw.lab.list_stand_in import ListStandIn
 from laddergw.lab.node_stand_in import NodeFacts, NodeStandIn, Rack
