--- a/laddergw/terms/__init__.py
+++ b/laddergw/terms/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' files: S-expressions with positions, read into checked values, every error told at once."""
+"""Reads the operators' files: S-expressions with positions become checked values, and all errors of a file are reported at once."""
--- a/laddergw/terms/routes.py
+++ b/laddergw/terms/routes.py
@@ -1,62 +1,66 @@
-"""Finds the forms of the operators' file that hold for a route, by a trie over its parts. Measured against a scan in benchmarks/routes.py.
+"""Finds the forms of the operators' limits file that apply to a route, with a trie over the route's segments. benchmarks/routes.py compares it with a scan.
 
-A form stands at a prefix, such as "/shoreline/", and may ask for titles: patterns, with * and ?, of which one must match what of the route lies behind the prefix.
+A form applies below a prefix, such as "/shoreline/", and may be restricted to titles: patterns with * and ?, one of which must match the rest of the route after the prefix.
 """
 from fnmatch import fnmatchcase
 from typing import Iterable, NamedTuple
 
 
 class RouteScope(NamedTuple):
-    """Where a form holds. `titles` empty: for all behind the prefix. `order`: its place in the file."""
+    """The routes that a form applies to. Without `titles`: all below the prefix. `order`: its position in the file."""
     prefix: str
     titles: tuple[str, ...]
     order: int
 
-    def holds(self, route: str) -> bool:
-        return route.startswith(self.prefix) and self.fits(route[len(self.prefix):])
+    def matches(self, route: str) -> bool:
+        """Whether the form applies to a route."""
+        return route.startswith(self.prefix) and self.matches_title(route[len(self.prefix):])
 
-    def fits(self, rest: str) -> bool:
+    def matches_title(self, rest: str) -> bool:
+        """Whether a route's part after the prefix has one of the titles."""
         return not self.titles or any(fnmatchcase(rest, pattern) for pattern in self.titles)
 
 
-class Node:
-    """One part of prefixes."""
-    __slots__ = ("parts", "ends")
+class TrieNode:
+    """A node of the trie, reached by whole segments of prefixes."""
+    __slots__ = ("children", "scopes")
 
     def __init__(self):
-        self.parts: dict[str, Node] = {}
-        self.ends: list[tuple[str, RouteScope]] = []     # prefixes that end within the next part, with what they begin it with
+        self.children: dict[str, TrieNode] = {}
+        # Scopes whose prefix ends within the next segment, each with the beginning of that segment
+        self.scopes: list[tuple[str, RouteScope]] = []
 
 
 class RouteTrie:
-    """Forms by prefix. A prefix may end in the middle of a part: "/arch" holds for "/archive/7"."""
+    """Scopes by prefix. A prefix may end in the middle of a segment: "/arch" applies to "/archive/7"."""
 
-    def __init__(self, forms: Iterable[RouteScope]):
-        self.root = Node()
-        for at in forms:
-            *parts, last = at.prefix.split("/")
+    def __init__(self, scopes: Iterable[RouteScope]):
+        self.root = TrieNode()
+        for scope in scopes:
+            *segments, last = scope.prefix.split("/")
             node = self.root
-            for part in parts:
-                node = node.parts.setdefault(part, Node())
-            node.ends.append((last, at))
+            for segment in segments:
+                node = node.children.setdefault(segment, TrieNode())
+            node.scopes.append((last, scope))
 
     def find(self, route: str) -> list[RouteScope]:
-        """All forms that hold, the shortest prefix first; at one prefix those without titles first, then in the file's order."""
+        """All scopes that match, the shortest prefix first; at one prefix those without titles first, then in the order of the file."""
         found, node = [], self.root
-        for part in route.split("/"):
-            for begins, at in node.ends:
-                if part.startswith(begins) and at.fits(route[len(at.prefix):]):
-                    found.append(at)
-            node = node.parts.get(part)
+        for segment in route.split("/"):
+            for beginning, scope in node.scopes:
+                if segment.startswith(beginning) and scope.matches_title(route[len(scope.prefix):]):
+                    found.append(scope)
+            node = node.children.get(segment)
             if node is None:
                 break
-        return sorted(found, key=rank)
+        return sorted(found, key=precedence)
 
 
-def rank(at: RouteScope) -> tuple:
-    return len(at.prefix), bool(at.titles), at.order
+def precedence(scope: RouteScope) -> tuple:
+    """The sort key of scopes: values of later ones win."""
+    return len(scope.prefix), bool(scope.titles), scope.order
 
 
-def scan(forms: Iterable[RouteScope], route: str) -> list[RouteScope]:
-    """The same by a walk of all forms: for small files, and to measure against."""
-    return sorted((at for at in forms if at.holds(route)), key=rank)
+def scan(scopes: Iterable[RouteScope], route: str) -> list[RouteScope]:
+    """The same result from a scan of all scopes: for small files, and as the reference in tests and benchmarks."""
+    return sorted((scope for scope in scopes if scope.matches(route)), key=precedence)
--- a/laddergw/terms/sexpr.py
+++ b/laddergw/terms/sexpr.py
@@ -1,7 +1,7 @@
-"""S-expressions with positions: text to nested forms, by a grammar for lark.
+"""Parses S-expressions into nested forms that know their positions, with a grammar for lark.
 
-A form is a list whose first item is its name: (first-frame-target 1500). Words, numbers and "strings" are atoms;
-a comment runs from ; to the end of its line.
+A form is a list whose first item is its name: (first-frame-target 1500). Words, numbers and "strings" are atoms.
+A comment runs from ; to the end of its line.
 """
 import math
 from typing import NamedTuple, Union
@@ -19,13 +19,13 @@
 %ignore /\s+/
 %ignore COMMENT
 """
-MOST_BYTES = 4_194_304     # a file: ten thousand routes take under two
-MOST_DEPTH = 64            # nesting: files of ours need five
+MAX_CHARACTERS = 4_194_304     # in one text: a file with ten thousand routes takes less than two million
+MAX_DEPTH = 64                 # levels of nesting: our own files need five
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\"}
 
 
 class Place(NamedTuple):
-    """Where something stands in a file; lines and columns count from 1."""
+    """Position in a file; lines and columns count from 1."""
     file: str
     line: int
     column: int
@@ -35,7 +35,7 @@
 
 
 class Fault(NamedTuple):
-    """One thing that is wrong in a file: where, at which key, and why."""
+    """One error in a file: its position, the key it belongs to, and the reason."""
     place: Place
     key: str
     reason: str
@@ -45,7 +45,7 @@
 
 
 class FileRejected(Exception):
-    """A file that is not taken; `faults` holds everything found wrong, in the file's order."""
+    """Raised for a file with errors; `faults` lists all of them in the order of the file."""
 
     def __init__(self, faults: list[Fault]):
         super().__init__("\n".join(map(str, faults)))
@@ -53,89 +53,92 @@
 
 
 class Atom(NamedTuple):
-    """A word, a number or a string, with its place. `value` is str or float; `quoted` for strings."""
+    """A word, number or string with its position. `value` is str or float; `quoted` is True for strings."""
     value: Union[str, float]
     place: Place
     quoted: bool = False
 
 
 class Form(NamedTuple):
-    """A list and where it opens."""
+    """A list with the position of its opening parenthesis."""
     items: tuple
     place: Place
 
     @property
     def name(self) -> str:
+        """The first item where it is an unquoted word, else empty."""
         first = self.items[0] if self.items else None
         return first.value if isinstance(first, Atom) and isinstance(first.value, str) and not first.quoted else ""
 
     @property
     def rest(self) -> tuple:
+        """The items after the name."""
         return self.items[1:]
 
 
-class Build(lark.Transformer):
-    """Turns the parse into atoms and forms."""
+class FormBuilder(lark.Transformer):
+    """Turns lark's parse tree into atoms and forms. The names of its methods are the grammar's rules."""
 
     def __init__(self, file: str):
         super().__init__()
         self.file = file
 
-    def at(self, thing) -> Place:
-        return Place(self.file, thing.line, thing.column)
+    def place_of(self, node) -> Place:
+        return Place(self.file, node.line, node.column)
 
     def atom(self, children):
         token = children[0]
         if token.type == "STRING":
-            return Atom(unescape(token[1:-1]), self.at(token), True)
+            return Atom(unescape(token[1:-1]), self.place_of(token), True)
         try:
             number = float(token)
         except ValueError:
-            return Atom(str(token), self.at(token))
-        return Atom(number if math.isfinite(number) else str(token), self.at(token))
+            return Atom(str(token), self.place_of(token))
+        return Atom(number if math.isfinite(number) else str(token), self.place_of(token))
 
     @lark.v_args(meta=True)
     def list(self, meta, children):
-        return Form(tuple(children), self.at(meta))
+        return Form(tuple(children), self.place_of(meta))
 
     def start(self, children):
         return tuple(children)
 
 
 def unescape(text: str) -> str:
-    out, rest = [], iter(text)
-    for char in rest:
-        out.append(ESCAPES.get(after := next(rest), after) if char == "\\" else char)
-    return "".join(out)
+    """Replaces the escape sequences of a string; an unknown one stands for its second character."""
+    result, characters = [], iter(text)
+    for char in characters:
+        result.append(ESCAPES.get(escaped := next(characters), escaped) if char == "\\" else char)
+    return "".join(result)
 
 
 PARSER = lark.Lark(GRAMMAR, parser="lalr", propagate_positions=True)
 
 
 def parse(text: str, file: str = "text") -> tuple:
-    """All forms and atoms of a text. Raises FileRejected with the place of what cannot be read."""
-    if len(text) > MOST_BYTES:
-        raise FileRejected([Fault(Place(file, 1, 1), "", f"{len(text)} characters, {MOST_BYTES} at most")])
+    """Returns all forms and atoms of a text. Raises FileRejected with the position of what cannot be parsed."""
+    if len(text) > MAX_CHARACTERS:
+        raise FileRejected([Fault(Place(file, 1, 1), "", f"{len(text)} characters, {MAX_CHARACTERS} at most")])
     if "\0" in text:
         line = text.count("\n", 0, text.index("\0")) + 1
         raise FileRejected([Fault(Place(file, line, 1), "", "holds a NUL character")])
-    depth_check(text, file)
+    check_depth(text, file)
     try:
-        return Build(file).transform(PARSER.parse(text))
+        return FormBuilder(file).transform(PARSER.parse(text))
     except lark.exceptions.UnexpectedInput as error:
-        raise FileRejected([unexpected(error, text, file)]) from None
+        raise FileRejected([syntax_fault(error, text, file)]) from None
 
 
-def depth_check(text: str, file: str) -> None:
-    """Too deep a nesting is told before the parser meets it. Parentheses in strings are passed over."""
-    depth, line, quoted, skip, comment = 0, 1, False, False, False
+def check_depth(text: str, file: str) -> None:
+    """Rejects text that is nested too deeply before the parser sees it. Parentheses in strings and comments don't count."""
+    depth, line, quoted, escaped, comment = 0, 1, False, False, False
     for char in text:
         if char == "\n":
             line, comment, quoted = line + 1, False, False
-        elif skip:
-            skip = False
+        elif escaped:
+            escaped = False
         elif quoted:
-            skip, quoted = char == "\\", char != '"'
+            escaped, quoted = char == "\\", char != '"'
         elif comment:
             continue
         elif char == ";":
@@ -144,16 +147,17 @@
             quoted = True
         elif char == "(":
             depth += 1
-            if depth > MOST_DEPTH:
-                raise FileRejected([Fault(Place(file, line, 1), "", f"nested deeper than {MOST_DEPTH}")])
+            if depth > MAX_DEPTH:
+                raise FileRejected([Fault(Place(file, line, 1), "", f"nested deeper than {MAX_DEPTH}")])
         elif char == ")":
             depth -= 1
 
 
-def unexpected(error, text: str, file: str) -> Fault:
+def syntax_fault(error, text: str, file: str) -> Fault:
+    """The fault that describes an error of lark's parser."""
     if isinstance(error, lark.exceptions.UnexpectedToken) and error.token.type == "$END":
-        last = text.count("\n") + 1
-        return Fault(Place(file, last, 1), "", "a parenthesis is not closed before the file ends")
+        last_line = text.count("\n") + 1
+        return Fault(Place(file, last_line, 1), "", "a parenthesis is not closed before the file ends")
     line, column = max(error.line, 1), max(error.column, 1)
     if isinstance(error, lark.exceptions.UnexpectedToken):
         return Fault(Place(file, line, column), "", "a closing parenthesis too many")
