--- a/laddergw/terms/director_file.py
+++ b/laddergw/terms/director_file.py
@@ -159,7 +159,7 @@
     """Reads the deployment; returns the products' names beside it."""
     ladder = reader.numbers("ladder", low=1e-6)
     rungs = len(ladder or ())
-    products = [(product.name, read_product(product, rungs)) for product in reader.subforms("product")]
+    products = [(form.name, read_product(form, rungs)) for form in reader.subforms("product")]
     if not products:
         reader.add_fault(reader.form.place, "product", "is missing: one at least")
     budget = reader.subform("budget", None)
