--- a/laddergw/terms/limits.py
+++ b/laddergw/terms/limits.py
@@ -1,14 +1,10 @@
-"""The operators' file of time limits, attempts and budgets: read with places, its values inherited, one set for each route and product.
+"""Reads the operators' limits file: time limits, attempts and budgets, each with its position, inherited to one set of values for each route and product.
 
-    (limits
-      (answer-margin-ms 40) (cold-pace 1) (adaptive gradient) (budget (free 10) (share 0.2) (window-ms 10000))
-      (defaults (set-up-ms 1200) (attempts 3))
-      (product "permit-notice" (attempts 1) (floor 1))
-      (tenant "basin" (budget (free 4) (share 0.1) (window-ms 10000)))
-      (route "/shoreline/" (titles "tide-*") (products survey-clip) (tenant "basin") (time-limit-ms 3000)))
+    (limits (answer-margin-ms 40) (cold-pace 1) (adaptive gradient) (budget (free 10) (share 0.2) (window-ms 10000))
+      (defaults (set-up-ms 1200) (attempts 3)) (product "permit-notice" (attempts 1) (floor 1))
+      (tenant "basin" (budget (free 4) (share 0.1) (window-ms 10000))) (route "/shoreline/" (titles "tide-*") (products survey-clip) (tenant "basin") (time-limit-ms 3000)))
 
-Later sources win: what is built in, defaults, product, then routes from the shortest prefix to the longest. docs/limits.md tells what each value means.
-"""
+Later sources win: built-in values, defaults, product, then routes from the shortest prefix to the longest. docs/limits.md describes what each value means."""
 from typing import Any, NamedTuple
 
 from laddergw.machines.play import PlayTerms
@@ -17,12 +13,12 @@
 from laddergw.terms.routes import RouteScope, RouteTrie
 from laddergw.terms.sexpr import Place
 
-BUILT_IN, LONGEST_MS = Place("built in", 0, 0), 600_000.0
-KEPT_ROUTES = 20_000       # whose values are remembered: past that they are looked up again
+BUILT_IN, MAX_TIME_MS = Place("built in", 0, 0), 600_000.0
+MAX_CACHED_ROUTES = 20_000     # routes whose values are cached; beyond that the cache is emptied
 
 
-class Kind(NamedTuple):
-    """A key of the file that sets one value of PlayTerms."""
+class KeySpec(NamedTuple):
+    """A key of the file that sets one field of PlayTerms: the range of its values and how many it takes."""
     field: str
     low: float
     high: float
@@ -30,40 +26,38 @@
     size: int = 1
 
 
-KINDS = {
-    "first-frame-target-ms": Kind("first_frame_ms", 1, LONGEST_MS), "time-limit-ms": Kind("time_limit_ms", 50, LONGEST_MS),
-    "connect-ms": Kind("connect_ms", 1, LONGEST_MS), "set-up-ms": Kind("set_up_ms", 10, LONGEST_MS),
-    "lease-ms": Kind("lease_ms", 10, LONGEST_MS), "release-ms": Kind("release_ms", 0, LONGEST_MS),
-    "first-segment-ms": Kind("first_segment_ms", 100, LONGEST_MS), "attempts": Kind("attempts", 1, 20, True),
-    "backoff-ms": Kind("backoff_ms", 0, LONGEST_MS, size=3), "viewer-tries": Kind("viewer_tries", 1, 10_000, True),
-    "retry-after-ms": Kind("retry_after_ms", 0, LONGEST_MS, size=2), "read-copies": Kind("read_copies", 0, 3, True),
-    "copy-after-ms": Kind("copy_after_ms", 1, LONGEST_MS)}
-NOT_OFFERED = {"set-up-copies": "a set-up's copy is a second allocation of the play: only reads are copied (read-copies)",
-               "settle-ms": "a retry waits as long as its viewer says that an earlier try is unsettled"}
+KEY_SPECS = {
+    "first-frame-target-ms": KeySpec("first_frame_ms", 1, MAX_TIME_MS), "time-limit-ms": KeySpec("time_limit_ms", 50, MAX_TIME_MS), "connect-ms": KeySpec("connect_ms", 1, MAX_TIME_MS),
+    "set-up-ms": KeySpec("set_up_ms", 10, MAX_TIME_MS), "lease-ms": KeySpec("lease_ms", 10, MAX_TIME_MS), "release-ms": KeySpec("release_ms", 0, MAX_TIME_MS),
+    "first-segment-ms": KeySpec("first_segment_ms", 100, MAX_TIME_MS), "attempts": KeySpec("attempts", 1, 20, True), "backoff-ms": KeySpec("backoff_ms", 0, MAX_TIME_MS, size=3),
+    "viewer-tries": KeySpec("viewer_tries", 1, 10_000, True), "retry-after-ms": KeySpec("retry_after_ms", 0, MAX_TIME_MS, size=2),
+    "read-copies": KeySpec("read_copies", 0, 3, True), "copy-after-ms": KeySpec("copy_after_ms", 1, MAX_TIME_MS)}
+UNSUPPORTED_KEYS = {"set-up-copies": "a set-up's copy is a second allocation of the play: only reads are copied (read-copies)",
+                    "settle-ms": "a retry waits as long as its viewer says that an earlier attempt is unsettled"}
 
 
 class SourcedValue(NamedTuple):
-    """A value and where it stands."""
+    """A value with its position in the file, and the form that it comes from."""
     value: Any
     place: Place
     source: str            # "defaults", "product hearing", "route /shoreline/"
 
 
 class Budget(NamedTuple):
-    """Further allocations: so many, and a share of the plays taken, within a window, ms."""
+    """A budget of further allocations within a window in ms: a fixed number, and a share of the plays taken in it."""
     free: float
     share: float
     window_ms: float
     place: Place = BUILT_IN
-    fleet: bool = False                # `free` is the planners' to grant: budgets.md
+    fleet: bool = False                # planners grant `free`: budgets.md
 
 
 class LimitsEntry(NamedTuple):
-    """A form with values. `values`: by field of PlayTerms."""
+    """The values of one form. `values`: by field of PlayTerms."""
     name: str
     values: dict[str, SourcedValue]
     place: Place
-    products: tuple[str, ...] = ()     # of a route: only these; empty: all
+    products: tuple[str, ...] = ()     # of a route: it applies to these only; empty: to all
     tenant: str | None = None
     budget: Budget | None = None
     floor: SourcedValue | None = None  # of a product
@@ -71,180 +65,186 @@
 
 
 class EffectiveTerms(NamedTuple):
-    """What holds for a route and product, with where each value comes from."""
+    """The terms of a route and product, with the source of each value that the file sets."""
     terms: PlayTerms
     file_values: dict[str, SourcedValue]
-    entries: tuple[LimitsEntry, ...]   # the route's own, shortest prefix first
+    entries: tuple[LimitsEntry, ...]   # of the route, shortest prefix first
 
     def place(self, field: str) -> Place:
+        """The position of the value of a field."""
         return self.file_values[field].place if field in self.file_values else BUILT_IN
 
 
 class Limits:
-    """A file that could be read. Whether it is safe is not said here: terms/proof.py."""
+    """The contents of a file without faults in its form. Whether they are safe is checked in terms/proof.py."""
 
-    def __init__(self, file: str, usual: PlayTerms):
-        self.file, self.default_terms = file, usual
+    def __init__(self, file: str, built_in: PlayTerms):
+        self.file, self.default_terms = file, built_in
         self.answer_margin: SourcedValue | None = None
         self.cold_pace = SourcedValue(1.0, BUILT_IN, "built in")
         self.budget: Budget | None = None
-        self.adaptive = OFF                    # how the waiting room follows nodes' answers: machines/concurrency.py
+        self.adaptive = OFF                    # how the limit on concurrent set-ups follows the nodes' answers: machines/concurrency.py
         self.defaults: LimitsEntry | None = None
         self.products: dict[str, LimitsEntry] = {}
         self.tenants: dict[str, LimitsEntry] = {}
         self.routes: list[tuple[RouteScope, LimitsEntry]] = []
         self.trie = RouteTrie(())
-        self.known: dict[tuple, EffectiveTerms] = {}
-        self.sets: dict[tuple, EffectiveTerms] = {}
+        self.by_route: dict[tuple, EffectiveTerms] = {}
+        self.by_entries: dict[tuple, EffectiveTerms] = {}
 
     def find(self, route: str, product: str) -> EffectiveTerms:
-        """The values for a play: looked up once for each route, shared by all routes that the same forms hold for."""
-        found = self.known.get((route, product))
+        """The terms of a play: found once for each route, and shared by all routes that the same forms apply to."""
+        found = self.by_route.get((route, product))
         if found is None:
-            rows = tuple(row for row in (self.routes[at.order][1] for at in self.trie.find(route)) if not row.products or product in row.products)
-            shared = tuple(id(row) for row in rows), product
-            found = self.sets.get(shared)
+            entries = tuple(entry for entry in (self.routes[scope.order][1] for scope in self.trie.find(route)) if not entry.products or product in entry.products)
+            key = tuple(id(entry) for entry in entries), product
+            found = self.by_entries.get(key)
             if found is None:
-                found = self.sets[shared] = self.effective(rows, product)
-            if len(self.known) >= KEPT_ROUTES:
-                self.known.clear()
-            self.known[route, product] = found
+                found = self.by_entries[key] = self.effective(entries, product)
+            if len(self.by_route) >= MAX_CACHED_ROUTES:
+                self.by_route.clear()
+            self.by_route[route, product] = found
         return found
 
-    def effective(self, rows: tuple[LimitsEntry, ...], product: str) -> EffectiveTerms:
-        told: dict[str, SourcedValue] = {}
-        for row in (self.defaults, self.products.get(product), *rows):
-            if row is not None:
-                told |= row.values
-        return EffectiveTerms(follow(self.default_terms._replace(**{field: one.value for field, one in told.items()}), self.default_terms.grace_ms, told), told, rows)
+    def effective(self, entries: tuple[LimitsEntry, ...], product: str) -> EffectiveTerms:
+        """Combines the defaults, the product's values and those of the route's entries; later ones win."""
+        file_values: dict[str, SourcedValue] = {}
+        for entry in (self.defaults, self.products.get(product), *entries):
+            if entry is not None:
+                file_values |= entry.values
+        return EffectiveTerms(derive_terms(self.default_terms._replace(**{field: sourced.value for field, sourced in file_values.items()}), self.default_terms.grace_ms, file_values), file_values, entries)
 
     def classes(self, names: tuple[str, ...]) -> list[tuple[str, str, EffectiveTerms]]:
-        """Every set of values that a play can meet, by a route that meets it, and its product."""
+        """All terms that a play can be under, each with an example of a route, and the product."""
         found = []
         for product in names:
             found.append(("/", product, self.find("/", product)))
-            for at, row in self.routes:
-                if not row.products or product in row.products:
-                    route = at.prefix + example(at)
+            for scope, entry in self.routes:
+                if not entry.products or product in entry.products:
+                    route = scope.prefix + example_title(scope)
                     found.append((route, product, self.find(route, product)))
         return found
 
 
-def follow(t: PlayTerms, grace_ms: float, told: dict[str, SourcedValue]) -> PlayTerms:
-    """What is not told follows from what is: a lease outlives its time-out by the built-in grace, a release may take as long as the
-    lease, and a connection no longer than the set-up."""
-    if "set_up_ms" in told and "lease_ms" not in told:
-        t = t._replace(lease_ms=t.set_up_ms + grace_ms)
-    elif "lease_ms" in told and "set_up_ms" not in told:
-        t = t._replace(set_up_ms=max(t.lease_ms - grace_ms, 1.0))
-    if "release_ms" not in told:
-        t = t._replace(release_ms=t.lease_ms)
-    if "connect_ms" not in told:
-        t = t._replace(connect_ms=min(t.connect_ms, t.set_up_ms))
-    if "first_frame_ms" not in told:
-        t = t._replace(first_frame_ms=min(t.first_frame_ms, t.time_limit_ms))
-    return t
+def derive_terms(terms: PlayTerms, grace_ms: float, file_values: dict[str, SourcedValue]) -> PlayTerms:
+    """Derives values that the file leaves out: a lease outlives its time-out by the built-in grace, a release may take as long as the lease, a connection no longer than the set-up."""
+    if "set_up_ms" in file_values and "lease_ms" not in file_values:
+        terms = terms._replace(lease_ms=terms.set_up_ms + grace_ms)
+    elif "lease_ms" in file_values and "set_up_ms" not in file_values:
+        terms = terms._replace(set_up_ms=max(terms.lease_ms - grace_ms, 1.0))
+    if "release_ms" not in file_values:
+        terms = terms._replace(release_ms=terms.lease_ms)
+    if "connect_ms" not in file_values:
+        terms = terms._replace(connect_ms=min(terms.connect_ms, terms.set_up_ms))
+    if "first_frame_ms" not in file_values:
+        terms = terms._replace(first_frame_ms=min(terms.first_frame_ms, terms.time_limit_ms))
+    return terms
 
 
-def example(at: RouteScope) -> str:
-    """Something behind a prefix that its first pattern takes."""
-    return at.titles[0].replace("*", "").replace("?", "0") if at.titles else ""
+def example_title(scope: RouteScope) -> str:
+    """A title that the first pattern of a scope matches; empty if it has none."""
+    return scope.titles[0].replace("*", "").replace("?", "0") if scope.titles else ""
 
 
-def read_file(path: str, names: tuple[str, ...], usual: PlayTerms) -> Limits:
-    """Raises FileRejected with every fault, an unreadable file included."""
-    return read(read_text(path), names, usual, path.rpartition("/")[2])
+def read_file(path: str, names: tuple[str, ...], built_in: PlayTerms) -> Limits:
+    """Reads a file without checking its safety. Raises FileRejected with all faults, also for a file that cannot be read."""
+    return read(read_text(path), names, built_in, path.rpartition("/")[2])
 
 
-def read(text: str, names: tuple[str, ...], usual: PlayTerms, file: str = "text") -> Limits:
-    """`names`: the deployment's products. Raises FileRejected with every fault of the form; the rules are proof.py's."""
+def read(text: str, names: tuple[str, ...], built_in: PlayTerms, file: str = "text") -> Limits:
+    """Reads a text; `names` are the deployment's products. Raises FileRejected with all faults of the form; proof.py checks the rules."""
     faults = Faults()
-    top, found = FormReader(parse_single_form(text, file, "limits"), faults), Limits(file, usual)
-    found.answer_margin = take_number(top, "answer-margin-ms", 0, 1_000)
-    found.cold_pace = take_number(top, "cold-pace", 0.01, 100) or found.cold_pace
-    found.budget = take_budget(top)
-    found.adaptive = top.word("adaptive", OFF, ADAPTIVE)
+    top, limits = FormReader(parse_single_form(text, file, "limits"), faults), Limits(file, built_in)
+    limits.answer_margin = read_number(top, "answer-margin-ms", 0, 1_000)
+    limits.cold_pace = read_number(top, "cold-pace", 0.01, 100) or limits.cold_pace
+    limits.budget = read_budget(top)
+    limits.adaptive = top.word("adaptive", OFF, ADAPTIVE)
     defaults = top.subform("defaults", None)
     if defaults is not None:
-        found.defaults = take_row(defaults, "defaults", names)
+        limits.defaults = read_entry(defaults, "defaults", names)
     for reader in top.subforms("product"):
         if reader.name not in names:
             reader.add_fault(reader.form.place, "", f"no product {reader.name!r}; the director has {', '.join(names)}")
-        found.products[reader.name] = take_row(reader, f"product {reader.name}", names)
+        limits.products[reader.name] = read_entry(reader, f"product {reader.name}", names)
     for reader in top.subforms("tenant"):
-        found.tenants[reader.name] = take_row(reader, f"tenant {reader.name}", names)
-    take_routes(top, found, names)
+        limits.tenants[reader.name] = read_entry(reader, f"tenant {reader.name}", names)
+    read_routes(top, limits, names)
     top.reject_unknown_keys()
     faults.raise_if_any()
-    found.trie = RouteTrie(at for at, _ in found.routes)
-    return found
+    limits.trie = RouteTrie(scope for scope, _ in limits.routes)
+    return limits
 
 
-def take_routes(top: FormReader, found: Limits, names: tuple[str, ...]) -> None:
-    seen: dict[tuple, Place] = {}
+def read_routes(top: FormReader, limits: Limits, names: tuple[str, ...]) -> None:
+    """Reads the routes into the limits, whose tenants have been read."""
+    first_places: dict[tuple, Place] = {}
     for order, reader in enumerate(top.subforms("route", unique=False)):
         titles = tuple(map(str, reader.words("titles", ()) or ()))
-        at, row = RouteScope(reader.name, titles, order), take_row(reader, " ".join(("route", reader.name, *titles)), names)
-        if not at.prefix.startswith("/"):
-            reader.add_fault(reader.form.place, "", f"{at.prefix!r} does not begin with /")
-        same = at.prefix, titles, row.products
-        if same in seen:
-            reader.add_fault(reader.form.place, "", f"stands twice, first at line {seen[same].line}")
-        seen.setdefault(same, reader.form.place)
-        if row.tenant is not None and row.tenant not in found.tenants:
-            reader.add_fault(reader.places["tenant"], "tenant", f"no tenant {row.tenant!r}")
-        found.routes.append((at, row))
-
-
-def take_row(read: FormReader, name: str, names: tuple[str, ...]) -> LimitsEntry:
+        scope, entry = RouteScope(reader.name, titles, order), read_entry(reader, " ".join(("route", reader.name, *titles)), names)
+        if not scope.prefix.startswith("/"):
+            reader.add_fault(reader.form.place, "", f"{scope.prefix!r} does not begin with /")
+        key = scope.prefix, titles, entry.products
+        if key in first_places:
+            reader.add_fault(reader.form.place, "", f"stands twice, first at line {first_places[key].line}")
+        first_places.setdefault(key, reader.form.place)
+        if entry.tenant is not None and entry.tenant not in limits.tenants:
+            reader.add_fault(reader.places["tenant"], "tenant", f"no tenant {entry.tenant!r}")
+        limits.routes.append((scope, entry))
+
+
+def read_entry(reader: FormReader, name: str, names: tuple[str, ...]) -> LimitsEntry:
+    """Reads one form; its name begins with its kind: defaults, product, tenant or route."""
     kind, values = name.partition(" ")[0], {}
     if kind != "tenant":
-        read.known_keys.update(KINDS)
-        for key, spec in KINDS.items():
-            if key in read.forms:
-                told = take_value(read, key, spec, name)
-                if told is not None:
-                    values[spec.field] = told
-        for key, why in NOT_OFFERED.items():
-            for form in read.forms.get(key, ()):
-                read.add_fault(form.place, key, f"is not offered: {why}")
-                read.known_keys.add(key)
-    row = LimitsEntry(name, values, read.form.place)
+        reader.known_keys.update(KEY_SPECS)
+        for key, spec in KEY_SPECS.items():
+            if key in reader.forms:
+                sourced = read_value(reader, key, spec, name)
+                if sourced is not None:
+                    values[spec.field] = sourced
+        for key, why in UNSUPPORTED_KEYS.items():
+            for form in reader.forms.get(key, ()):
+                reader.add_fault(form.place, key, f"is not offered: {why}")
+                reader.known_keys.add(key)
+    entry = LimitsEntry(name, values, reader.form.place)
     if kind == "route":
-        products = tuple(map(str, read.words("products", ()) or ()))
+        products = tuple(map(str, reader.words("products", ()) or ()))
         for product in products:
             if product not in names:
-                read.add_fault(read.places["products"], "products", f"no product {product!r}; the director has {', '.join(names)}")
-        row = row._replace(products=products, tenant=read.word("tenant", None))
+                reader.add_fault(reader.places["products"], "products", f"no product {product!r}; the director has {', '.join(names)}")
+        entry = entry._replace(products=products, tenant=reader.word("tenant", None))
     if kind in ("route", "tenant"):
-        row = row._replace(budget=take_budget(read, ("director", "fleet")))
+        entry = entry._replace(budget=read_budget(reader, ("director", "fleet")))
     if kind == "product":
-        row = row._replace(floor=take_number(read, "floor", 0, 100, True), seats=take_number(read, "seats", 0, 1_000_000, True))
-    read.reject_unknown_keys()
-    return row
+        entry = entry._replace(floor=read_number(reader, "floor", 0, 100, True), seats=read_number(reader, "seats", 0, 1_000_000, True))
+    reader.reject_unknown_keys()
+    return entry
 
 
-def take_value(read: FormReader, key: str, spec: Kind, source: str) -> SourcedValue | None:
+def read_value(reader: FormReader, key: str, spec: KeySpec, source: str) -> SourcedValue | None:
+    """Reads the value of a key, a tuple where it takes several numbers; None if it is absent or faulty."""
     if spec.size == 1:
-        return take_number(read, key, spec.low, spec.high, spec.whole, source)
-    values = read.numbers(key, None, spec.low, spec.high, spec.size)
-    return None if values is None else SourcedValue(tuple(values), read.places[key], source)
+        return read_number(reader, key, spec.low, spec.high, spec.whole, source)
+    values = reader.numbers(key, None, spec.low, spec.high, spec.size)
+    return None if values is None else SourcedValue(tuple(values), reader.places[key], source)
 
 
-def take_number(read: FormReader, key: str, low: float, high: float, whole: bool = False, source: str = "") -> SourcedValue | None:
-    value = read.number(key, None, low, high, whole)
-    return None if value is None else SourcedValue(value, read.places[key], source)
+def read_number(reader: FormReader, key: str, low: float, high: float, whole: bool = False, source: str = "") -> SourcedValue | None:
+    """Reads a number with its source; None if it is absent or faulty."""
+    value = reader.number(key, None, low, high, whole)
+    return None if value is None else SourcedValue(value, reader.places[key], source)
 
 
-def take_budget(read: FormReader, scopes: tuple[str, ...] = ("director",)) -> Budget | None:
-    if (under := read.subform("budget", None)) is None:
+def read_budget(reader: FormReader, scopes: tuple[str, ...] = ("director",)) -> Budget | None:
+    """Reads a budget; None if there is none."""
+    if (form_reader := reader.subform("budget", None)) is None:
         return None
-    budget = Budget(under.number("free", 0.0, 0, 1e9), under.number("share", 0.0, 0, 100), under.number("window-ms", 10_000.0, 100, 3_600_000), under.form.place,
-                    under.word("scope", "director", allowed=scopes) == "fleet")
-    under.reject_unknown_keys()
+    budget = Budget(form_reader.number("free", 0.0, 0, 1e9), form_reader.number("share", 0.0, 0, 100), form_reader.number("window-ms", 10_000.0, 100, 3_600_000), form_reader.form.place,
+                    form_reader.word("scope", "director", allowed=scopes) == "fleet")
+    form_reader.reject_unknown_keys()
     return budget
 
 
-def default_terms(lease_most_ms: float, grace_ms: float) -> PlayTerms:
-    """What holds where a director has no such file: its own bound on leases, and the module's word."""
-    return PlayTerms(set_up_ms=lease_most_ms - grace_ms, connect_ms=lease_most_ms - grace_ms, lease_ms=lease_most_ms, release_ms=lease_most_ms)
+def default_terms(max_lease_ms: float, grace_ms: float) -> PlayTerms:
+    """The terms of a director without a limits file: its own bound on leases, and what the controller decides."""
+    return PlayTerms(set_up_ms=max_lease_ms - grace_ms, connect_ms=max_lease_ms - grace_ms, lease_ms=max_lease_ms, release_ms=max_lease_ms)
