--- a/laddergw/terms/search.py
+++ b/laddergw/terms/search.py
@@ -1,232 +1,237 @@
-"""Searches the lives that a play can have under given terms for one in which it has two allocations out, or no answer in time.
+"""Searches the courses that a play can take under given terms for a counterexample: two allocations out at once, or no answer in time.
 
-The search runs the machines that the director runs (machines/play.py, machines/allocation.py) against all that nodes, network and viewer can do at each step, each at
-its worst moment: a set-up refused, without a connection, silent, cut after its last byte; a release acknowledged or lost; a node that drains while a set-up waits; a
-director that dies, a viewer that leaves, a viewer that comes again at once, to a director that knows nothing of the first. Bounded in viewer's tries and states.
+The search is explicit-state model checking. It runs the director's own state machines (machines/play.py, machines/allocation.py) against everything that nodes, network and viewer
+can do at each step, each at its worst moment: a set-up refused, without a connection, silent, or cut after its last byte; a release acknowledged or lost; a node that drains while a
+set-up waits; a director that dies, a viewer that leaves, a viewer that retries at once at a director that knows nothing of the first. The viewer's attempts and the states are bounded.
 
-Weighed against a solver of timing inequalities (z3): the inequalities would be written beside the machine and could say something else than it does; here the machine itself
-is run, and a break is a life that can be played through the real director. States that differ only in how they were reached are looked at once.
+The alternative was a solver of timing inequalities (z3). Inequalities would be a second description beside the state machine and could differ from it; here the machine itself
+is run, and a counterexample can be replayed on a real director. States that differ only in how they were reached are visited once.
 """
 from typing import NamedTuple
 
 from laddergw.machines.allocation import Allocation, AllocationActions
 from laddergw.machines.play import PlayState, PlayTerms
 
-TRIES_MOST = 2             # of one viewer: what a third meets, a second has met
-STATES_MOST = 20_000       # of one search: five attempts need a few thousand
-WAY_MS = 0.5               # a message from process to process, at least: what the model lets pass at once does not break a rule
-SHORT_PART = 0.6           # of the time limit: a viewer that waits less than it may
-BYTES = 9                  # of a set-up, as good as any
+MAX_VIEWER_ATTEMPTS = 2    # a third attempt meets nothing that a second has not met
+MAX_STATES = 20_000        # of one search: five attempts need a few thousand
+MIN_DELIVERY_MS = 0.5      # shortest time of a message between processes: what the model lets happen at the same moment breaks no rule
+SHORT_WAIT_SHARE = 0.6     # of the time limit: a viewer that waits less than it may
+SETUP_BYTES = 9            # size of a set-up; any other would do
 
 
 class SearchTerms(NamedTuple):
-    """What one search is about. `attempts`: the deployment's bound."""
+    """The terms of one search. `max_allocations`: the deployment's bound on a play."""
     play: PlayTerms
-    repeat: str
+    retry_safety: str
     margin_ms: float
-    attempts: int
+    max_allocations: int
 
 
 class Counterexample(NamedTuple):
-    """A life that breaks a rule: rule, what happens, and the life as (ms, words), the play's first request at 0."""
+    """A course of a play that breaks a rule. Its timeline is (ms, text), with the play's first request at 0."""
     rule: str
     description: str
     timeline: tuple[tuple[float, str], ...]
-    moves: tuple[str, ...]          # what nodes, network and viewer did, in order
-    wait_ms: float                  # the viewer's own wait
+    moves: tuple[str, ...]          # of nodes, network and viewer, in order
+    wait_ms: float                  # the viewer's own time limit
 
 
 class SearchReport(NamedTuple):
-    """What a search came to. `longest_timeline`: the longest life without a break, by its end."""
+    """The result of a search. `longest_timeline`: the one with the latest answer among those that break no rule."""
     counterexample: Counterexample | None
     states: int
-    is_complete: bool               # the bound on states was not met
+    is_complete: bool               # the bound on states was not reached
     longest_timeline: tuple[tuple[float, str], ...]
 
 
 class SearchState:
-    """A moment between steps: the try's life, and what nodes may hold of the play, until when. `told` is a chain of (before, (ms,
-    words)), newest first."""
-    __slots__ = ("now", "asked_at", "wait_ms", "tries", "life", "holds", "told", "moves")
+    """A state between steps: the viewer's current attempt, and until when nodes may hold allocations of the play. `timeline` is a linked
+    list of (earlier, (ms, text)), the latest first."""
+    __slots__ = ("now", "requested_at", "wait_ms", "viewer_attempts", "play", "held_until", "timeline", "moves")
 
-    def __init__(self, now: float, asked_at: float, wait_ms: float, tries: int, life: PlayState | None, holds: tuple[float, ...], told: tuple, moves: tuple[str, ...]):
-        self.now, self.asked_at, self.wait_ms, self.tries = now, asked_at, wait_ms, tries
-        self.life, self.holds, self.told, self.moves = life, holds, told, moves
+    def __init__(self, now: float, requested_at: float, wait_ms: float, viewer_attempts: int, play: PlayState | None, held_until: tuple[float, ...], timeline: tuple, moves: tuple[str, ...]):
+        self.now, self.requested_at, self.wait_ms, self.viewer_attempts = now, requested_at, wait_ms, viewer_attempts
+        self.play, self.held_until, self.timeline, self.moves = play, held_until, timeline, moves
 
-    def then(self, words: str = "", move: str = "", now: float | None = None, life: PlayState | None = None, holds: tuple[float, ...] | None = None) -> "SearchState":
-        """The moment that follows: at `now`, with what happened in words, and whose move it was."""
-        when = self.now if now is None else now
-        return SearchState(when, self.asked_at, self.wait_ms, self.tries, life or self.life, self.holds if holds is None else holds,
-                     (self.told, (when, words)) if words else self.told, self.moves + (move,) if move else self.moves)
+    def then(self, text: str = "", move: str = "", now: float | None = None, play: PlayState | None = None, held_until: tuple[float, ...] | None = None) -> "SearchState":
+        """The next state: at `now`, after the event that `text` describes and the move that led to it."""
+        at_ms = self.now if now is None else now
+        return SearchState(at_ms, self.requested_at, self.wait_ms, self.viewer_attempts, play or self.play, self.held_until if held_until is None else held_until,
+                           (self.timeline, (at_ms, text)) if text else self.timeline, self.moves + (move,) if move else self.moves)
 
 
-def unwind(told: tuple) -> tuple[tuple[float, str], ...]:
+def unwind(timeline: tuple) -> tuple[tuple[float, str], ...]:
+    """The lines of a state's timeline in order of time."""
     lines = []
-    while told:
-        told, line = told
+    while timeline:
+        timeline, line = timeline
         lines.append(line)
     return tuple(sorted(reversed(lines), key=lambda line: line[0]))
 
 
-def copy_of(life: PlayState) -> PlayState:
-    other = object.__new__(PlayState)
-    other.__dict__.update(life.__dict__)
-    return other
+def copy_play(play: PlayState) -> PlayState:
+    """A shallow copy, without a call of the constructor."""
+    copy = object.__new__(PlayState)
+    copy.__dict__.update(play.__dict__)
+    return copy
 
 
 class Search:
-    """One set of terms."""
+    """A depth-first search under one set of terms."""
 
     def __init__(self, terms: SearchTerms):
-        self.terms, self.seen, self.states, self.whole = terms, set(), 0, True
-        self.found: Counterexample | None = None         # the break with the fewest moves so far
-        self.longest: tuple[float, tuple] = (0.0, ())
-        self.attempts = min(terms.play.attempts, terms.attempts)
+        self.terms, self.visited, self.state_count, self.is_complete = terms, set(), 0, True
+        self.shortest: Counterexample | None = None      # the one with the fewest moves so far
+        self.longest: tuple[float, tuple] = (0.0, ())    # time of the answer in ms, and its timeline
+        self.max_allocations = min(terms.play.attempts, terms.max_allocations)
 
     def run(self) -> SearchReport:
-        for part in (1.0, SHORT_PART):
-            self.ask(SearchState(0.0, 0.0, self.terms.play.time_limit_ms * part, 0, None, (), (), ()))
-        return SearchReport(self.found, self.states, self.whole, unwind(self.longest[1]))
+        """Searches with a viewer that waits for the whole time limit, and with one that waits for less."""
+        for share in (1.0, SHORT_WAIT_SHARE):
+            self.request(SearchState(0.0, 0.0, self.terms.play.time_limit_ms * share, 0, None, (), (), ()))
+        return SearchReport(self.shortest, self.state_count, self.is_complete, unwind(self.longest[1]))
 
-    def breaks(self, seen: Counterexample) -> None:
-        if self.found is None or len(seen.moves) < len(self.found.moves):
-            self.found = seen
+    def record_violation(self, found: Counterexample) -> None:
+        """Keeps a counterexample if it has the fewest moves so far."""
+        if self.shortest is None or len(found.moves) < len(self.shortest.moves):
+            self.shortest = found
 
-    # A try
+    # An attempt of the viewer
 
-    def ask(self, world: SearchState) -> None:
-        """The viewer asks, a first time or again, at a director that knows its token only."""
-        if world.tries >= TRIES_MOST or self.found is not None and len(world.moves) >= len(self.found.moves):
+    def request(self, state: SearchState) -> None:
+        """The viewer makes a request, its first or a retry, at a director that knows only its token."""
+        if state.viewer_attempts >= MAX_VIEWER_ATTEMPTS or self.shortest is not None and len(state.moves) >= len(self.shortest.moves):
             return
-        life = PlayState(self.terms.play, self.terms.repeat, world.now, max(0.0, world.wait_ms - self.terms.margin_ms), self.terms.margin_ms)
-        holds = tuple(until for until in world.holds if until > world.now)
-        words = "the viewer asks again, at another director" if world.tries else f"the viewer asks, and waits {world.wait_ms:g} ms"
-        self.choose(SearchState(world.now, world.now, world.wait_ms, world.tries + 1, life, holds, (world.told, (world.now, words)), world.moves))
-
-    def choose(self, world: SearchState) -> bool | None:
-        """The module chooses a node, as often as it is asked; how often that is, the life says."""
-        now, life = world.now, world.life
-        key = (round(now - world.asked_at, 3), world.tries, life.attempts_made, life.may_have_run, world.wait_ms,
-               tuple(sorted(round(until - now, 3) for until in world.holds if until > now)))
-        if key in self.seen:
+        play = PlayState(self.terms.play, self.terms.retry_safety, state.now, max(0.0, state.wait_ms - self.terms.margin_ms), self.terms.margin_ms)
+        held_until = tuple(until for until in state.held_until if until > state.now)
+        text = "the viewer asks again, at another director" if state.viewer_attempts else f"the viewer asks, and waits {state.wait_ms:g} ms"
+        self.choose_node(SearchState(state.now, state.now, state.wait_ms, state.viewer_attempts + 1, play, held_until, (state.timeline, (state.now, text)), state.moves))
+
+    def choose_node(self, state: SearchState) -> bool | None:
+        """The controller chooses a node whenever it is asked; the play decides how often that is."""
+        now, play = state.now, state.play
+        key = (round(now - state.requested_at, 3), state.viewer_attempts, play.attempts_made, play.may_have_run, state.wait_ms,
+               tuple(sorted(round(until - now, 3) for until in state.held_until if until > now)))
+        if key in self.visited:
             return
-        self.seen.add(key)
-        self.states += 1
-        if self.states > STATES_MOST:
-            self.whole = False
+        self.visited.add(key)
+        self.state_count += 1
+        if self.state_count > MAX_STATES:
+            self.is_complete = False
             return
-        if life.may_have_run and life.retry_safety == "paid":      # the module bars it, and so does the token of a viewer that comes again
-            return self.late(world.then("it may have run, and is paid: failed"))
-        if life.attempts_exhausted() or life.attempts_made >= self.attempts:
-            return self.answered(world.then("attempts are spent: declined"))
-        if now >= life.answer_deadline:
-            return self.answered(world.then("the time limit is near: failed"))
-        life = copy_of(life)
-        pause = life.next_pause_ms()
-        a = life.allocate("a", 1, life.attempts_made, 0, float("inf"), now)
-        if a.set_up_deadline - now - pause <= 0:
-            return self.answered(world.then("no time is left for an allocation: declined"))
-        if now + pause >= life.answer_deadline:
-            return self.answered(world.then("the time limit is near: failed", now=life.answer_deadline))
+        if play.may_have_run and play.retry_safety == "paid":      # the controller refuses a retry, and so does the token of a viewer that comes back
+            return self.record_answer(state.then("it may have run, and is paid: failed"))
+        if play.attempts_exhausted() or play.attempts_made >= self.max_allocations:
+            return self.answer(state.then("no attempts are left: declined"))
+        if now >= play.answer_deadline:
+            return self.answer(state.then("the time limit is near: failed"))
+        play = copy_play(play)
+        pause = play.next_pause_ms()
+        allocation = play.allocate("a", 1, play.attempts_made, 0, float("inf"), now)
+        if allocation.set_up_deadline - now - pause <= 0:
+            return self.answer(state.then("no time is left for an allocation: declined"))
+        if now + pause >= play.answer_deadline:
+            return self.answer(state.then("the time limit is near: failed", now=play.answer_deadline))
         if not pause:
-            return self.send(world.then(life=life), a)
-        world = world.then(f"a pause of {pause:g} ms before allocation {life.attempts_made}", life=life)
-        self.over(world.then("its node drains: it is taken back", "drains", now + pause), again(a).withdrawn())
-        return self.send(world.then(now=now + pause), a)
-
-    def send(self, world: SearchState, a: Allocation) -> None:
-        """The set-up goes out: all that can become of it."""
-        now, terms, number = world.now, self.terms.play, world.life.attempts_made
+            return self.send_setup(state.then(play=play), allocation)
+        state = state.then(f"a pause of {pause:g} ms before allocation {play.attempts_made}", play=play)
+        self.end_allocation(state.then("its node drains: the allocation is withdrawn", "drains", now + pause), copy_allocation(allocation).withdrawn())
+        return self.send_setup(state.then(now=now + pause), allocation)
+
+    def send_setup(self, state: SearchState, allocation: Allocation) -> None:
+        """Sends the set-up and follows each of its possible outcomes."""
+        now, terms, number = state.now, self.terms.play, state.play.attempts_made
         name = f"set-up {number}"
-        refused = again(a)
+        refused = copy_allocation(allocation)
         refused.sent()
-        self.over(world.then(f"{name}: refused at once", "refused"), refused.answered(now, 503, True))
-        unmet = again(a)
-        late = min(now + terms.connect_ms, a.set_up_deadline)
-        if late < world.life.answer_deadline:
-            self.over(world.then(f"{name}: no connection within {late - now:g} ms", "no connection", late), unmet.timed_out(late, 0, BYTES))
-        held = self.hold(world, a, name)
+        self.end_allocation(state.then(f"{name}: refused at once", "refused"), refused.answered(now, 503, True))
+        unconnected = copy_allocation(allocation)
+        connect_deadline = min(now + terms.connect_ms, allocation.set_up_deadline)
+        if connect_deadline < state.play.answer_deadline:
+            self.end_allocation(state.then(f"{name}: no connection within {connect_deadline - now:g} ms", "no connection", connect_deadline), unconnected.timed_out(connect_deadline, 0, SETUP_BYTES))
+        held = self.accept(state, allocation, name)
         if held is None:
             return
-        cut = again(a)
+        cut = copy_allocation(allocation)
         cut.sent()
-        step = cut.connection_lost(BYTES, BYTES)
-        self.given_up(held.then(f"{name}: taken by its node, then the connection breaks", "cut"), cut, step)
-        silent = again(a)
+        step = cut.connection_lost(SETUP_BYTES, SETUP_BYTES)
+        self.release(held.then(f"{name}: accepted by its node, then the connection breaks", "cut"), cut, step)
+        silent = copy_allocation(allocation)
         silent.sent()
-        if a.set_up_deadline < world.life.answer_deadline:
-            step = silent.timed_out(a.set_up_deadline, BYTES, BYTES)
-            self.given_up(held.then(f"{name}: no answer by its time-out", "silent", a.set_up_deadline), silent, step)
+        if allocation.set_up_deadline < state.play.answer_deadline:
+            step = silent.timed_out(allocation.set_up_deadline, SETUP_BYTES, SETUP_BYTES)
+            self.release(held.then(f"{name}: no answer by its time-out", "silent", allocation.set_up_deadline), silent, step)
         else:
-            self.answered(held.then("the time limit is near: failed, the set-up is given up", "silent", world.life.answer_deadline))
-        self.gone(held, a)
-
-    def hold(self, world: SearchState, a: Allocation, name: str) -> SearchState | None:
-        """A node takes it, and holds it until its lease ends unless a release reaches it before. None: it was one too many."""
-        for until in world.holds:
-            if until > world.now + WAY_MS:
-                told = world.then(f"{name}: a second node takes the play, the first may hold it until {until:g} ms")
-                return self.breaks(Counterexample("once", f"two allocations out for {until - world.now:g} ms", unwind(told.told), world.moves + ("taken",), world.wait_ms))
-        return world.then(f"{name}: sent, its lease ends at {a.lease_ends_at:g} ms", holds=world.holds + (a.lease_ends_at,))
-
-    def gone(self, held: SearchState, a: Allocation) -> None:
-        """While it is out its viewer leaves, or its director dies: the viewer knows how long the try may be unsettled, and waits."""
-        settled = held.asked_at + held.wait_ms
-        for move, words in (("viewer leaves", "the viewer leaves"), ("director dies", "the director dies")):
-            self.ask(held.then(words, move).then(now=max(settled, held.now)))
-
-    def given_up(self, world: SearchState, a: Allocation, step: AllocationActions) -> None:
-        """A release goes out: it is acknowledged at once, or never."""
+            self.answer(held.then("the time limit is near: failed, the set-up is cancelled", "silent", state.play.answer_deadline))
+        self.interrupt(held, allocation)
+
+    def accept(self, state: SearchState, allocation: Allocation, name: str) -> SearchState | None:
+        """A node accepts the set-up and holds it until its lease ends, or a release arrives before. None if another node may still hold the play."""
+        for until in state.held_until:
+            if until > state.now + MIN_DELIVERY_MS:
+                violated = state.then(f"{name}: a second node accepts the play, the first may hold it until {until:g} ms")
+                return self.record_violation(Counterexample("once", f"two allocations out for {until - state.now:g} ms", unwind(violated.timeline), state.moves + ("taken",), state.wait_ms))
+        return state.then(f"{name}: sent, its lease ends at {allocation.lease_ends_at:g} ms", held_until=state.held_until + (allocation.lease_ends_at,))
+
+    def interrupt(self, held: SearchState, allocation: Allocation) -> None:
+        """The viewer leaves or the director dies while the set-up is out. The viewer knows how long the attempt may be unsettled, and waits so long."""
+        settled_at = held.requested_at + held.wait_ms
+        for move, text in (("viewer leaves", "the viewer leaves"), ("director dies", "the director dies")):
+            self.request(held.then(text, move).then(now=max(settled_at, held.now)))
+
+    def release(self, state: SearchState, allocation: Allocation, step: AllocationActions) -> None:
+        """Sends a release, which is acknowledged at once or never."""
         assert step.release
-        acked = again(a)
-        self.over(world.then("its release is acknowledged", "acknowledged", holds=world.holds[:-1]), acked.released(True))
-        lost = again(a)
-        by = lost.set_release_deadline(world.now)
-        over = max(by, world.now)
-        if over < world.life.answer_deadline:
-            self.over(world.then(f"its release is not acknowledged: it counts as over at {over:g} ms", "release lost", over), lost.lease_expired(over))
+        acknowledged = copy_allocation(allocation)
+        self.end_allocation(state.then("its release is acknowledged", "acknowledged", held_until=state.held_until[:-1]), acknowledged.released(True))
+        unacknowledged = copy_allocation(allocation)
+        deadline = unacknowledged.set_release_deadline(state.now)
+        ended_at = max(deadline, state.now)
+        if ended_at < state.play.answer_deadline:
+            self.end_allocation(state.then(f"its release is not acknowledged: the allocation counts as ended at {ended_at:g} ms", "release lost", ended_at), unacknowledged.lease_expired(ended_at))
         else:
-            self.answered(world.then("the time limit is near: failed", "release lost", world.life.answer_deadline))
+            self.answer(state.then("the time limit is near: failed", "release lost", state.play.answer_deadline))
 
-    def over(self, world: SearchState, step: AllocationActions) -> None:
-        """An allocation is over: another may be had."""
+    def end_allocation(self, state: SearchState, step: AllocationActions) -> None:
+        """An allocation has ended: another one may follow."""
         if step.ended is None:
             return
-        life = copy_of(world.life)
-        life.allocation_ended(step.ended)
-        self.choose(world.then(life=life))
-
-    def late(self, world: SearchState) -> bool:
-        """An answer goes out: whether it is past the viewer's limit."""
-        limit = world.asked_at + world.wait_ms
-        if world.now > limit:
-            self.breaks(Counterexample("answers", f"answered {world.now - limit:g} ms past the limit", unwind(world.told), world.moves, world.wait_ms))
-        elif world.now - world.asked_at >= self.longest[0] and world.tries == 1:
-            self.longest = world.now - world.asked_at, world.told
-        return world.now > limit
-
-    def answered(self, world: SearchState) -> None:
-        """The viewer has its answer, and comes again as soon as it may."""
-        if self.late(world):
+        play = copy_play(state.play)
+        play.allocation_ended(step.ended)
+        self.choose_node(state.then(play=play))
+
+    def record_answer(self, state: SearchState) -> bool:
+        """Records an answer; returns True if it comes after the viewer's limit."""
+        limit = state.requested_at + state.wait_ms
+        if state.now > limit:
+            self.record_violation(Counterexample("answers", f"answered {state.now - limit:g} ms past the limit", unwind(state.timeline), state.moves, state.wait_ms))
+        elif state.now - state.requested_at >= self.longest[0] and state.viewer_attempts == 1:
+            self.longest = state.now - state.requested_at, state.timeline
+        return state.now > limit
+
+    def answer(self, state: SearchState) -> None:
+        """The viewer has its answer, and retries as soon as it may."""
+        if self.record_answer(state):
             return
-        if world.life.retry_safety == "paid" and world.life.attempts_made and world.holds:
-            return                               # a set-up may have run: its token bars it everywhere
-        self.ask(world.then(move="comes again", now=world.now + world.life.terms.retry_after_ms[0]))
+        if state.play.retry_safety == "paid" and state.play.attempts_made and state.held_until:
+            return                               # a set-up may have run: its token rules out a retry at any director
+        self.request(state.then(move="comes again", now=state.now + state.play.terms.retry_after_ms[0]))
 
 
-def again(a: Allocation) -> Allocation:
-    other = object.__new__(Allocation)
-    other.__dict__.update(a.__dict__)
-    return other
+def copy_allocation(allocation: Allocation) -> Allocation:
+    """A shallow copy, without a call of the constructor."""
+    copy = object.__new__(Allocation)
+    copy.__dict__.update(allocation.__dict__)
+    return copy
 
 
 def search(terms: SearchTerms) -> SearchReport:
-    """All lives under these terms, within the bounds."""
+    """Searches all courses of a play under these terms, within the bounds."""
     return Search(terms).run()
 
 
 def canonical_terms(terms: SearchTerms) -> SearchTerms:
-    """Terms without what no life depends on, so that routes which differ in that share a search."""
+    """The terms without the fields that no search depends on, so that routes which differ only in those share one search."""
     play = terms.play._replace(first_frame_ms=0.0, first_segment_ms=0.0, read_copies=0, copy_after_ms=0.0, viewer_tries=1,
-                               retry_after_ms=(terms.play.retry_after_ms[0], 0.0), attempts=min(terms.play.attempts, terms.attempts))
-    return terms._replace(play=play, repeat="paid" if terms.repeat == "paid" else "safe")
+                               retry_after_ms=(terms.play.retry_after_ms[0], 0.0), attempts=min(terms.play.attempts, terms.max_allocations))
+    return terms._replace(play=play, retry_safety="paid" if terms.retry_safety == "paid" else "safe")
