--- a/benchmarks/limits_random.py
+++ b/benchmarks/limits_random.py
@@ -1,4 +1,4 @@
-"""Random files that the check accepts, each through a short bad day in memory: none may break a rule or drop a play.
+"""Plays a short scenario with faults in memory under each of many random limits files that the check accepts: none may break a rule or drop a play.
 
     PYTHONPATH=. .venv/bin/python benchmarks/limits_random.py [files] [processes]
 """
@@ -12,37 +12,39 @@
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
 from laddergw.lab.stage_memory import MemoryStage
-from laddergw.terms import limits as files
+from laddergw.terms import limits as limits_file
 from laddergw.terms.loading import default_terms
 
-SECONDS, RATE = 6.0, 20.0
+SECONDS, RATE = 6.0, 20.0      # length of a scenario, and viewers per second
 
 
-def one(number: int) -> tuple[int, str, str]:
+def play_file(number: int) -> tuple[int, str, str]:
+    """Plays the scenario under one file; returns the number of plays, what went wrong, and the file's text if anything did."""
     logging.disable(logging.CRITICAL)
     the_plant = plant(1 + number % 25, directors=3, nodes=10, rate=RATE, seconds=SECONDS)
-    house = director_files.read(the_plant.house(0, ("d", 1), ("list", 1), 1))
-    text = lab.sound(77, number, house)
-    limits = files.read(text, house.names, default_terms(house))
+    settings = director_files.read(the_plant.house(0, ("d", 1), ("list", 1), 1))
+    text = lab.sound(77, number, settings)
+    limits = limits_file.read(text, settings.names, default_terms(settings))
 
-    class Under(Director):
+    class LimitedDirector(Director):
         def __init__(self, loop, house, **more):
             super().__init__(loop, house, limits=limits, **more)
-    records = MemoryStage(the_plant, bad_day(the_plant), Under).run()
-    judged = audit.audit(the_plant, records)
-    bad = [broken.what for broken in judged.breaks] + ["dropped"] * lab.switched(records)["dropped"] + ["without an outcome"] * judged.without
-    return judged.plays, "; ".join(bad), text if bad else ""
+    records = MemoryStage(the_plant, bad_day(the_plant), LimitedDirector).run()
+    verdict = audit.audit(the_plant, records)
+    problems = [broken.what for broken in verdict.breaks] + ["dropped"] * lab.switched(records)["dropped"] + ["without an outcome"] * verdict.without
+    return verdict.plays, "; ".join(problems), text if problems else ""
 
 
 def main() -> None:
-    count, processes = (int(sys.argv[k]) if len(sys.argv) > k else usual_value for k, usual_value in ((1, 500), (2, 6)))
+    """Plays the given number of files in that many processes, and prints a total."""
+    count, processes = (int(sys.argv[k]) if len(sys.argv) > k else default for k, default in ((1, 500), (2, 6)))
     plays = broken = 0
     with ProcessPoolExecutor(processes) as pool:
-        for number, (some, bad, text) in enumerate(pool.map(one, range(count), chunksize=4)):
-            plays += some
-            if bad:
+        for number, (file_plays, problems, text) in enumerate(pool.map(play_file, range(count), chunksize=4)):
+            plays += file_plays
+            if problems:
                 broken += 1
-                print(f"file {number}: {bad}\n{text}", flush=True)
+                print(f"file {number}: {problems}\n{text}", flush=True)
     print(f"{count} accepted files, {plays} plays, {broken} files with a broken rule")
 
 
--- a/tests/replays.py
+++ b/tests/replays.py
@@ -12,7 +12,7 @@
 from laddergw.lab.tap import tap
 from laddergw.terms import limits as files
 from laddergw.terms.loading import default_terms
-from tests.broken_limits import HOUSE
+from tests.broken_limits import DIRECTOR_FILE
 from tests.town import Ask, Town
 
 SET_UPS = ("refused", "no connection", "cut", "silent", "taken")
@@ -23,7 +23,7 @@
     """A cluster in memory with two directors under a limits file that was not checked."""
 
     def __init__(self, text: str, nodes: int = 8):
-        self.house = read(HOUSE)
+        self.house = read(DIRECTOR_FILE)
         self.loaded = files.read(text, self.house.names, default_terms(self.house))
         self.moves: deque = deque()
         super().__init__(nodes=nodes, directors=2)
@@ -31,7 +31,7 @@
             self.script_node(number)
 
     def start_director(self, number):
-        text = HOUSE.replace("(number 0)", f"(number {number})").replace('"d0"', f'"d{number}"')
+        text = DIRECTOR_FILE.replace("(number 0)", f"(number {number})").replace('"d0"', f'"d{number}"')
         self.directors[number] = director = Director(self.world.host(f"d{number}"), read(text), wall=lambda: self.world.now,
                                                      tap=tap(f"d{number}.1", self.record), limits=self.loaded)
         allocate, make = director.allocate, director.make_link
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -8,8 +8,8 @@
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.generations import Generations
 from laddergw.terms.director_file import read
-from tests.broken_limits import HOUSE
-from tests.test_limits import LIVES, limits, under
+from tests.broken_limits import DIRECTOR_FILE
+from tests.test_limits import SETTINGS, read_limits, switch_limits
 from tests.town import Town
 
 
@@ -28,10 +28,10 @@
         town.run(400)
         self.assertEqual(asked.answer, "playing")
         first = director.generations.current
-        lines = director.change_limits(limits('(limits (route "/a/" (attempts 1) (viewer-tries 1)))'))
+        lines = director.change_limits(read_limits('(limits (route "/a/" (attempts 1) (viewer-tries 1)))'))
         self.assertEqual(lines[0], "+ route /a/ ")
         self.assertEqual(director.generations.older, {1: first})
-        director.change_limits(limits("(limits)"))                   # its route is removed while it plays
+        director.change_limits(read_limits("(limits)"))                   # its route is removed while it plays
         self.assertEqual(list(director.generations.older), [1])
         asked.call.cut("left")
         town.run(500)
@@ -40,7 +40,7 @@
     def test_lies_of_viewers(self):
         """A wait longer than the file's, a forged token and a wait that never ends change nothing for others."""
         town = Town(nodes=1)
-        director = under(town, limits("(limits (defaults (time-limit-ms 700) (set-up-ms 500)))"))
+        director = switch_limits(town, read_limits("(limits (defaults (time-limit-ms 700) (set-up-ms 500)))"))
         town.fault(1, "mute", True)
         slow = town.ask(wait_ms=600_000)
         forged = town.ask(key="w", token="k.AAAA.BBBB")
@@ -52,7 +52,7 @@
 
     def test_attempts_backoff_and_connect_at_a_director(self):
         town = Town(nodes=6)
-        director = under(town, limits("(limits (defaults (attempts 2) (backoff-ms 150 1 150) (retry-after-ms 900 950)))"))
+        director = switch_limits(town, read_limits("(limits (defaults (attempts 2) (backoff-ms 150 1 150) (retry-after-ms 900 950)))"))
         for number in town.nodes:
             town.fault(number, "errors", 1.0)
         asked = town.ask()
@@ -64,7 +64,7 @@
 
     def test_a_node_that_drains_in_a_pause_gets_nothing(self):
         town = Town(nodes=2)
-        director = under(town, limits("(limits (defaults (backoff-ms 400 1 400)))"))
+        director = switch_limits(town, read_limits("(limits (defaults (backoff-ms 400 1 400)))"))
         for number in town.nodes:
             town.fault(number, "errors", 1.0)
         town.ask()
@@ -76,7 +76,7 @@
 
     def test_spent_budgets_of_a_tenant(self):
         town = Town(nodes=6)
-        director = under(town, limits('(limits (tenant t (budget (free 1))) (route "/a/" (tenant t)))'))
+        director = switch_limits(town, read_limits('(limits (tenant t (budget (free 1))) (route "/a/" (tenant t)))'))
         for number in town.nodes:
             town.fault(number, "errors", 1.0)
         others = [town.ask(key=f"a{n}", route="/a/1") for n in range(3)] + [town.ask(key="b", route="/b/1")]
@@ -96,7 +96,7 @@
         self.write("(limits)")
         self.town = Town(nodes=1)
         self.put, self.refused = [], []
-        self.file = LimitsFile(self.town.directors[0].loop, self.path, InPlace(LIVES), self.put.append, self.refused.append, b"(limits)")
+        self.file = LimitsFile(self.town.directors[0].loop, self.path, InPlace(SETTINGS), self.put.append, self.refused.append, b"(limits)")
 
     def write(self, text):
         with open(self.path, "w") as stream:
@@ -133,7 +133,7 @@
         self.addCleanup(loop.close)
         house = os.path.join(self.folder.name, "house.scm")
         with open(house, "w") as stream:
-            stream.write(HOUSE)
+            stream.write(DIRECTOR_FILE)
         Beside(loop, house).check(b"(limits (cold-pace 0.5))", "x", done.append)
         Beside(loop, house).check(b"(limits (cold-pace 20))", "x", done.append)
         Beside(loop, self.path + "none").check(b"(limits)", "x", done.append)
@@ -145,7 +145,7 @@
         self.assertIn("cold-pace: 20 lets 2 directors send", told[1])
 
     def test_a_director_starts_with_the_last_good_version(self):
-        house, path = LIVES, self.path
+        house, path = SETTINGS, self.path
         self.assertEqual(at_start(path, house)[1], [])
         self.write("(limits (cold-pace 0.5))")
         self.town.run(1_000)
@@ -156,11 +156,11 @@
         self.assertIsNone(at_start(path, house)[0].limits)
 
     def test_generations_go_with_their_last_play(self):
-        kept = Generations(limits("(limits)"), 0.0)
+        kept = Generations(read_limits("(limits)"), 0.0)
         one, two = kept.begin_play(), kept.begin_play()
-        kept.switch(limits("(limits)"), 1.0)
+        kept.switch(read_limits("(limits)"), 1.0)
         three = kept.begin_play()
-        kept.switch(limits("(limits)"), 2.0)
+        kept.switch(read_limits("(limits)"), 2.0)
         kept.end_play(one)
         kept.end_play(three)
         self.assertEqual(list(kept.older), [1])
