--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -15,7 +15,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from laddergw.director.limits_file import InPlace, LimitsFile
+from laddergw.director.limits_file import InProcessCheck, LimitsFile
 from laddergw.fleet.stamps import ENDED, LET_IN, PLAYING, SET_UP
 from laddergw.interface import READY
 from laddergw.lab.lines import Lines
@@ -42,10 +42,10 @@
 
     def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
         self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
-        self.limits, self.watch, self.pages, self.tries, self.on_node = Limits("built in", usual(house)), lambda what, **facts: None, {}, {}, {}
-        self.stopping, self.bounds, self.chance, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
+        self.limits, self.watch, self.pages, self.attempts, self.attempts_by_node = Limits("built in", usual(house)), lambda what, **facts: None, {}, {}, {}
+        self.stopping, self.bounds, self.random_fraction, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
-        self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, changed=lambda *given: None)
+        self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, on_change=lambda *given: None)
         self.controller = SimpleNamespace(observe_load=None)
         self.feed = lambda *given: None
 
@@ -74,7 +74,7 @@
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
                 stream.write(b"(limits)")
-            side.audit.brings(LimitsFile(light.loop, path, InPlace(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
+            side.audit.brings(LimitsFile(light.loop, path, InProcessCheck(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
             self.directors.append(light)
             self.sides.append(side)
 
--- a/laddergw/director/carrying.py
+++ b/laddergw/director/allocation_calls.py
@@ -11,7 +11,7 @@
 from laddergw.machines.allocation import Allocation, AllocationActions
 from laddergw.machines.play import ATTEMPTS_EXHAUSTED
 from laddergw.director.link import Link
-from laddergw.director.tries import Try
+from laddergw.director.attempts import Attempt
 from laddergw.http.client import Call
 
 ENDED, MOVED, STOPPED, LOST = "ended", "moved", "director stops", "broken"
@@ -19,18 +19,18 @@
 TOLD_TO_VIEWER = {face.SERVED: ENDED, face.BROKEN: LOST}
 
 
-class Carrying:
+class AllocationCalls:
     """Allocations carried out. See the module."""
 
-    def allocate(self, ply: Try, verdict: face.Verdict) -> None:
+    def allocate(self, ply: Attempt, verdict: face.Verdict) -> None:
         now, life = self.loop.now, ply.life
         number, pause = life.attempts_made, life.next_pause_ms()
         name = f"{self.name}.{ply.id}.{number}"
         spent = self.budgets.may_retry(ply.budgets, now) if number else None
         ply.allocation = a = life.allocate(name, ply.id, verdict.node, verdict.rung, verdict.timeout_ms, now)
         timeout = a.set_up_deadline - now - pause
-        self.by_allocation[name] = ply
-        self.on_node.setdefault(verdict.node, {})[name] = ply
+        self.attempts_by_allocation[name] = ply
+        self.attempts_by_node.setdefault(verdict.node, {})[name] = ply
         self.watch("allocate", play=ply.id, node=verdict.node, rung=verdict.rung, number=number, timeout_ms=timeout)
         link = self.fleet.links.get(verdict.node)
         if timeout <= 0 or link is None or spent is not None:
@@ -38,12 +38,12 @@
                 self.watch("budget spent", play=ply.id, budget=spent)
                 life.exhaust_attempts()
             return self.loop.call_soon(lambda: self.apply_to(ply, name, Allocation.withdrawn))
-        ply.lease_timer = self.loop.call_at(a.set_up_deadline, lambda: self.set_up_late(ply, name))
+        ply.lease_timer = self.loop.call_at(a.set_up_deadline, lambda: self.set_up_timed_out(ply, name))
         if pause:
             return self.loop.call_later(pause, lambda: self.connect(ply, verdict.node, name)) and None
         return self.connect(ply, verdict.node, name)
 
-    def connect(self, ply: Try, node: int, name: str) -> None:
+    def connect(self, ply: Attempt, node: int, name: str) -> None:
         """Its pause is over: the set-up goes out, and must begin to leave within its terms' time."""
         link = self.fleet.links.get(node)
         if link is None:
@@ -54,12 +54,12 @@
             self.loop.call_later(connect, lambda: not written(ply)[0] and self.apply_to(ply, name, Allocation.timed_out, self.loop.now, 0, 1))
         return self.send_set_up(ply, link, name)
 
-    def apply_to(self, ply: Try, name: str, fact: Callable[..., AllocationActions], *args) -> None:
+    def apply_to(self, ply: Attempt, name: str, fact: Callable[..., AllocationActions], *args) -> None:
         """A fact about an allocation by name: nothing where the try has another by now."""
         if ply.allocation is not None and ply.allocation.name == name:
             self.apply(ply, fact(ply.allocation, *args))
 
-    def send_set_up(self, ply: Try, link: Link, name: str) -> None:
+    def send_set_up(self, ply: Attempt, link: Link, name: str) -> None:
         a, r = ply.allocation, ply.request
         if a is None or a.name != name or a.state != alloc.WAITING:
             return
@@ -73,7 +73,7 @@
         if ply.call is None:                     # the session is being opened: the set-up waits for it, unwritten
             link.when_up(lambda: self.send_set_up(ply, link, name))
 
-    def set_up_ended(self, ply: Try, name: str, call: Call) -> None:
+    def set_up_ended(self, ply: Attempt, name: str, call: Call) -> None:
         if ply.allocation is None or ply.allocation.name != name or ply.call is not call:
             return
         ply.call = None
@@ -85,7 +85,7 @@
         report, notes, sound = (), [], True
         try:
             report, notes = frames.read_set_up_answer(call.body, self.house.deployment.reports)
-        except frames.Malformed as error:
+        except frames.MalformedFrame as error:
             sound = False
             self.watch("bad answer", node=ply.allocation.node, reason=str(error))
         self.apply(ply, ply.allocation.answered(self.loop.now, call.status, sound), report)
@@ -93,19 +93,19 @@
             if ply.playing:
                 self.feed(self.controller.update_play, self.loop.now, ply.id, ply.allocation.node, kind, value)
 
-    def set_up_late(self, ply: Try, name: str) -> None:
+    def set_up_timed_out(self, ply: Attempt, name: str) -> None:
         ply.lease_timer = None
         if ply.allocation is not None and ply.allocation.name == name:
             self.room.for_node(ply.allocation.node).record_failure()
         self.apply_to(ply, name, Allocation.timed_out, self.loop.now, *written(ply))
 
-    def lease_over(self, ply: Try, name: str) -> None:
+    def lease_over(self, ply: Attempt, name: str) -> None:
         ply.lease_timer = None
         self.apply_to(ply, name, Allocation.lease_expired, self.loop.now)
 
     # What follows from an allocation's step
 
-    def apply(self, ply: Try, step: AllocationActions, report: tuple = ()) -> None:
+    def apply(self, ply: Attempt, step: AllocationActions, report: tuple = ()) -> None:
         a = ply.allocation
         if step.drop_call and ply.call is not None:
             call, ply.call = ply.call, None
@@ -125,13 +125,13 @@
         if step.ended is not None:
             self.allocation_ended(ply, step.ended, report)
 
-    def begin_play(self, ply: Try) -> None:
+    def begin_play(self, ply: Attempt) -> None:
         a, now = ply.allocation, self.loop.now
         ply.stop_timers()
         if not ply.settle():                     # the viewer left, or was answered, in this very turn
             return self.apply(ply, a.viewer_left(0, 0))
         self.waiting -= 1
-        self.held += 1
+        self.active_plays += 1
         ply.playing = True
         link = self.fleet.links.get(a.node)
         self.watch("answer", play=ply.id, answer="playing", product=ply.request.product, tries=ply.earlier.tries,
@@ -140,11 +140,11 @@
                                                link.address if link else ("", 0), a.name, a.rung, self.rate(ply)))
         self.feed(self.controller.play_started, now, ply.id, a.number, now - a.requested_at, a.node)
 
-    def allocation_ended(self, ply: Try, outcome: str, report: tuple) -> None:
+    def allocation_ended(self, ply: Attempt, outcome: str, report: tuple) -> None:
         """The allocation can be out no more: the module is told, and the viewer of a play that has ended."""
         a = ply.allocation
-        self.by_allocation.pop(a.name, None)
-        self.on_node.get(a.node, {}).pop(a.name, None)
+        self.attempts_by_allocation.pop(a.name, None)
+        self.attempts_by_node.get(a.node, {}).pop(a.name, None)
         if ply.lease_timer is not None:
             ply.lease_timer.cancel()
             ply.lease_timer = None
@@ -156,19 +156,19 @@
         if self.observer is not None:
             self.observer.ended(a.node, outcome)
         if not (ply.left or ply.answered) and ply.life.attempts_exhausted():      # what its terms allow has been tried
-            self.finish(ply, *ply.life.final_answer(self.chance()), reason=ATTEMPTS_EXHAUSTED)
+            self.finish(ply, *ply.life.final_answer(self.random_fraction()), reason=ATTEMPTS_EXHAUSTED)
         over = ply.left or ply.answered
         self.feed(self.controller.allocation_ended, self.loop.now, ply.id, a.number, outcome, a.node, over, report)
         if not over:
             return
         if ply.playing:
-            self.held -= 1
+            self.active_plays -= 1
             if not ply.left:
                 ply.exchange.push(frames.event(ply.ending or TOLD_TO_VIEWER.get(outcome, LOST)))
                 ply.exchange.finish()
         self.forget(ply)
 
-    def rate(self, ply: Try) -> float:
+    def rate(self, ply: Attempt) -> float:
         """What its rung asks of a link, kB a second."""
         deployment = ply.deployment
         return deployment.ladder[ply.allocation.rung] * deployment.products[ply.product].scale
@@ -187,12 +187,12 @@
         if outcome == face.SERVED:
             try:
                 report = frames.read_probe_answer(call.body, self.house.deployment.reports)
-            except frames.Malformed as error:
+            except frames.MalformedFrame as error:
                 outcome = face.ERROR
                 self.watch("bad answer", node=node, reason=str(error))
         self.feed(self.controller.probe_ended, self.loop.now, node, outcome, self.loop.now - asked_at, report)
 
-    def change_rung(self, ply: Try, rung: int) -> None:
+    def change_rung(self, ply: Attempt, rung: int) -> None:
         a = ply.allocation
         link = self.fleet.links.get(a.node) if a is not None else None
         if a is None or a.state != alloc.HELD or link is None:
@@ -201,19 +201,19 @@
         link.rung(a.name, rung, self.rate(ply))
         ply.exchange.push(frames.event("rung", rung=rung))
 
-    def take_off(self, ply: Try, why: str) -> None:
+    def remove_from_node(self, ply: Attempt, why: str) -> None:
         """Takes a playing play off its node; its viewer is told once the node has let go. As LOST the module hears that it broke."""
         if ply.allocation is not None and ply.playing and not ply.left:
             ply.ending = ply.ending or why
             self.apply(ply, ply.allocation.stalled() if why == LOST else ply.allocation.moved())
 
-    def release(self, ply: Try) -> None:
+    def release(self, ply: Attempt) -> None:
         link = self.fleet.links.get(ply.allocation.node) if ply.allocation else None
         if link is not None:
             link.release(ply.allocation.name)
 
 
-def written(ply: Try) -> tuple[int, int]:
+def written(ply: Attempt) -> tuple[int, int]:
     """Bytes of its set-up that left, and all of them; a set-up not yet handed to a connection counts as none of one."""
     call = ply.call
     return (0, 1) if call is None else (call.written, call.size)
--- a/laddergw/director/tries.py
+++ b/laddergw/director/attempts.py
@@ -2,19 +2,19 @@
 from laddergw.machines.allocation import Allocation
 from laddergw.director.frames import Request
 from laddergw.machines.play import PlayState
-from laddergw.director.tokens import Earlier
+from laddergw.director.tokens import PreviousAttempt
 from laddergw.http.client import Call
 from laddergw.http.server import Exchange
 from laddergw.interface import Deployment
 from laddergw.terms.generations import Generation
 
 
-class Try:
+class Attempt:
     """One request for a play. `life` says what its terms allow; `budgets`: names of those that its further allocations draw on."""
     __slots__ = ("id", "exchange", "request", "product", "earlier", "asked_at", "life", "generation", "budgets", "allocation", "call", "body",
-                 "timer", "lease_timer", "answered", "playing", "left", "asked", "node_ms", "ending", "sent_at", "deployment", "stand")
+                 "timer", "lease_timer", "answered", "playing", "left", "asked", "node_ms", "ending", "sent_at", "deployment", "version_set")
 
-    def __init__(self, number: int, exchange: Exchange, request: Request, product: int, earlier: Earlier, life: PlayState,
+    def __init__(self, number: int, exchange: Exchange, request: Request, product: int, earlier: PreviousAttempt, life: PlayState,
                  generation: Generation, budgets: tuple[str, ...], deployment: Deployment):
         self.id, self.exchange, self.request, self.product, self.earlier = number, exchange, request, product, earlier
         self.deployment = deployment              # that it was taken on: a switch does not change it
@@ -25,7 +25,7 @@
         self.answered = self.playing = self.left = self.asked = False
         self.node_ms, self.sent_at = 0.0, 0.0     # time that nodes took, to tell our own delay apart
         self.ending: str | None = None            # what its viewer is told once its allocation is gone
-        self.stand = ""                           # id of the versions that it was let in under, where they are audited
+        self.version_set = ""                           # id of the versions that it was let in under, where they are audited
 
     def settle(self) -> bool:
         """Claims the one answer: True for the first who asks, and for nobody when the viewer has left."""
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -2,7 +2,7 @@
 
 Order within a turn: all that was read is told, then timers, then `decide`; verdicts are carried out and what they
 bring at once (a set-up that cannot be sent) is decided again, a few rounds at most. Every try is answered in `finish`
-or `begin_play`, both through Try.settle, so that exactly one answer goes out whatever comes together.
+or `begin_play`, both through Attempt.settle, so that exactly one answer goes out whatever comes together.
 """
 import time
 from typing import Any, Callable
@@ -13,14 +13,14 @@
 from laddergw.machines import allocation as alloc
 from laddergw.director import frames, tokens
 from laddergw.machines import admission
-from laddergw.director.carrying import MOVED, STOPPED, Carrying, written
+from laddergw.director.allocation_calls import MOVED, STOPPED, AllocationCalls, written
 from laddergw.director.fleet import Fleet
 from laddergw.terms.house import House
 from laddergw.machines.play import PlayState
 from laddergw.director.link import Link
 from laddergw.machines.concurrency import OFF, ConcurrencyLimits, at_limit
-from laddergw.director.post import Post
-from laddergw.director.tries import Try
+from laddergw.director.director_messages import DirectorMessages
+from laddergw.director.attempts import Attempt
 from laddergw.machines.retry_budget import RetryBudgets
 from laddergw.hosting import ControllerHost
 from laddergw.http.limits import PeerLimits
@@ -34,7 +34,7 @@
     """The watcher of a director that nobody watches."""
 
 
-class Director(Carrying, ControllerHost):
+class Director(AllocationCalls, ControllerHost):
     """See the module. `wall` is the wall clock in ms, for tokens; `watch(what, **facts)` is told of each decision."""
     controller_class = Controller
 
@@ -51,20 +51,20 @@
         self.most_importance = max(product.importance for product in house.deployment.products)
         self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
         self.name = f"d{house.number}-{crc32(b'%d %f' % (house.seed, loop.now)):08x}"    # of this process, not of its place
-        self.tries: dict[int, Try] = {}
-        self.by_allocation: dict[str, Try] = {}
-        self.on_node: dict[int, dict[str, Try]] = {}
+        self.attempts: dict[int, Attempt] = {}
+        self.attempts_by_allocation: dict[str, Attempt] = {}
+        self.attempts_by_node: dict[int, dict[str, Attempt]] = {}
         self.dirty: dict[Link, None] = {}
-        self.numbers = self.waiting = self.held = self.draws = 0
+        self.numbers = self.waiting = self.active_plays = self.draws = 0
         self.stopping = False
-        self.observer, self.shut = None, lambda: None    # of admissions, ends and notes: a planner's edge side; why nothing is let in at all
-        self.read_again: Callable[[], None] = lambda: None    # what SIGHUP does
+        self.observer, self.closed_rejection = None, lambda: None    # of admissions, ends and notes: a planner's edge side; why nothing is let in at all
+        self.reload_files: Callable[[], None] = lambda: None    # what SIGHUP does
         self.fleet = Fleet(loop, house.lists, str(house.number), self.make_link, self.list_changed, self.list_failed, tap)
         self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.max_connections), tap)
         self.address = self.server.address
-        self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.arrive,
+        self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request,
                                                                              ("POST", "/v1/mail"): self.mail_came}
-        self.post = Post(loop, house.number, house.peers, lambda: self.house.keys, wall)
+        self.post = DirectorMessages(loop, house.number, house.peers, lambda: self.house.keys, wall)
         loop.on_turn_end(self.turn_ends)
         if not house.deployment.must_ask:
             self.fleet.follow()
@@ -87,7 +87,7 @@
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
         return changed
 
-    def change_house(self, house: House) -> None:
+    def change_director_file(self, house: House) -> None:
         """The file read again: its keys, deployment and peers hold from now on; plays under way keep the terms that they were taken on.
         What needs a restart stays as it is. The way back is the same step."""
         self.change_keys(house.keys, house.retired)
@@ -98,9 +98,9 @@
         self.most_importance = max(product.importance for product in house.deployment.products)
         self.post.reach(house.peers)
         self.feed(self.controller.update_deployment, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
-        self.watch("deployment changed", products=len(house.names), held=self.held, waiting=self.waiting)
+        self.watch("deployment changed", products=len(house.names), held=self.active_plays, waiting=self.waiting)
         if self.tap is not None:
-            self.tap("deployment changed", self.loop.now, {"products": list(house.names), "held": self.held, "waiting": self.waiting})
+            self.tap("deployment changed", self.loop.now, {"products": list(house.names), "held": self.active_plays, "waiting": self.waiting})
 
     def limits_refused(self, texts: list[str]) -> None:
         """A file was refused: what is in force stays."""
@@ -116,12 +116,12 @@
         dirty, self.dirty = self.dirty, {}
         for link in dirty:
             link.flush()
-        if self.stopping and not self.tries and not self.broken:
-            self.wind_up()
+        if self.stopping and not self.attempts and not self.broken:
+            self.shut_down()
 
     def fail_all_plays(self) -> None:
         self.broken = self.stopping = True
-        for ply in list(self.tries.values()):
+        for ply in list(self.attempts.values()):
             if ply.playing:
                 self.release(ply)
                 ply.exchange.push(frames.event(STOPPED))
@@ -131,7 +131,7 @@
         self.server.stop_accepting()
         self.loop.call_later(100, self.loop.stop)
 
-    def chance(self) -> float:
+    def random_fraction(self) -> float:
         self.draws += 1
         return crc32(b"%d door %d" % (self.house.seed, self.draws)) / 2 ** 32
 
@@ -142,15 +142,15 @@
         if page is not None:
             return page(exchange)
         known = any(path == exchange.path for _, path in self.pages)
-        exchange.answer(405 if known else 404, frames.problem(f"no {exchange.method} {exchange.path[:80]} here"))
+        exchange.answer(405 if known else 404, frames.error_body(f"no {exchange.method} {exchange.path[:80]} here"))
 
-    def arrive(self, exchange: Exchange) -> None:
+    def handle_play_request(self, exchange: Exchange) -> None:
         try:
             request = frames.read_request(exchange.body)
             if request.product not in self.products:
-                raise frames.Malformed(f"play request: no product {request.product!r} here")
-        except frames.Malformed as error:
-            exchange.answer(400, frames.problem(str(error)))
+                raise frames.MalformedFrame(f"play request: no product {request.product!r} here")
+        except frames.MalformedFrame as error:
+            exchange.answer(400, frames.error_body(str(error)))
             return
         product = self.products[request.product]
         generation, repeat = self.generations.take(), self.house.deployment.products[product].repeat
@@ -158,26 +158,26 @@
         effective = self.limits.find(request.route, request.product)
         life = PlayState(effective.terms, repeat, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
         self.numbers += 1
-        ply = Try(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.rows, self.limits),
+        ply = Attempt(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.rows, self.limits),
                   self.house.deployment)
         product_row = self.house.deployment.products[product]
         slow = at_limit(self.waiting, self.room.total_limit(self.ready_nodes()), product_row.importance, self.most_importance, ply.earlier.tries)
-        turned = (admission.check_capacity(self.bounds, self.waiting, self.held, self.stopping, self.chance()) or admission.check_node_latency(slow, self.bounds, self.chance())
-                  or admission.check_earlier_attempt(repeat == "paid", ply.earlier.ran) or life.check_viewer_attempts(ply.earlier.tries)
-                  or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.shut())
-        self.tries[ply.id] = ply
+        turned = (admission.check_capacity(self.bounds, self.waiting, self.active_plays, self.stopping, self.random_fraction()) or admission.check_node_latency(slow, self.bounds, self.random_fraction())
+                  or admission.check_earlier_attempt(repeat == "paid", ply.earlier.may_have_run) or life.check_viewer_attempts(ply.earlier.tries)
+                  or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.closed_rejection())
+        self.attempts[ply.id] = ply
         self.waiting += 1
         exchange.on_gone = lambda: self.viewer_left(ply)
         if turned is not None:
             return self.finish(ply, face.FAILED if turned.failed else face.DECLINED, turned.retry_after_ms, turned.reason)
-        ply.timer = self.loop.call_at(life.answer_deadline, lambda: self.overdue(ply))
+        ply.timer = self.loop.call_at(life.answer_deadline, lambda: self.answer_overdue(ply))
         self.budgets.record_play(ply.budgets, self.loop.now)
         self.admit(ply)
 
     def ready_nodes(self) -> list[int]:
         return [node for node, entry in self.fleet.entries.items() if entry.state == face.READY] if self.room.kind != OFF else []
 
-    def earlier(self, request: frames.Request) -> tokens.Earlier:
+    def earlier(self, request: frames.Request) -> tokens.PreviousAttempt:
         """What the viewer's token tells, this try counted; a token that is not taken makes a first try."""
         wall = self.wall()
         if request.token is not None:
@@ -186,7 +186,7 @@
                 return told._replace(tries=told.tries + 1)
             except tokens.BadToken as error:
                 self.watch("token refused", reason=str(error))
-        return tokens.Earlier(request.key, wall, 1, False)
+        return tokens.PreviousAttempt(request.key, wall, 1, False)
 
     def mail_came(self, exchange: Exchange) -> None:
         """A message of another director. One that makes no sense is refused, told, and changes nothing."""
@@ -194,11 +194,11 @@
             sender, loads, shares = self.post.read(exchange.body)
         except peer_messages.MalformedMessage as error:
             self.watch("mail refused", reason=str(error))
-            return exchange.answer(400, frames.problem(str(error)))
+            return exchange.answer(400, frames.error_body(str(error)))
         exchange.answer(200, b"{}")
         return self.feed(self.controller.receive_peer_report, self.loop.now, sender, loads, shares)
 
-    def admit(self, ply: Try) -> None:
+    def admit(self, ply: Attempt) -> None:
         r, now = ply.request, self.loop.now
         ply.asked = True
         if self.observer is not None:
@@ -207,7 +207,7 @@
                                                                       r.length_ms, max(0.0, ply.life.deadline - now),
                                                                       ply.earlier.tries > 1))
 
-    def overdue(self, ply: Try) -> None:
+    def answer_overdue(self, ply: Attempt) -> None:
         """The last guard of the one answer: what holds it up is not known here, so it is failed."""
         ply.timer = None
         if not ply.answered and not ply.left:
@@ -216,7 +216,7 @@
                 self.feed(self.controller.viewer_left, self.loop.now, ply.id)
             self.finish(ply, face.FAILED, None, "time limit")
 
-    def viewer_left(self, ply: Try) -> None:
+    def viewer_left(self, ply: Attempt) -> None:
         """The viewer's connection ended, before its answer or while it plays."""
         if ply.left:
             return
@@ -228,18 +228,18 @@
             self.waiting -= 1
         self.end_allocation(ply)
 
-    def end_allocation(self, ply: Try) -> None:
+    def end_allocation(self, ply: Attempt) -> None:
         """Nobody wants the try's allocation any more."""
         if ply.allocation is None or ply.allocation.state == alloc.GONE:
             self.forget(ply)
         else:
             self.apply(ply, ply.allocation.viewer_left(*written(ply)))
 
-    def finish(self, ply: Try, answer: str, retry_ms: float | None, reason: str = "") -> None:
+    def finish(self, ply: Attempt, answer: str, retry_ms: float | None, reason: str = "") -> None:
         """The final answer of a try that does not play."""
         if ply.settle():
             self.waiting -= 1
-            token = tokens.sign(self.house.keys, ply.earlier._replace(ran=ply.earlier.ran or answer == face.FAILED))
+            token = tokens.sign(self.house.keys, ply.earlier._replace(may_have_run=ply.earlier.may_have_run or answer == face.FAILED))
             status = 502 if answer == face.FAILED else 503
             extra = "" if retry_ms is None else f"Retry-After: {-int(-retry_ms // 1000)}\r\n"
             self.watch("answer", play=ply.id, answer=answer, product=ply.request.product, tries=ply.earlier.tries,
@@ -250,9 +250,9 @@
         elif ply.allocation.state in (alloc.WAITING, alloc.OUT):
             self.apply(ply, ply.allocation.viewer_left(*written(ply)))
 
-    def forget(self, ply: Try) -> None:
+    def forget(self, ply: Attempt) -> None:
         ply.stop_timers()
-        if self.tries.pop(ply.id, None) is not None:
+        if self.attempts.pop(ply.id, None) is not None:
             self.generations.drop(ply.generation)
 
     # Verdicts
@@ -264,7 +264,7 @@
             self.probe(node)
         if verdict.notify_directors:
             return self.post.send(verdict.notify_directors, peer_messages.pack(verdict.loads, verdict.shares))
-        ply = self.tries.get(verdict.play)
+        ply = self.attempts.get(verdict.play)
         if ply is None:
             return
         if verdict.node is not None:
@@ -273,7 +273,7 @@
             ply.allocation = None
             self.finish(ply, verdict.answer, ply.life.clamp_retry_after(verdict.retry_after_ms) if verdict.answer == face.DECLINED else None)
         elif verdict.move:
-            self.take_off(ply, MOVED)
+            self.remove_from_node(ply, MOVED)
         elif verdict.rung is not None:
             self.change_rung(ply, verdict.rung)
 
@@ -286,12 +286,12 @@
         self.feed(self.controller.update_fleet, self.loop.now, lines, whole)
         for node in stopped:
             self.take_back(node)
-        self.fleet.drop_unused(lambda node: bool(self.on_node.get(node)))
+        self.fleet.drop_unused(lambda node: bool(self.attempts_by_node.get(node)))
         self.room.keep_only(self.fleet.links)
 
     def take_back(self, node: int) -> None:
         """Set-ups of which no byte has left yet do not go to a node that drains."""
-        for name, ply in list(self.on_node.get(node, {}).items()):
+        for name, ply in list(self.attempts_by_node.get(node, {}).items()):
             call, a = ply.call, ply.allocation
             if a.state == alloc.WAITING and (call is None or not call.written):
                 ply.call = None
@@ -310,27 +310,27 @@
 
     def session_lost(self, link: Link, why: str) -> None:
         self.watch("session lost", node=link.node, why=why)
-        for ply in list(self.on_node.get(link.node, {}).values()):
+        for ply in list(self.attempts_by_node.get(link.node, {}).values()):
             if written(ply)[0]:
                 ply.allocation.sent()
             self.apply(ply, ply.allocation.session_lost())
 
-    def node_said(self, link: Link, line: frames.NodeLineOfNotes) -> None:
+    def node_said(self, link: Link, line: frames.NoteLine) -> None:
         for name, kind, value in line.notes:
-            ply = self.by_allocation.get(name)
+            ply = self.attempts_by_allocation.get(name)
             if self.observer is not None and kind == face.LINK_DEMAND:
                 self.observer.asked_told(link.node, value)
             self.feed(self.controller.update_play, self.loop.now, ply.id if ply else 0, link.node, kind, value)
         for name, how in line.ended:
-            if ply := self.by_allocation.get(name):
+            if ply := self.attempts_by_allocation.get(name):
                 self.apply(ply, ply.allocation.node_ended(how == frames.FINISHED))
 
     def released(self, link: Link, released: dict, unknown: list) -> None:
         for name, ran in released.items():
-            if ply := self.by_allocation.get(name):
+            if ply := self.attempts_by_allocation.get(name):
                 self.apply(ply, ply.allocation.released(ran))
         for name in unknown:
-            if ply := self.by_allocation.get(name):
+            if ply := self.attempts_by_allocation.get(name):
                 self.apply(ply, ply.allocation.node_ended(False))
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
@@ -345,18 +345,18 @@
         if self.stopping:
             return
         self.stopping = True
-        self.watch("stopping", waiting=self.waiting, held=self.held)
-        self.close_door()
+        self.watch("stopping", waiting=self.waiting, held=self.active_plays)
+        self.stop_accepting()
         self.loop.call_later(self.bounds.finish_ms, self.stop_plays)
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         self.server.stop_accepting()
 
     def stop_plays(self) -> None:
-        for ply in list(self.tries.values()):
-            self.take_off(ply, STOPPED)
+        for ply in list(self.attempts.values()):
+            self.remove_from_node(ply, STOPPED)
 
-    def wind_up(self) -> None:
+    def shut_down(self) -> None:
         if self.loop.running:
             self.fleet.close()
             self.post.close()
--- a/laddergw/director/post.py
+++ b/laddergw/director/director_messages.py
@@ -17,7 +17,7 @@
 ONE = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
 
 
-class Post:
+class DirectorMessages:
     """`keys()` gives the house's keys in force, `wall()` the clock in ms that directors share roughly."""
 
     def __init__(self, loop, number: int, peers: tuple, keys: Callable, wall: Callable[[], float]):
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -18,11 +18,11 @@
 
     def __init__(self, loop, address, director: str, make_link: Callable[[int, tuple], Link],
                  changed: Callable, failed: Callable[[], None], tap: Callable | None = None):
-        self.loop, self.director, self.make_link, self.changed, self.failed = loop, director, make_link, changed, failed
+        self.loop, self.director, self.make_link, self.on_change, self.failed = loop, director, make_link, changed, failed
         self.pool, self.tap = Pool(loop, address, LIST_LIMITS), tap
         self.links: dict[int, Link] = {}
         self.entries: dict[int, frames.NodeEntry] = {}
-        self.started: dict[int, tuple[int, float]] = {}     # incarnation and its start, our clock
+        self.process_starts: dict[int, tuple[int, float]] = {}     # incarnation and its start, our clock
         self.version, self.stream, self.timer, self.heard_at = None, None, None, loop.now
         self.bad_frames, self.closed, self.last_fault = 0, False, ""
 
@@ -34,7 +34,7 @@
             self.timer.cancel()
             self.timer = None
         self.version, self.heard_at = None, self.loop.now
-        self.stream = self.pool.call("GET", f"/v1/list?director={self.director}", b"", self.broke, self.line)
+        self.stream = self.pool.call("GET", f"/v1/list?director={self.director}", b"", self.broke, self.frame_received)
         self.loop.call_later(SILENT_MS, self.check_silence)
 
     def check_silence(self) -> None:
@@ -50,15 +50,15 @@
             self.failed()
             self.timer = self.loop.call_later(REDIAL_MS, self.follow)
 
-    def line(self, line: bytes | None) -> None:
+    def frame_received(self, line: bytes | None) -> None:
         if line is None:
             return
         self.heard_at = self.loop.now
         try:
             form, version, entries = frames.read_list(line)
             if form == frames.CHANGES and version != (self.version or -1) + 1:
-                raise frames.Malformed(f"list frame: changes {version} after version {self.version}")
-        except frames.Malformed as error:        # the last good list stands; a whole one is asked for
+                raise frames.MalformedFrame(f"list frame: changes {version} after version {self.version}")
+        except frames.MalformedFrame as error:        # the last good list stands; a whole one is asked for
             self.bad_frames += 1
             self.last_fault = str(error)
             return self.stream.cut(str(error))
@@ -84,17 +84,17 @@
                 self.links[entry.node] = self.make_link(entry.node, entry.address)
             self.entries[entry.node] = entry
             lines.append(self.as_line(entry))
-        self.changed(lines, whole, stopped)
+        self.on_change(lines, whole, stopped)
         if whole:
             for node in [node for node in self.entries if node not in named]:
                 self.entries[node] = self.entries[node]._replace(state=face.GONE)
 
     def as_line(self, entry: frames.NodeEntry) -> face.NodeEntry:
         """The module's line. A process's start is fixed when we first hear of it: told again it must stay the same."""
-        known = self.started.get(entry.node)
+        known = self.process_starts.get(entry.node)
         if known is None or known[0] != entry.incarnation:
             start = 0.0 if entry.age_ms is None else max(0.0, self.loop.now - entry.age_ms)
-            known = self.started[entry.node] = entry.incarnation, start
+            known = self.process_starts[entry.node] = entry.incarnation, start
         return face.NodeEntry(entry.node, entry.cell, entry.weight, entry.state, known[1], entry.kind, entry.zone, entry.node)
 
     def drop_unused(self, used: Callable[[int], bool]) -> None:
--- a/laddergw/director/frames.py
+++ b/laddergw/director/frames.py
@@ -1,6 +1,6 @@
 """The codec of the director's protocols: JSON bodies and lines to plain values and calls, and back.
 
-Wire names end here; docs/protocol.md is the page they come from. A body that makes no sense raises Malformed with
+Wire names end here; docs/protocol.md is the page they come from. A body that makes no sense raises MalformedFrame with
 the place and the reason, and nothing of it is used.
 """
 import math
@@ -24,7 +24,7 @@
 decoder = msgspec.json.Decoder(dict)
 
 
-class Malformed(Exception):
+class MalformedFrame(Exception):
     """A body or line that cannot be used; the text names the place and the reason."""
 
 
@@ -60,39 +60,39 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Malformed(f"{what}: not a JSON object: {error}") from None
+        raise MalformedFrame(f"{what}: not a JSON object: {error}") from None
 
 
 def number(frame: dict, key: str, what: str, default: Any = MISSING, low: float = 0.0, high: float = 1e15) -> float:
     value = frame.get(key, MISSING)
     if value is MISSING or value is None and default is not MISSING:
         if default is MISSING:
-            raise Malformed(f"{what}: {key} is missing")
+            raise MalformedFrame(f"{what}: {key} is missing")
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise Malformed(f"{what}: {key} is not a number: {str(value)[:40]}")
+        raise MalformedFrame(f"{what}: {key} is not a number: {str(value)[:40]}")
     if not low <= value <= high:
-        raise Malformed(f"{what}: {key} is {value}, from {low:g} to {high:g} is taken")
+        raise MalformedFrame(f"{what}: {key} is {value}, from {low:g} to {high:g} is taken")
     return value
 
 
 def whole(frame: dict, key: str, what: str, default: Any = MISSING, low: int = 0, high: int = MOST_ID) -> int:
     value = number(frame, key, what, default, low, high)
     if value is not default and not isinstance(value, int):
-        raise Malformed(f"{what}: {key} is not a whole number: {value}")
+        raise MalformedFrame(f"{what}: {key} is not a whole number: {value}")
     return value
 
 
 def word(frame: dict, key: str, what: str, default: Any = MISSING, most: int = KEY_BYTES, among: tuple = ()) -> str:
     value = frame.get(key, default)
     if value is MISSING:
-        raise Malformed(f"{what}: {key} is missing")
+        raise MalformedFrame(f"{what}: {key} is missing")
     if value is default and value is None:
         return value
     if not isinstance(value, str) or not value or len(value) > most:
-        raise Malformed(f"{what}: {key} is not a word of 1 to {most} characters")
+        raise MalformedFrame(f"{what}: {key} is not a word of 1 to {most} characters")
     if among and value not in among:
-        raise Malformed(f"{what}: {key} is {value!r}, not one of {', '.join(among)}")
+        raise MalformedFrame(f"{what}: {key} is {value!r}, not one of {', '.join(among)}")
     return value
 
 
@@ -100,7 +100,7 @@
     value = frame.get(key, [])
     if not isinstance(value, list) or size is not None and any(
             not isinstance(row, list) or len(row) != size for row in value):
-        raise Malformed(f"{what}: {key} is not a list" + (f" of rows of {size}" if size else ""))
+        raise MalformedFrame(f"{what}: {key} is not a list" + (f" of rows of {size}" if size else ""))
     return value
 
 
@@ -122,7 +122,7 @@
     if found is None:
         return 0.0, False
     if not isinstance(found, dict) or not isinstance(found.get("cut", False), bool):
-        raise Malformed(f"{what} is not {{from_ms, cut}}")
+        raise MalformedFrame(f"{what} is not {{from_ms, cut}}")
     return number(found, "from_ms", what, low=0, high=1e9), found.get("cut", False)
 
 
@@ -144,7 +144,7 @@
     return encode({"event": what, **facts}) + b"\n"
 
 
-def problem(text: str) -> bytes:
+def error_body(text: str) -> bytes:
     return encode({"error": text}) + b"\n"
 
 
@@ -184,11 +184,11 @@
 def read_note(row: list, what: str, at: int) -> tuple[str, float]:
     kind, value = row[at], row[at + 1]
     if kind not in NOTES or isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise Malformed(f"{what}: a note of {str(kind)[:20]!r}, {str(value)[:20]!r}")
+        raise MalformedFrame(f"{what}: a note of {str(kind)[:20]!r}, {str(value)[:20]!r}")
     return kind, float(value)
 
 
-class NodeLineOfNotes(NamedTuple):
+class NoteLine(NamedTuple):
     """One line of a node's long answer."""
     session: str | None
     clock: float | None
@@ -196,14 +196,14 @@
     ended: list             # (allocation, how)
 
 
-def read_notes(line: bytes) -> NodeLineOfNotes:
+def read_notes(line: bytes) -> NoteLine:
     frame, what = body_of(line, "notes line"), "notes line"
     ended = [(str(row[0]), str(row[1])) for row in rows(frame, "ended", what, 2)]
     for _, how in ended:
         if how not in (FINISHED, BROKEN, LEASE):
-            raise Malformed(f"{what}: an allocation ended as {how[:20]!r}")
+            raise MalformedFrame(f"{what}: an allocation ended as {how[:20]!r}")
     notes = [(row[0] if isinstance(row[0], str) else None, *read_note(row, what, 1)) for row in rows(frame, "notes", what, 3)]
-    return NodeLineOfNotes(word(frame, "session", what, None), number(frame, "clock", what, None), notes, ended)
+    return NoteLine(word(frame, "session", what, None), number(frame, "clock", what, None), notes, ended)
 
 
 def read_keep_answer(data: bytes) -> tuple[dict, list]:
@@ -221,23 +221,23 @@
     form = word(frame, "form", what, among=(WHOLE, CHANGES, ALIVE))
     entries, seen = rows(frame, "nodes", what), set()
     if len(entries) > NODES_MOST:
-        raise Malformed(f"{what}: {len(entries)} nodes, {NODES_MOST} at most")
+        raise MalformedFrame(f"{what}: {len(entries)} nodes, {NODES_MOST} at most")
     found = []
     for index, entry in enumerate(entries):
         found.append(read_entry(entry, f"{what}, node {index}"))
         if found[-1].node in seen:
-            raise Malformed(f"{what}, node {index}: {found[-1].node} stands twice")
+            raise MalformedFrame(f"{what}, node {index}: {found[-1].node} stands twice")
         seen.add(found[-1].node)
     return form, whole(frame, "version", what, 0), found
 
 
 def read_entry(entry: Any, what: str) -> NodeEntry:
     if not isinstance(entry, dict):
-        raise Malformed(f"{what}: not an object")
+        raise MalformedFrame(f"{what}: not an object")
     address = entry.get("address")
     if (not isinstance(address, list) or len(address) != 2 or not isinstance(address[0], str)
             or isinstance(address[1], bool) or not isinstance(address[1], int) or not 0 < address[1] < 65_536):
-        raise Malformed(f"{what}: address is not [host, port]")
+        raise MalformedFrame(f"{what}: address is not [host, port]")
     return NodeEntry(
         whole(entry, "node", what), whole(entry, "cell", what, 0, 0, 1_000_000), number(entry, "weight", what, 1.0, 0, 1e9),
         word(entry, "state", what, among=STATES), whole(entry, "incarnation", what, 0),
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -23,7 +23,7 @@
 Checked = Callable[[Loaded], None]
 
 
-class InPlace:
+class InProcessCheck:
     """Checks at once: for worlds in memory, where a check takes no time."""
 
     def __init__(self, house):
@@ -33,7 +33,7 @@
         done(load(data, name, self.house))
 
 
-class Beside:
+class SubprocessCheck:
     """Checks in a child process. One at a time; what came meanwhile is looked at again afterwards."""
 
     def __init__(self, loop, house_path: str):
@@ -103,7 +103,7 @@
             against = loaded.texts() if loaded.limits is None else list(filter(None, [sure(loaded.limits)]))
             if not against:
                 self.put(loaded.limits)
-                if replaced(self.path, data) is None:
+                if replace_file(self.path, data) is None:
                     keep_good(self.path, data)
                     self.seen = self.settled = digest(data)
             done(against)
@@ -119,7 +119,7 @@
             self.refused(loaded.texts())
 
 
-def replaced(path: str, data: bytes) -> str | None:
+def replace_file(path: str, data: bytes) -> str | None:
     """Writes a file whole, in one move; why not, where it cannot be written."""
     fresh = f"{path}.{os.getpid()}.new"
     try:
@@ -137,7 +137,7 @@
 
 def keep_good(path: str, data: bytes) -> None:
     """A copy beside the file, for a director that starts while the file is being mended. Where it cannot be written, none is kept."""
-    replaced(path + GOOD, data)
+    replace_file(path + GOOD, data)
 
 
 def at_start(path: str, house) -> tuple[Loaded, list[str]]:
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -13,19 +13,19 @@
 SET_UPS = PoolLimits()
 
 
-class Told(Protocol):
+class NodeEvents(Protocol):
     """Who is told of what a node says. Links in `dirty` have something to send: flush() is called at the turn's end."""
     dirty: dict
     def session_up(self, link: "Link") -> None: ...
     def session_lost(self, link: "Link", why: str) -> None: ...
-    def node_said(self, link: "Link", line: frames.NodeLineOfNotes) -> None: ...
+    def node_said(self, link: "Link", line: frames.NoteLine) -> None: ...
     def released(self, link: "Link", released: dict, unknown: list) -> None: ...
 
 
 class Link:
     """One node as the director reaches it."""
 
-    def __init__(self, loop, node: int, address: tuple[str, int], director: str, told: Told, tap: Callable | None = None):
+    def __init__(self, loop, node: int, address: tuple[str, int], director: str, told: NodeEvents, tap: Callable | None = None):
         self.loop, self.node, self.address, self.told, self.director = loop, node, address, told, director
         self.notes = Pool(loop, address, ONE)
         self.control = Pool(loop, address, ONE)
@@ -62,7 +62,7 @@
             return
         try:
             read = frames.read_notes(line)
-        except frames.Malformed as error:
+        except frames.MalformedFrame as error:
             return self.stream.cut(str(error))
         was_up = self.session.up
         if read.clock is not None:
@@ -161,7 +161,7 @@
                 del self.rungs[name]
         try:
             released, unknown = frames.read_keep_answer(call.body)
-        except frames.Malformed:
+        except frames.MalformedFrame:
             return
         if released or unknown:
             self.told.released(self, released, unknown)
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -9,7 +9,7 @@
 
 from laddergw.terms import house as houses
 from laddergw.director.director import Director
-from laddergw.director.limits_file import Beside, LimitsFile, at_start
+from laddergw.director.limits_file import SubprocessCheck, LimitsFile, at_start
 from laddergw.director.watching import Watcher, health, logger
 from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
@@ -43,7 +43,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-def read_again(path: str, director: Director, log, limits: str | None = None) -> None:
+def reload_director_file(path: str, director: Director, log, limits: str | None = None) -> None:
     """The file anew, at SIGHUP: its keys, deployment and peers hold from now on; a refused file, or one that the limits in force do not fit,
     changes nothing; the rest waits for a restart."""
     try:
@@ -58,7 +58,7 @@
         log.error("file refused", faults=[against])
         return
     others = houses.other_changes(director.house, house)
-    director.change_house(house)
+    director.change_director_file(house)
     log.info("keys changed", signs=house.keys[0][0], taken=[name for name, _ in house.keys], retired=sorted(house.retired), for_restart=others)
 
 
@@ -71,9 +71,9 @@
     return EdgeSide(director, house.planners, None, (lambda: client_context(*house.tls)) if house.tls is not None else None)
 
 
-def again(path: str, director: Director, watch: LimitsFile | None, log) -> None:
+def reload_files(path: str, director: Director, watch: LimitsFile | None, log) -> None:
     """At SIGHUP: the director's own file, and the limits at once."""
-    read_again(path, director, log, watch.path if watch is not None else None)
+    reload_director_file(path, director, log, watch.path if watch is not None else None)
     if watch is not None:
         watch.look(at_once=True)
 
@@ -87,7 +87,7 @@
     def refused(texts: list[str]) -> None:
         director.limits_refused(texts)
         log.error("limits refused", faults=texts)
-    return LimitsFile(director.loop, limits, Beside(director.loop, path), put, refused, None)
+    return LimitsFile(director.loop, limits, SubprocessCheck(director.loop, path), put, refused, None)
 
 
 def run(path: str, level: str = "info", tap_file: str | None = None, source: str = "d", make: Callable = Director,
@@ -130,8 +130,8 @@
     watch = watch_limits(limits, path, director, log) if limits is not None else None
     if side is not None and watch is not None:
         side.audit.brings(watch.bring)
-    director.read_again = lambda: again(path, director, watch, log)
-    loop.on_signal(signal.SIGHUP, director.read_again)
+    director.reload_files = lambda: reload_files(path, director, watch, log)
+    loop.on_signal(signal.SIGHUP, director.reload_files)
     set_up(director, log)
     log.info("director runs", address=director.address, process=os.getpid())
     sys.stdout.write(f"ready {director.address[0]} {director.address[1]}\n")    # one write: whoever reads it may close
--- a/laddergw/director/tokens.py
+++ b/laddergw/director/tokens.py
@@ -16,12 +16,12 @@
 MOST_TRIES = 10_000        # a count beyond this is a lie
 
 
-class Earlier(NamedTuple):
+class PreviousAttempt(NamedTuple):
     """What a viewer's earlier tries left behind."""
     key: str               # the viewer's play key
     first_ms: float        # wall clock at the first try
     tries: int             # tries so far, the first included
-    ran: bool              # an allocation of a paid product may have run
+    may_have_run: bool              # an allocation of a paid product may have run
 
 
 class BadToken(Exception):
@@ -40,13 +40,13 @@
     return hmac.digest(secret, f"{name}.{body}".encode(), hashlib.sha256)[:MARK_BYTES]
 
 
-def sign(keys: tuple[tuple[str, bytes], ...], earlier: Earlier) -> str:
+def sign(keys: tuple[tuple[str, bytes], ...], earlier: PreviousAttempt) -> str:
     name, secret = keys[0]
-    body = pack(msgspec.json.encode([earlier.key, round(earlier.first_ms), earlier.tries, earlier.ran]))
+    body = pack(msgspec.json.encode([earlier.key, round(earlier.first_ms), earlier.tries, earlier.may_have_run]))
     return f"{name}.{body}.{pack(mark(secret, name, body))}"
 
 
-def read(keys: tuple[tuple[str, bytes], ...], text: str, key: str, wall: float) -> Earlier:
+def read(keys: tuple[tuple[str, bytes], ...], text: str, key: str, wall: float) -> PreviousAttempt:
     """The token's facts. Raises BadToken for a bad mark, an unknown key, another viewer's play or a wrong time."""
     parts = text.split(".")
     if len(parts) != 3:
@@ -62,7 +62,7 @@
         raise BadToken("not a token") from None
     if values is None:
         raise BadToken("its mark is wrong")
-    earlier = Earlier(*values)
+    earlier = PreviousAttempt(*values)
     if earlier.key != key:
         raise BadToken("of another play")
     if not -AHEAD_MS <= wall - earlier.first_ms <= OLDEST_MS or not 0 < earlier.tries <= MOST_TRIES:
--- a/laddergw/director/watching.py
+++ b/laddergw/director/watching.py
@@ -89,7 +89,7 @@
         """The metrics page in Prometheus' text form."""
 
         def metrics(exchange: Exchange) -> None:
-            for name, value in (("waiting", director.waiting), ("held", director.held), ("lag_ms", director.loop.max_lag_ms),
+            for name, value in (("waiting", director.waiting), ("held", director.active_plays), ("lag_ms", director.loop.max_lag_ms),
                                 ("nodes", len(director.fleet.links)), ("bad_list_frames", director.fleet.bad_frames),
                                 ("limits_generation", director.generations.current.number), ("limits_older", len(director.generations.older)),
                                 ("limits_refused", director.generations.refused)):
@@ -112,7 +112,7 @@
     """200 while plays are taken, 503 before the first list, while the director stops, and while it may let nothing in, with the reason."""
 
     def page(exchange: Exchange) -> None:
-        ready, shut = bool(director.fleet.links) and not director.stopping, director.shut()
+        ready, shut = bool(director.fleet.links) and not director.stopping, director.closed_rejection()
         if ready and shut is not None:
             return exchange.answer(503, b'{"ready": false, "why": "%s"}\n' % shut.reason.encode())
         exchange.answer(200 if ready else 503, b'{"ready": true}\n' if ready else b'{"ready": false}\n')
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -10,10 +10,10 @@
 from laddergw import interface as face
 from laddergw.director import frames, tokens
 from laddergw.machines import admission
-from laddergw.director.carrying import LOST
+from laddergw.director.allocation_calls import LOST
 from laddergw.director.director import Director
 from laddergw.director.link import Link
-from laddergw.director.tries import Try
+from laddergw.director.attempts import Attempt
 from laddergw.edge import addresses
 from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, Served, Title, longest
 from laddergw.edge.fetching import Copies, Fetcher
@@ -68,8 +68,8 @@
             frame = frames.body_of(exchange.body, "session request")
             frames.read_request(exchange.body)
             frame["resume"] = frames.read_resume(frame)
-        except frames.Malformed as error:
-            exchange.answer(400, frames.problem(str(error)))
+        except frames.MalformedFrame as error:
+            exchange.answer(400, frames.error_body(str(error)))
             return
         self.session_numbers += 1
         name = f"{self.name}-{self.session_numbers}"
@@ -82,7 +82,7 @@
     def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
         session.tries += 1
         session.stand = Stand(session, body, read_at, late)
-        self.arrive(session.stand)
+        self.handle_play_request(session.stand)
 
     def began(self, session: Session, answer: dict) -> None:
         """The first node has set the play up: the playlists are fetched from it, then the viewer is answered."""
@@ -145,9 +145,9 @@
 
     def fail(self, session: Session, reason: str) -> None:
         """Its set-up may have run, which the token must tell: a paid play is not set up again."""
-        earlier = tokens.Earlier(session.frame["key"], self.wall(), 1, True)
+        earlier = tokens.PreviousAttempt(session.frame["key"], self.wall(), 1, True)
         if session.token is not None:
-            earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(ran=True)
+            earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(may_have_run=True)
         session.exchange.answer(502, frames.not_playing(face.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
         self.end(session, "failed")
 
@@ -211,17 +211,17 @@
         elif (shown := addresses.shown(asked.name, SEGMENT, BESIDE)) is not None:
             self.segment(session, exchange, *shown)
         else:
-            exchange.answer(404, frames.problem("no such playlist"))
+            exchange.answer(404, frames.error_body("no such playlist"))
 
     def refuse(self, exchange: Exchange, error: addresses.Refusal) -> None:
         """Whoever is told that a session is over asks for another, here or elsewhere: not before its allocation is let go."""
         ending = self.ending.get(exchange.path.split("/")[2])
         if ending is not None and not ending.stand.settled:
-            return exchange.answer(503, frames.problem("the session ends"), extra="Retry-After: 1\r\n") and None
-        exchange.answer(error.status, frames.problem(str(error)))
+            return exchange.answer(503, frames.error_body("the session ends"), extra="Retry-After: 1\r\n") and None
+        exchange.answer(error.status, frames.error_body(str(error)))
         return None
 
-    def forget(self, ply: Try) -> None:
+    def forget(self, ply: Attempt) -> None:
         super().forget(ply)
         if isinstance(ply.exchange, Stand):
             ply.exchange.settled = True
@@ -230,7 +230,7 @@
         """Sends the player to the bytes: the node in charge now for the programme, any holder that is ready for an item."""
         composer = session.composer
         if number >= len(composer.origins) or beside is not None and beside >= len(composer.origins[number].beside):
-            exchange.answer(404, frames.problem("a segment that was not shown"))
+            exchange.answer(404, frames.error_body("a segment that was not shown"))
             return
         origin = composer.origins[number]
         if beside is None:
@@ -238,7 +238,7 @@
             if session.playing.stalls(self.loop.now, number):
                 self.stalled(session, origin)
         if origin.item is None and session.era is None:
-            exchange.answer(503, frames.problem("the play is being moved"), extra="Retry-After: 1\r\n")
+            exchange.answer(503, frames.error_body("the play is being moved"), extra="Retry-After: 1\r\n")
             return
         base = session.era.base if origin.item is None else self.item_from(session, origin)
         exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, beside)}\r\n")
@@ -260,8 +260,8 @@
         if origin.item is not None:
             self.failed[origin.node] = self.loop.now + FAILED_MS
         elif session.state == PLAYS:
-            for ply in [ply for ply in self.tries.values() if ply.exchange is session.stand]:
-                self.take_off(ply, LOST)
+            for ply in [ply for ply in self.attempts.values() if ply.exchange is session.stand]:
+                self.remove_from_node(ply, LOST)
 
     @staticmethod
     def answer_playlist(exchange: Exchange, text: bytes) -> None:
@@ -328,10 +328,10 @@
             if entry is None:
                 continue
             width = entry.weight * deployment.link_unit
-            plays = sum(self.rate(ply) for ply in self.on_node.get(node, {}).values() if ply.allocation is not None)
+            plays = sum(self.rate(ply) for ply in self.attempts_by_node.get(node, {}).values() if ply.allocation is not None)
             found[node] = Holder(
                 node, entry.state == face.READY and link is not None and link.session.up,
-                is_cold(self.fleet.started[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
+                is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
                 share(plays * deployment.directors, width), share(self.item_load.rate(node, *span), width))
         return found
 
@@ -385,12 +385,12 @@
         if stand is not None and stand.on_gone is not None and not stand.ended:
             stand.on_gone()
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Players of what still plays come in by new connections: the door turns new sessions away by itself."""
 
-    def wind_up(self) -> None:
+    def shut_down(self) -> None:
         self.fetcher.close()
-        super().wind_up()
+        super().shut_down()
 
 
 def item_path(programme: Programme, item: str) -> str:
--- a/laddergw/edge/program.py
+++ b/laddergw/edge/program.py
@@ -33,7 +33,7 @@
             except Refused as error:             # the rules in force stay
                 log.error("rules refused", faults=[str(fault) for fault in error.faults])
         def both() -> None:
-            front.read_again()
+            front.reload_files()
             if rules:
                 again()
         front.loop.on_signal(signal.SIGHUP, both)
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -6,7 +6,7 @@
 import re
 import signal
 
-from laddergw.director.limits_file import replaced
+from laddergw.director.limits_file import replace_file
 from laddergw.fleet import versions
 from laddergw.http.client import Pool
 from laddergw.lab import fleet_check
@@ -51,7 +51,7 @@
         """By hand, at each edge."""
         text = sound(self.plant.seed, self.switches % 4, self.read_house).encode()
         for number in range(self.plant.directors):
-            replaced(self.limits(number), text)
+            replace_file(self.limits(number), text)
 
     def limits(self, number: int) -> str:
         return self.file(f"limits.{number}.terms")
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -7,7 +7,7 @@
 
 from laddergw import interface as face
 from laddergw.director.director import Director
-from laddergw.director.limits_file import InPlace, LimitsFile
+from laddergw.director.limits_file import InProcessCheck, LimitsFile
 from laddergw.fleet import answers, versions
 from laddergw.fleet.rights import CLOSED, OPEN
 from laddergw.fleet.stamps import LET_IN
@@ -54,7 +54,7 @@
         self.tally.limits = "\n".join(f"{key} = {value}" for key, value in flat(self.limits).items())
 
     def tallied(self, what: str, **facts) -> None:
-        ply = self.tries.get(facts.get("play"))
+        ply = self.attempts.get(facts.get("play"))
         if what == "limits changed":
             self.note_limits()
         elif ply is None:
@@ -98,7 +98,7 @@
             places.append(line.address)
         side = self.sides[number] = EdgeSide(director, tuple(places), self.keys())
         if not old(number):
-            side.audit.brings(LimitsFile(director.loop, self.limits_of(number), InPlace(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
+            side.audit.brings(LimitsFile(director.loop, self.limits_of(number), InProcessCheck(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
         self.tallies[director.name] = director.tally
 
     def limits_of(self, number: int) -> str:
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -79,7 +79,7 @@
             self.refused += 1
             return
         if houses.switch_fault(director.house, house) is None:
-            director.change_house(house)
+            director.change_director_file(house)
 
 
 class ProcessMove(Moving, ProcessStage):
--- a/laddergw/planner/audit_side.py
+++ b/laddergw/planner/audit_side.py
@@ -9,7 +9,7 @@
 
 import laddergw
 from laddergw.director import frames
-from laddergw.director.tries import Try
+from laddergw.director.attempts import Attempt
 from laddergw.fleet import stamps as acts, versions
 from laddergw.fleet.bringing import Bringing, Fetch, Offer
 from laddergw.fleet.rights import Right
@@ -47,14 +47,14 @@
         for kind in CHANGES.values():
             self.read(kind)
         self.read_list()
-        director, self.watched, self.changed = self.director, self.director.watch, self.director.fleet.changed
-        director.watch, director.fleet.changed = self.told, self.listed
+        director, self.watched, self.changed = self.director, self.director.watch, self.director.fleet.on_change
+        director.watch, director.fleet.on_change = self.told, self.listed
         director.pages["POST", "/v1/audit"] = self.page
         self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
         self.named: frozenset = frozenset()
         self.bringing, self.bring, self.trouble = Bringing(), None, ""
         if self.right is not None:
-            director.shut = self.shut
+            director.closed_rejection = self.shut
         self.stand()
 
     # What is in force
@@ -96,12 +96,12 @@
 
     # What is carried out
 
-    def let_in(self, ply: Try) -> None:
-        ply.stand = self.stamps.now_in_force
+    def let_in(self, ply: Attempt) -> None:
+        ply.version_set = self.stamps.now_in_force
         self.did(ply, acts.LET_IN)
 
-    def did(self, ply: Try, action: str) -> None:
-        self.stamps.did(ply.request.key, ply.request.product, ply.stand or self.stamps.now_in_force, action, self.loop.now)
+    def did(self, ply: Attempt, action: str) -> None:
+        self.stamps.did(ply.request.key, ply.request.product, ply.version_set or self.stamps.now_in_force, action, self.loop.now)
 
     def told(self, what: str, **facts) -> None:
         """What the director watches, stamped on its way."""
@@ -111,7 +111,7 @@
             self.trouble = "" if what == "limits changed" else self.trouble
             self.read(CHANGES[what])
             self.stand()
-        elif (ply := self.director.tries.get(facts.get("play"))) is not None:
+        elif (ply := self.director.attempts.get(facts.get("play"))) is not None:
             if what == "allocate":
                 self.did(ply, acts.AGAIN if facts["number"] else acts.SET_UP)
             elif what == "answer":
@@ -131,7 +131,7 @@
     def shut(self) -> Rejection | None:
         """Why nothing is let in at this moment: viewers are declined and come again elsewhere; what plays goes on under its terms."""
         why = self.right.why_shut(self.named, self.loop.now)
-        return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.chance()) / 2, why)
+        return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.random_fraction()) / 2, why)
 
     # What is told
 
@@ -184,12 +184,12 @@
         try:
             asked = json.loads(exchange.body or b"{}").get("play")
         except (ValueError, AttributeError):
-            return exchange.answer(400, frames.problem("an object, with `play` or without"))
+            return exchange.answer(400, frames.error_body("an object, with `play` or without"))
         if asked is None:
             stand = self.stamps.stands[self.stamps.now_in_force]
             return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.stamps.turns[-1].at_ms, "now_ms": self.loop.now,
                                                        "versions": [version._asdict() for version in stand.versions], "untold": self.stamps.untold}))
         way = self.stamps.ways.get(asked)
         if way is None:
-            return exchange.answer(404, frames.problem("no such play among those that are remembered here"))
+            return exchange.answer(404, frames.error_body("no such play among those that are remembered here"))
         return exchange.answer(200, frames.encode({"process": self.director.name, "play": asked, "now_ms": self.loop.now, "way": [step._asdict() for step in way]}))
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/edge_side.py
@@ -7,7 +7,7 @@
 from laddergw import interface as face
 from laddergw.director.director import Director
 from laddergw.director import frames
-from laddergw.director.tries import Try
+from laddergw.director.attempts import Attempt
 from laddergw.http.server import Exchange
 from laddergw.loop.tls import TlsStream
 from laddergw.planner import plan as plans, wire
@@ -55,7 +55,7 @@
 
     # What the director sees
 
-    def admitted(self, ply: Try) -> None:
+    def admitted(self, ply: Attempt) -> None:
         request = ply.request
         self.audit.let_in(ply)
         self.arrivals[request.product] = self.arrivals.get(request.product, 0) + 1
@@ -81,7 +81,7 @@
     def digest(self) -> Digest:
         director, self.number = self.director, self.number + 1
         nodes = {}
-        for node, held in director.on_node.items():
+        for node, held in director.attempts_by_node.items():
             if held:
                 nodes[node] = sum(director.rate(ply) for ply in held.values()), len(held)
         drains = tuple(sorted(node for node, entry in director.fleet.entries.items() if entry.state != face.READY))
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -14,7 +14,7 @@
         if ply.id % 3:
             super().finish(ply, answer, retry_ms, reason)
 
-    def overdue(self, ply):
+    def answer_overdue(self, ply):
         """Its last guard is gone too."""
 
 
@@ -29,7 +29,7 @@
 class Hasty(Director):
     """Rule 2: a set-up that is late is given up without its release or lease's end."""
 
-    def set_up_late(self, ply, name):
+    def set_up_timed_out(self, ply, name):
         ply.lease_timer = None
         if ply.allocation is not None and ply.allocation.name == name:
             ply.allocation.lease_ends_at += 10_000
--- a/tests/fleet_town.py
+++ b/tests/fleet_town.py
@@ -4,13 +4,13 @@
 import tempfile
 import unittest
 
-from laddergw.director.limits_file import InPlace, LimitsFile
+from laddergw.director.limits_file import InProcessCheck, LimitsFile
 from laddergw.lab.lines import Line
 from laddergw.planner import wire
 from laddergw.planner.edge_side import EdgeSide
 from laddergw.planner.server import Planner
 from laddergw.store.keeper import Store
-from tests.town import Town
+from tests.in_memory_cluster import Cluster
 
 
 class FleetTown(unittest.TestCase):
@@ -22,7 +22,7 @@
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
         self.path = os.path.join(folder.name, "store")
-        self.town = Town(directors=self.directors, bounds=self.bounds)
+        self.town = Cluster(directors=self.directors, bounds=self.bounds)
         self.planners = 0
         self.start_planner()
         self.lines, self.sides, self.files = {}, {}, {}
@@ -41,7 +41,7 @@
         if not os.path.exists(path):
             with open(path, "w") as stream:
                 stream.write("(limits)")
-        self.files[number] = LimitsFile(director.loop, path, InPlace(director.house), director.change_limits, director.limits_refused, b"(limits)")
+        self.files[number] = LimitsFile(director.loop, path, InProcessCheck(director.house), director.change_limits, director.limits_refused, b"(limits)")
         side.audit.brings(self.files[number].bring)
 
     def strike(self, number, what, value=None):
--- a/tests/town.py
+++ b/tests/in_memory_cluster.py
@@ -16,7 +16,7 @@
   (product safe (importance 1)) (product paid (importance 2) (repeat paid) (floor 1))))"""
 
 
-class Ask:
+class ViewerRequest:
     """One viewer's try and what came of it."""
 
     def __init__(self, town, director, **facts):
@@ -42,7 +42,7 @@
         return self.lines[0][0]
 
 
-class Town:
+class Cluster:
     def __init__(self, nodes=2, directors=1, lag=(1.0, 1.0), cold=False, bounds="", director_class=Director):
         self.world, self.records = MemoryNetwork(9), []
         self.list = ListStandIn(self.world.host("list"), ("list", 80), lag, 1, self.record)
@@ -71,10 +71,10 @@
         host = self.world.host(f"n{number}.{incarnation}")
         self.nodes[number] = node = NodeStandIn(host, facts, self.rack, (host.name, 80), incarnation, 1, self.record, cold)
         self.entry = getattr(self, "entry", {})
-        self.tell(number, "ready", self.world.now if cold else None, incarnation)
+        self.list_node(number, "ready", self.world.now if cold else None, incarnation)
         return node
 
-    def tell(self, number, state, started=None, incarnation=1):
+    def list_node(self, number, state, started=None, incarnation=1):
         node = self.nodes[number]
         self.list.loop.now = self.world.now
         self.list.change({"node": number, "cell": number % 2, "weight": 1.0, "state": state, "incarnation": incarnation, "kind": 0,
@@ -91,8 +91,8 @@
             (node.loop.kill if what == "die" else node.loop.vanish)()
 
     def ask(self, director=0, **facts):
-        return Ask(self, director, **facts)
+        return ViewerRequest(self, director, **facts)
 
-    def told(self, *names):
+    def records_of(self, *names):
         """Records of some kinds, without their times."""
         return [(what, facts) for _, what, facts in self.records if what in names]
--- a/tests/replays.py
+++ b/tests/replays.py
@@ -13,13 +13,13 @@
 from laddergw.terms import limits as files
 from laddergw.terms.loading import usual
 from tests.broken_limits import HOUSE
-from tests.town import Ask, Town
+from tests.in_memory_cluster import Cluster, ViewerRequest
 
 SET_UPS = ("refused", "no connection", "cut", "silent", "taken")
 RELEASES = ("acknowledged", "release lost")
 
 
-class Replay(Town):
+class Replay(Cluster):
     """A cluster in memory with two directors under a limits file that was not checked."""
 
     def __init__(self, text: str, nodes: int = 8):
@@ -84,7 +84,7 @@
         facts = {"product": objection.product, "route": objection.route, "wait_ms": wait_ms, "key": "v"}
         for number, moves in enumerate(attempts):
             self.moves = deque(moves)
-            request = Ask(self, number, **facts)
+            request = ViewerRequest(self, number, **facts)
             while not request.lines and request.ended is None and self.world.now < request.asked_at + wait_ms + 500:
                 self.run(0.5)
             if request.ended is not None and request.ended.body:
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -30,7 +30,7 @@
 from laddergw.terms.loading import load
 from tests.test_fleet import STANDS
 from tests.test_programme import GOOD
-from tests.town import Town
+from tests.in_memory_cluster import Cluster
 
 
 class AtThePlanner(unittest.TestCase):
@@ -88,7 +88,7 @@
 
     def test_each_change_is_another_stand_and_the_way_back_the_same(self):
         """Reviewed: an edge whose programme rules were read again told nobody, and went on under the stand of before."""
-        town = Town(director_class=Front)
+        town = Cluster(director_class=Front)
         edge = town.directors[0]
         audit = EdgeSide(edge, ()).audit
         stands, rules = [audit.stamps.now_in_force], programmes.read(GOOD)
@@ -97,7 +97,7 @@
         for there, back in ((lambda: edge.change_programme(rules), lambda: edge.change_programme(Programme({}, ()))),
                             (lambda: edge.change_limits(limits), lambda: edge.change_limits(usual)),
                             (lambda: edge.change_keys((("new", b"another key of the town"), *house.keys), frozenset()), lambda: edge.change_keys(house.keys, house.retired)),
-                            (lambda: town.tell(2, "draining"), lambda: town.tell(2, "ready"))):
+                            (lambda: town.list_node(2, "draining"), lambda: town.list_node(2, "ready"))):
             for act in there, back:
                 act()
                 town.run(100)
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -85,7 +85,7 @@
         self.town.run(600)
         self.assertEqual(self.ask(0)[0], "playing")
         self.assertEqual(self.ask(1), ("declined", f"{name} must not be used any more"))
-        self.assertEqual(self.town.directors[1].held, 1)                 # what it holds goes on
+        self.assertEqual(self.town.directors[1].active_plays, 1)                 # what it holds goes on
         self.town.run(LEASE_MS)
         self.assertTrue(self.question("floors")["floors"][0]["nobody_acts_on_it"])
         self.town.world.hosts["p0"].kill()                               # the journal tells the next planner
@@ -109,7 +109,7 @@
         for step in range(80):
             self.town.run(100)
             director.loop.now = self.town.world.now
-            is_open, nobody = director.shut() is None, self.question("floors")["floors"][0]["nobody_acts_on_it"]
+            is_open, nobody = director.closed_rejection() is None, self.question("floors")["floors"][0]["nobody_acts_on_it"]
             self.assertFalse(is_open and nobody, step)
             open_for, said = open_for + is_open, said or (nobody and step)
         self.assertGreater(open_for, 40)                                 # it is not shut at once: nobody could tell it
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -4,7 +4,7 @@
 import shutil
 import unittest
 
-from laddergw.director.limits_file import replaced
+from laddergw.director.limits_file import replace_file
 from laddergw.fleet import versions, wanted
 from laddergw.fleet.bringing import PIECE_BYTES
 from laddergw.fleet.rights import LEASE_MS, MARGIN_MS
@@ -79,7 +79,7 @@
     def test_a_write_that_fails_leaves_nothing_behind(self):
         path = os.path.join(self.folder, "taken")
         os.mkdir(path)
-        self.assertIn("cannot be written", replaced(path, GOOD))
+        self.assertIn("cannot be written", replace_file(path, GOOD))
         self.assertEqual([name for name in os.listdir(self.folder) if name.endswith(".new")], [])
 
     def test_one_that_is_refused_halts_and_touches_nobody(self):
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -30,7 +30,7 @@
     def test_any_value_in_a_request_is_taken_or_told(self, key, value):
         try:
             read = frames.read_request(bytes_of({**REQUEST, key: value}))
-        except frames.Malformed as error:
+        except frames.MalformedFrame as error:
             self.assertRegex(str(error), f"{key}|JSON")
         else:
             for number in read.title, read.home, read.copies, read.ceiling, read.wait_ms, read.unsettled_ms:
@@ -42,7 +42,7 @@
         frame = {"form": "whole", "version": 3, "nodes": [ENTRY, {**ENTRY, "node": 8, key: value}]}
         try:
             form, version, entries = frames.read_list(bytes_of(frame))
-        except frames.Malformed as error:
+        except frames.MalformedFrame as error:
             self.assertRegex(str(error), "node 1|JSON")
         else:
             self.assertTrue(all(math.isfinite(e.weight) and e.weight >= 0 for e in entries))
@@ -55,14 +55,14 @@
                 lambda d: frames.read_set_up_answer(d, ("x0",)):
             try:
                 read(data)
-            except frames.Malformed as error:
+            except frames.MalformedFrame as error:
                 self.assertTrue(str(error))
 
     def test_a_frame_cut_at_each_of_its_bytes(self):
         whole = frames.list_frame(frames.WHOLE, 3, [frames.read_entry(ENTRY, "x")])
         self.assertEqual(frames.read_list(whole)[2][0].node, 7)
         for cut in range(len(whole) - 1):
-            with self.assertRaises(frames.Malformed):
+            with self.assertRaises(frames.MalformedFrame):
                 frames.read_list(whole[:cut])
 
     def test_reports_that_make_no_sense_are_no_word(self):
@@ -73,7 +73,7 @@
 
 class Tokens(unittest.TestCase):
     def test_a_token_is_read_by_its_key_and_by_no_other(self):
-        earlier = tokens.Earlier("v1", 5_000.0, 3, True)
+        earlier = tokens.PreviousAttempt("v1", 5_000.0, 3, True)
         for keys in KEYS, KEYS[::-1]:
             text = tokens.sign(keys, earlier)
             self.assertEqual(tokens.read(KEYS, text, "v1", 9_000.0), earlier)
@@ -86,7 +86,7 @@
     @settings(max_examples=200, deadline=None)
     @given(st.integers(0, 200), st.characters(codec="ascii"))
     def test_a_changed_token_is_never_taken_for_another(self, at, char):
-        earlier = tokens.Earlier("v1", 5_000.0, 3, False)
+        earlier = tokens.PreviousAttempt("v1", 5_000.0, 3, False)
         text = tokens.sign(KEYS, earlier)
         at %= len(text)
         try:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -10,7 +10,7 @@
 from laddergw.programme import rules
 from laddergw.terms.limits import read as read_limits
 from laddergw.terms.loading import usual
-from tests.town import Town
+from tests.in_memory_cluster import Cluster
 
 RULES = """(programme
  (item "tide" (playlist "tide.m3u8") (length-ms 9000) (nodes 1 2 3))
@@ -28,7 +28,7 @@
         class WithRules(Front):
             def __init__(self, *args, **more):
                 super().__init__(*args, programme=programme, **more)
-        self.town = Town(nodes=3, director_class=WithRules)
+        self.town = Cluster(nodes=3, director_class=WithRules)
         self.wire, self.records, self.players = Wire(self.town.viewer), [], []
 
     def record(self, what, now, **facts):
@@ -54,7 +54,7 @@
         self.assertGreater(sum("news/" in uri for uri in player.uris), 2)
         self.town.run(20_000)
         front = self.town.directors[0]
-        self.assertEqual((front.sessions, front.tries, front.held), ({}, {}, 0))
+        self.assertEqual((front.sessions, front.attempts, front.active_plays), ({}, {}, 0))
         self.assertEqual(front.ended_sessions, {"ended": 1})
 
     def test_many_sessions_through_deaths_and_drains(self):
@@ -64,9 +64,9 @@
             self.town.run(400)
         self.town.run(5_000)
         self.town.fault(1, "die")
-        self.town.tell(1, "gone")
+        self.town.list_node(1, "gone")
         self.town.run(15_000)
-        self.town.tell(2, "draining")
+        self.town.list_node(2, "draining")
         self.town.run(400_000)
         self.assertEqual(self.told("timing fault"), [])
         over = self.told("session over")
@@ -81,7 +81,7 @@
         player.done = True
         self.town.run(40_000)
         front = self.town.directors[0]
-        self.assertEqual((front.ended_sessions, front.held, front.tries), ({"left": 1}, 0, {}))
+        self.assertEqual((front.ended_sessions, front.active_plays, front.attempts), ({"left": 1}, 0, {}))
 
     def front_of(self, number=0):
         return self.town.directors[number]
@@ -155,7 +155,7 @@
         self.assertEqual((status, told["answer"], again, told_again["reason"]), (502, "failed", 502, "an earlier set-up may have run"))
         self.assertTrue(600 <= ms <= 700)
         self.assertEqual(len([1 for _, what, _ in self.town.records if what == "set up"]), 1)
-        self.assertEqual((self.front_of().sessions, self.front_of().tries), ({}, {}))
+        self.assertEqual((self.front_of().sessions, self.front_of().attempts), ({}, {}))
 
     def test_second_copies_of_reads_and_never_of_set_ups(self):
         """A node that sets up and is silent on playlists: a copy of each read goes to another holder, and the session begins in time."""
@@ -195,7 +195,7 @@
         """The play is taken off it and the module rests it; the programme comes whole all the same."""
         player = self.play(5, route="/board/1")
         self.town.run(300)
-        node = next(iter(self.town.directors[0].by_allocation.values())).allocation.node
+        node = next(iter(self.town.directors[0].attempts_by_allocation.values())).allocation.node
         self.town.fault(node, "stall", 1)
         self.town.run(400_000)
         self.assertEqual([f["outcome"] for f in self.told("session over")], ["played"])
@@ -216,7 +216,7 @@
         session.buffered_ms = lambda: 1e-10
         for number in self.town.nodes:
             self.town.fault(number, "die")
-            self.town.tell(number, "gone")
+            self.town.list_node(number, "gone")
         self.town.run(5_000)
         self.assertTrue(2 <= len(asked) <= 18)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 from laddergw.terms.routes import At, RouteTrie, scan
 from tests.broken_limits import BROKEN, GOOD, HOUSE
 from tests.replays import Replay
-from tests.town import Ask
+from tests.in_memory_cluster import ViewerRequest
 
 LIVES = read(HOUSE)
 
@@ -90,7 +90,7 @@
             for allowed in text, "(limits)":
                 town = Replay(allowed)
                 for number in range(6):
-                    Ask(town, 0, product=product, key=f"v{number}", **facts)
+                    ViewerRequest(town, 0, product=product, key=f"v{number}", **facts)
                     town.run(300)
                 held = [f for _, what, f in town.records if what == "held"]
                 if product == "paid":
@@ -104,7 +104,7 @@
                 town = Replay(allowed)
                 town.moves = deque(["refused"] * 100)
                 for number in range(6):
-                    Ask(town, 0, key=f"v{number}")
+                    ViewerRequest(town, 0, key=f"v{number}")
                     town.run(1_300)
                 further = [f["asked"] for _, what, f in town.records if what == "set-up written" and f["number"]]
                 window = [sum(1 for other in further if at - 10_000 <= other <= at) for at in further]
@@ -117,7 +117,7 @@
             town.script_node(50)
             asked = []
             for number in range(120):
-                asked.append(Ask(town, number % 2, product="paid", key=f"v{number}", title=number, home=0, copies=1))
+                asked.append(ViewerRequest(town, number % 2, product="paid", key=f"v{number}", title=number, home=0, copies=1))
                 town.run(20)
                 for one in asked:                # short plays: what holds them up is the pace alone
                     if one.answer == "playing" and one.ended is None:
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -4,13 +4,13 @@
 import tempfile
 import unittest
 
-from laddergw.director.limits_file import Beside, InPlace, LimitsFile, at_start
+from laddergw.director.limits_file import SubprocessCheck, InProcessCheck, LimitsFile, at_start
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.generations import Generations
 from laddergw.terms.house import read
 from tests.broken_limits import HOUSE
 from tests.test_limits import LIVES, limits, under
-from tests.town import Town
+from tests.in_memory_cluster import Cluster
 
 
 class Switched(unittest.TestCase):
@@ -21,7 +21,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def test_plays_keep_the_generation_they_began_with(self):
-        town = Town(nodes=3)
+        town = Cluster(nodes=3)
         director = town.directors[0]
         director.loop.now = town.world.now
         asked = town.ask(key="v1", route="/a/1")
@@ -35,11 +35,11 @@
         self.assertEqual(list(director.generations.older), [1])
         asked.call.cut("left")
         town.run(500)
-        self.assertEqual((director.generations.older, director.held, director.tries), ({}, 0, {}))
+        self.assertEqual((director.generations.older, director.active_plays, director.attempts), ({}, 0, {}))
 
     def test_lies_of_viewers(self):
         """A wait longer than the file's, a forged token and a wait that never ends change nothing for others."""
-        town = Town(nodes=1)
+        town = Cluster(nodes=1)
         director = under(town, limits("(limits (defaults (time-limit-ms 700) (set-up-ms 500)))"))
         town.fault(1, "mute", True)
         slow = town.ask(wait_ms=600_000)
@@ -51,7 +51,7 @@
         self.assertEqual((held.answer, held.lines[0][1]["retry_ms"]), ("declined", 2_000))
 
     def test_attempts_backoff_and_connect_at_a_director(self):
-        town = Town(nodes=6)
+        town = Cluster(nodes=6)
         director = under(town, limits("(limits (defaults (attempts 2) (backoff-ms 150 1 150) (retry-after-ms 900 950)))"))
         for number in town.nodes:
             town.fault(number, "errors", 1.0)
@@ -63,19 +63,19 @@
         self.assertTrue(900 <= asked.lines[0][1]["retry_ms"] <= 950)
 
     def test_a_node_that_drains_in_a_pause_gets_nothing(self):
-        town = Town(nodes=2)
+        town = Cluster(nodes=2)
         director = under(town, limits("(limits (defaults (backoff-ms 400 1 400)))"))
         for number in town.nodes:
             town.fault(number, "errors", 1.0)
         town.ask()
         town.run(100)
         first = next(f["node"] for _, what, f in town.records if what == "set-up written")
-        town.tell(3 - first, "draining")
+        town.list_node(3 - first, "draining")
         town.run(1_500)
         self.assertEqual({f["node"] for _, what, f in town.records if what == "set-up written"}, {first})
 
     def test_spent_budgets_of_a_tenant(self):
-        town = Town(nodes=6)
+        town = Cluster(nodes=6)
         director = under(town, limits('(limits (tenant t (budget (free 1))) (route "/a/" (tenant t)))'))
         for number in town.nodes:
             town.fault(number, "errors", 1.0)
@@ -94,9 +94,9 @@
         self.addCleanup(self.folder.cleanup)
         self.path = os.path.join(self.folder.name, "limits.scm")
         self.write("(limits)")
-        self.town = Town(nodes=1)
+        self.town = Cluster(nodes=1)
         self.put, self.refused = [], []
-        self.file = LimitsFile(self.town.directors[0].loop, self.path, InPlace(LIVES), self.put.append, self.refused.append, b"(limits)")
+        self.file = LimitsFile(self.town.directors[0].loop, self.path, InProcessCheck(LIVES), self.put.append, self.refused.append, b"(limits)")
 
     def write(self, text):
         with open(self.path, "w") as stream:
@@ -134,9 +134,9 @@
         house = os.path.join(self.folder.name, "house.scm")
         with open(house, "w") as stream:
             stream.write(HOUSE)
-        Beside(loop, house).check(b"(limits (cold-pace 0.5))", "x", done.append)
-        Beside(loop, house).check(b"(limits (cold-pace 20))", "x", done.append)
-        Beside(loop, self.path + "none").check(b"(limits)", "x", done.append)
+        SubprocessCheck(loop, house).check(b"(limits (cold-pace 0.5))", "x", done.append)
+        SubprocessCheck(loop, house).check(b"(limits (cold-pace 20))", "x", done.append)
+        SubprocessCheck(loop, self.path + "none").check(b"(limits)", "x", done.append)
         while len(done) < 3:
             loop.turn()
         self.assertEqual([one.limits.cold_pace.value for one in done if one.limits], [0.5])
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -4,14 +4,14 @@
 
 from laddergw import peer_messages
 from laddergw.terms import house as houses
-from laddergw.director.carrying import LOST
+from laddergw.director.allocation_calls import LOST
 from laddergw.director.director import Director
-from laddergw.director.post import STALE_MS, Post
+from laddergw.director.director_messages import STALE_MS, DirectorMessages
 from laddergw.lab import move, script
 from laddergw.lab.audit import audit
 from laddergw.lab.plant import plant
 from laddergw.loop.memory import MemoryNetwork
-from tests.town import FILE, Town
+from tests.in_memory_cluster import FILE, Cluster
 
 SECONDS = 14.0
 KEYS = (("k", b"key-of-the-small-town"),)
@@ -53,20 +53,20 @@
     def test_the_audit_sees_a_switch_that_drops_plays(self):
         """The same rehearsal with a director that lets its plays go at a switch: it must be caught."""
         class Dropping(Director):
-            def change_house(self, house):
-                super().change_house(house)
-                for ply in list(self.tries.values()):
-                    self.take_off(ply, LOST)
+            def change_director_file(self, house):
+                super().change_director_file(house)
+                for ply in list(self.attempts.values()):
+                    self.remove_from_node(ply, LOST)
         the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
         records = move.MemoryMove(the_plant, [], director_class=Dropping).run()
         self.assertGreater(move.switched(records)["dropped"], 0)
 
     def test_plays_keep_their_terms_and_a_refused_file_changes_nothing(self):
-        town = Town()
+        town = Cluster()
         ask = town.ask()
         town.run(300)
         director = town.directors[0]
-        held = next(iter(director.tries.values()))
+        held = next(iter(director.attempts.values()))
         rate, house = director.rate(held), director.house
         for text, why in ((file_with("(told-by guess)"), "told-by"), (file_with("(join 2)"), "join"), (file_with(product="(live maybe)"), "live")):
             with self.assertRaisesRegex(houses.Refused, why):
@@ -74,21 +74,21 @@
         other = houses.read(file_with().replace("(product safe", "(product unheard (importance 1)) (product safe"))
         self.assertIn("product", houses.switch_fault(house, other))
         new = houses.read(file_with("(probes yes) (told-by probe) (join 0.3)", product="(live yes)").replace("100 200 400", "50 90 130"))
-        director.change_house(new)
+        director.change_director_file(new)
         self.assertEqual((director.rate(held), director.house.deployment.told_by), (rate, "probe"))
-        director.change_house(house)
+        director.change_director_file(house)
         town.run(3_000)
         self.assertIsNone(ask.ended)
-        self.assertEqual((director.held, director.house), (1, house))
+        self.assertEqual((director.active_plays, director.house), (1, house))
 
     def test_a_probe_is_sent_and_its_answer_places_the_play(self):
-        town = Town()
+        town = Cluster()
         director = town.directors[0]
-        director.change_house(houses.read(file_with("(probes yes) (told-by probe)")))
+        director.change_director_file(houses.read(file_with("(probes yes) (told-by probe)")))
         ask = town.ask()
         town.run(600)
         self.assertEqual(ask.answer, "playing")
-        self.assertGreater(len(town.told("probed")), 0)
+        self.assertGreater(len(town.records_of("probed")), 0)
         town.fault(1, "mute", True)
         town.fault(2, "mute", True)
         late = town.ask(wait_ms=1_000)
@@ -102,7 +102,7 @@
         super().setUp()
         self.wall = 1_000_000.0
         world = MemoryNetwork(1)
-        self.post = Post(world.host("d1"), 1, ((0, ("d0", 80)), (1, ("d1", 80))), lambda: KEYS, lambda: self.wall)
+        self.post = DirectorMessages(world.host("d1"), 1, ((0, ("d0", 80)), (1, ("d1", 80))), lambda: KEYS, lambda: self.wall)
         self.sent = []
         self.post.send_one = lambda pool, body: self.sent.append((pool.address, body))
 
@@ -128,7 +128,7 @@
             self.post.read(body)
 
     def test_a_director_refuses_nonsense_and_goes_on(self):
-        town = Town()
+        town = Cluster()
         calls = []
         town.pools[0].call("POST", "/v1/mail", b"nonsense", calls.append)
         town.run(100)
