--- a/benchmarks/audit_cost.py
+++ b/benchmarks/audit_cost.py
@@ -16,7 +16,7 @@
 from laddergw.fleet.book import Book
 from laddergw.fleet.stamps import ENDED, LET_IN, PLAYING, SET_UP, TURNS_MOST, Stamps
 from laddergw.fleet.telling import Told
-from laddergw.planner.auditing import Auditing
+from laddergw.planner.auditing import Auditor
 from laddergw.store.keeper import Store
 
 PARTS_A_SECOND = 4         # a part on each digest
@@ -70,8 +70,8 @@
 
 def planner(directors: int, seconds: int, folder: str) -> None:
     loop, wrote = Loop(), Clock()
-    auditing = Auditing(loop, lambda write: write() or True)
-    auditing.opened(Store(os.path.join(folder, "store")))
+    auditing = Auditor(loop, lambda write: write() or True)
+    auditing.load_journal(Store(os.path.join(folder, "store")))
     fleet = [Stamps() for _ in range(directors)]
     lines = [Told() for _ in fleet]
     merged, size, parts = Clock(), 0, 0
@@ -85,20 +85,20 @@
                     play(stamps, second * 8 + part + n + number, loop.now)
                 said = told.part(stamps)
                 size, parts = size + len(encode(said)), parts + 1
-                merged.time(auditing.book.merge, f"d{number}-0", said, loop.now, loop.now)
-        steps = auditing.keep(())
+                merged.time(auditing.fleet_log.merge, f"d{number}-0", said, loop.now, loop.now)
+        steps = auditing.write_journal(())
         while wrote.time(lambda: next(steps, DONE)) is not DONE:
             pass
         for number, stamps in enumerate(fleet):
-            stamps.kept_by_planner(auditing.book.acknowledged(f"d{number}-0"))
+            stamps.kept_by_planner(auditing.fleet_log.acknowledged(f"d{number}-0"))
     print(f"{directors} directors, {seconds} s: {size / seconds / 1000:.0f} kB/s of parts ({size / parts:.0f} bytes each), merging {merged.sum / seconds:.0f} ms a second "
           f"(longest {merged.worst:.1f} ms), writing {wrote.sum / seconds:.0f} ms a second (longest step {wrote.worst:.1f} ms)")
     ledger, looked = auditing.ledger, Clock()
     verdict = looked.time(ledger.verify)
     print(f"journal: {ledger.count} records, {ledger.size / seconds * 3.6:.0f} kB an hour; verified in {looked.sum:.0f} ms, faults {len(verdict.faults)}")
     asked = Clock()
-    asked.time(answers.versions, auditing.book, loop.now, 0.0)
-    asked.time(answers.director, auditing.book, "d7", 0.0, loop.now, 0.0)
+    asked.time(answers.versions, auditing.fleet_log, loop.now, 0.0)
+    asked.time(answers.director, auditing.fleet_log, "d7", 0.0, loop.now, 0.0)
     print(f"versions and one director asked: longest {asked.worst:.1f} ms")
 
 
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -22,8 +22,8 @@
 from laddergw.lab.plant import draw, plant
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import wire
-from laddergw.planner.audit_side import limits_text
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.audit_client import limits_text
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
 from laddergw.store.keeper import Store
 from laddergw.fleet import versions
@@ -70,11 +70,11 @@
         for number in range(directors):
             light = Light(world, house, number, nodes)
             line = self.lines.line(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
-            side = EdgeSide(light, (line.address,), (("lab", b"key of the planners"),))
+            side = PlannerClient(light, (line.address,), (("lab", b"key of the planners"),))
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
                 stream.write(b"(limits)")
-            side.audit.brings(LimitsFile(light.loop, path, InPlace(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
+            side.audit.accept_files(LimitsFile(light.loop, path, InPlace(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
             self.directors.append(light)
             self.sides.append(side)
 
@@ -91,15 +91,15 @@
     def second(self, number: int) -> None:
         """Plays, and a list that changes."""
         for index, side in enumerate(self.sides):
-            stamps, now = side.audit.stamps, self.world.now
+            stamps, now = side.audit.action_counts, self.world.now
             for n in range(PLAYS_A_SECOND):
                 for action in LET_IN, SET_UP, PLAYING, ENDED:
                     stamps.did(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.now_in_force, action, now)
-            side.audit.held[versions.LIST] = versions.version(versions.LIST, [str(number)])
-            side.audit.stand()
+            side.audit.active_versions[versions.LIST] = versions.version(versions.LIST, [str(number)])
+            side.audit.update_version_set()
 
     def on_it(self, name: str) -> int:
-        return sum(side.audit.held[versions.LIMITS].hash == name for side in self.sides)
+        return sum(side.audit.active_versions[versions.LIMITS].hash == name for side in self.sides)
 
 
 def counted(fleet: Fleet):
@@ -124,7 +124,7 @@
     data = b"(limits (defaults (attempts 2)))\n; " + b"x" * PADDING
     name = versions.version(versions.LIMITS, limits_text(load(data, "wanted", fleet.directors[0].house).limits)).hash
     fleet.planner.loop.now = world.now
-    said = json.loads(fleet.planner.auditing.ask(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
+    said = json.loads(fleet.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
     assert "refused" not in said, said
     cut = [n for n in range(directors) if draw(seed, "cut", n) < CUT_PART]
     lines = [fleet.lines.by_ends[f"d{n}", "p0"] for n in cut]
--- a/laddergw/cli/fleet.py
+++ b/laddergw/cli/fleet.py
@@ -48,7 +48,7 @@
     loop, came, left = SocketLoop(), [], list(questions)
 
     def go_on(peer: Peer) -> None:
-        peer.send(left.pop(0)) if left else peer.end("answered")
+        peer.send(left.pop(0)) if left else peer.close("answered")
 
     def got(peer: Peer, frame: wire.Frame) -> None:
         if isinstance(frame, wire.Answer):
--- a/laddergw/cli/fleet_rollouts.py
+++ b/laddergw/cli/fleet_rollouts.py
@@ -34,7 +34,7 @@
     """Takes a version out over the fleet in steps, halted by itself where it does harm. It is checked here first, and by each director. The way back: want the one of before."""
     from laddergw.fleet.versions import version as as_version
     from laddergw.planner import wire
-    from laddergw.planner.audit_side import limits_text
+    from laddergw.planner.audit_client import limits_text
     from laddergw.terms.loading import load_file
     loaded = load_file(str(file), read(house))
     if loaded.limits is None:
--- a/laddergw/cli/planning.py
+++ b/laddergw/cli/planning.py
@@ -34,9 +34,9 @@
             if isinstance(frame, wire.PlanFrame):
                 try:
                     typer.echo(f"{address[0]}:{address[1]}\n" + describe(plans.unseal(frame.sealed, told.keys), nodes))
-                except plans.Refused as error:
+                except plans.PlanRejected as error:
                     typer.echo(f"{address[0]}:{address[1]}: a plan that is refused: {error}")
-                peer.end("seen")
+                peer.close("seen")
 
         def down(peer: Peer, why: str) -> None:
             if why != "seen":
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -319,7 +319,7 @@
         for name, kind, value in line.notes:
             ply = self.by_allocation.get(name)
             if self.observer is not None and kind == face.LINK_DEMAND:
-                self.observer.asked_told(link.node, value)
+                self.observer.node_load_reported(link.node, value)
             self.feed(self.controller.update_play, self.loop.now, ply.id if ply else 0, link.node, kind, value)
         for name, how in line.ended:
             if ply := self.by_allocation.get(name):
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -67,8 +67,8 @@
     if not house.planners:
         return None
     from laddergw.loop.tls import client_context
-    from laddergw.planner.edge_side import EdgeSide
-    return EdgeSide(director, house.planners, None, (lambda: client_context(*house.tls)) if house.tls is not None else None)
+    from laddergw.planner.planner_client import PlannerClient
+    return PlannerClient(director, house.planners, None, (lambda: client_context(*house.tls)) if house.tls is not None else None)
 
 
 def again(path: str, director: Director, watch: LimitsFile | None, log) -> None:
@@ -129,7 +129,7 @@
         director.pages["GET", "/planner"] = side.page
     watch = watch_limits(limits, path, director, log) if limits is not None else None
     if side is not None and watch is not None:
-        side.audit.brings(watch.bring)
+        side.audit.accept_files(watch.bring)
     director.read_again = lambda: again(path, director, watch, log)
     loop.on_signal(signal.SIGHUP, director.read_again)
     set_up(director, log)
--- a/laddergw/lab/apart.py
+++ b/laddergw/lab/apart.py
@@ -11,7 +11,7 @@
 from laddergw.lab.plant import Plant, between
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_memory import MemoryStage
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.plan import Plan
 from laddergw.planner.server import Planner
 from laddergw.store.keeper import Store
@@ -35,7 +35,7 @@
         self.count, self.kills, self.lie = planners, kills, lie
         self.folder = tempfile.mkdtemp(prefix="laddergw-apart-")
         self.planners: dict[int, Planner] = {}
-        self.sides: dict[int, EdgeSide] = {}
+        self.sides: dict[int, PlannerClient] = {}
         self.names = 0
         self.events: list[tuple] = []
 
@@ -56,7 +56,7 @@
         """What planners and edges did."""
         counts = {what: sum(1 for _, event, _ in self.events if event == what) for what in ("plan", "recovered", "leads", "fenced", "store fault")}
         return f"{self.names} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items()) + \
-            f"; plans used by edges {sum(side.used for side in self.sides.values())}"
+            f"; plans used by edges {sum(side.plans_used for side in self.sides.values())}"
 
     def keys(self) -> tuple:
         return (("lab", b"rehearsal-key-of-planners"),)
@@ -87,4 +87,4 @@
     def start_director(self, number: int) -> None:
         super().start_director(number)
         if self.count:
-            self.sides[number] = EdgeSide(self.directors[number], tuple((f"p{planner}", PORT) for planner in range(self.count)), self.keys())
+            self.sides[number] = PlannerClient(self.directors[number], tuple((f"p{planner}", PORT) for planner in range(self.count)), self.keys())
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -23,7 +23,7 @@
 from laddergw.lab.wanting import BAD_EACH, SOAK_MS, TEXTS, WANT_MS
 from laddergw.loop.tls import TlsStream, client_context
 from laddergw.planner import wire
-from laddergw.planner.audit_side import limits_text
+from laddergw.planner.audit_client import limits_text
 from laddergw.planner.peer import Peer
 from laddergw.terms import house as houses
 from laddergw.terms.loading import load
@@ -179,7 +179,7 @@
         def told(peer: Peer, frame: wire.Frame) -> None:
             if isinstance(frame, wire.Answer):
                 came.append(json.loads(frame.body))
-                peer.end("answered")
+                peer.close("answered")
         peer = Peer(self.loop, wire.Hello(wire.VERSION, "d-operator", wire.OPERATOR, 0), told, lambda peer: peer.send(question),
                     lambda peer, why: done(came[0] if came else None))
         host, port = self.places[planner]
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -21,7 +21,7 @@
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.lab.wanting import Wanting
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.store import ledger as ledgers
 from laddergw.terms import house as houses
 from laddergw.terms.generations import flat
@@ -96,9 +96,9 @@
             ends = f"d{number}", f"p{planner}"
             line = self.lines.by_ends.get(ends) or self.lines.line(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
             places.append(line.address)
-        side = self.sides[number] = EdgeSide(director, tuple(places), self.keys())
+        side = self.sides[number] = PlannerClient(director, tuple(places), self.keys())
         if not old(number):
-            side.audit.brings(LimitsFile(director.loop, self.limits_of(number), InPlace(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
+            side.audit.accept_files(LimitsFile(director.loop, self.limits_of(number), InPlace(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
         self.tallies[director.name] = director.tally
 
     def limits_of(self, number: int) -> str:
@@ -167,12 +167,12 @@
         if self.wanting.ask("stragglers").get("state") == "going" and self.world.now < latest:
             return self.loop.call_at(self.world.now + 500.0, lambda: self.judge(latest))
         self.done = True
-        leader = next((p for p in self.planners.values() if p.standing.state == "leads" and p.store is not None), None)
+        leader = next((p for p in self.planners.values() if p.standby.state == "leads" and p.store is not None), None)
         if leader is None:
             self.verdict = ["no planner leads"]
             return
         back = {d.name for n, d in self.directors.items() if self.world.hosts[f"d{n}"].alive and self.world.hosts[f"d{n}"].running}
-        book = leader.auditing.book
+        book = leader.auditor.fleet_log
         rows = [(*key, count) for key, count in answers.counted(book).items()]
         of_version: dict[tuple[str, str, str], int] = {}
         for process in book.processes.values():
@@ -187,4 +187,4 @@
         self.verdict += fleet_check.judge_wanted(self.wanting.at_the_end(leader), {d.name: hash_of(d.tally.limits) for n, d in self.directors.items() if d.name in back and not old(n)})
         self.facts = {"processes": len(self.tallies), "back": len(back), "switches": self.switches, "faults": len(self.faults),
                       "actions": sum(sum(t.counts.values()) for t in self.tallies.values()), "stands": len(book.stands),
-                      "wants": self.wanting.wants, "halted": self.wanting.halted, "sentences": len(self.wanting.sentences), "turns kept": max((len(side.audit.stamps.turns) for side in self.sides.values()), default=0), "records": leader.auditing.ledger.count}
+                      "wants": self.wanting.wants, "halted": self.wanting.halted, "sentences": len(self.wanting.sentences), "turns kept": max((len(side.audit.action_counts.turns) for side in self.sides.values()), default=0), "records": leader.auditor.ledger.count}
--- a/laddergw/lab/wanting.py
+++ b/laddergw/lab/wanting.py
@@ -6,7 +6,7 @@
 from laddergw.lab.fleet_check import Sentence
 from laddergw.lab.limits import broken, sound
 from laddergw.planner import wire
-from laddergw.planner.audit_side import limits_text
+from laddergw.planner.audit_client import limits_text
 from laddergw.terms.loading import load
 
 WANT_MS, LOOK_MS = 10_000.0, 100.0     # between wants; between questions
@@ -32,7 +32,7 @@
 
     def leader(self):
         return next((p for number, p in sorted(self.stage.planners.items()) if self.stage.world.hosts[f"p{number}"].alive
-                     and self.stage.world.hosts[f"p{number}"].frozen_until <= self.stage.world.now and p.auditing.keeps()), None)
+                     and self.stage.world.hosts[f"p{number}"].frozen_until <= self.stage.world.now and p.auditor.owns_journal()), None)
 
     def ask(self, question: str, name: str = "limits", data: bytes = b"", **figures: float) -> dict:
         """As the command does: of whoever keeps the journal. Empty where nobody does."""
@@ -40,7 +40,7 @@
         if planner is None:
             return {}
         planner.loop.now = max(planner.loop.now, self.stage.world.now)
-        return json.loads(planner.auditing.ask(wire.Ask(question, name, 0.0, data, figures)))
+        return json.loads(planner.auditor.answer_question(wire.Ask(question, name, 0.0, data, figures)))
 
     def want(self) -> None:
         stage = self.stage
@@ -95,5 +95,5 @@
         """State and hash of what is wanted; the words that still stand are sentences to the end."""
         for name in list(self.stands):
             self.take_back(name)
-        rollout = planner.auditing.rollouts.going.get(versions.LIMITS)
+        rollout = planner.auditor.rollouts.by_kind.get(versions.LIMITS)
         return None if rollout is None else (rollout.state, rollout.want.hash)
--- a/laddergw/planner/audit_side.py
+++ b/laddergw/planner/audit_client.py
@@ -37,13 +37,13 @@
     return [f"{key} = {value}" for key, value in flat(limits).items()]
 
 
-class AuditSide:
+class AuditClient:
     """See the module. `side`: the director's line to its planners."""
 
     def __init__(self, side):
-        self.side, self.director, self.loop, self.stamps = side, side.director, side.loop, Stamps()
+        self.side, self.director, self.loop, self.action_counts = side, side.director, side.loop, Stamps()
         self.alone_since: float | None = self.loop.now
-        self.held = {versions.PROGRAM: program()}
+        self.active_versions = {versions.PROGRAM: program()}
         for kind in CHANGES.values():
             self.read(kind)
         self.read_list()
@@ -52,10 +52,10 @@
         director.pages["POST", "/v1/audit"] = self.page
         self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
         self.named: frozenset = frozenset()
-        self.bringing, self.bring, self.trouble = Bringing(), None, ""
+        self.file_receiver, self.apply_file, self.trouble = Bringing(), None, ""
         if self.right is not None:
             director.shut = self.shut
-        self.stand()
+        self.update_version_set()
 
     # What is in force
 
@@ -73,35 +73,35 @@
             if programme is None:
                 return
             texts = [repr(programme)]
-        self.held[kind] = versions.version(kind, texts)
+        self.active_versions[kind] = versions.version(kind, texts)
 
-    def stand(self) -> None:
-        self.stamps.on(versions.stand(self.held.values()), self.loop.now)
-        self.named = frozenset((version.kind, version.hash) for version in self.held.values())
+    def update_version_set(self) -> None:
+        self.action_counts.on(versions.stand(self.active_versions.values()), self.loop.now)
+        self.named = frozenset((version.kind, version.hash) for version in self.active_versions.values())
 
     def read_list(self) -> None:
         entries = self.director.fleet.entries        # (a node's age goes on everywhere by itself)
-        self.held[versions.LIST] = versions.version(versions.LIST, [repr(entries[node]._replace(age_ms=None)) for node in sorted(entries)])
+        self.active_versions[versions.LIST] = versions.version(versions.LIST, [repr(entries[node]._replace(age_ms=None)) for node in sorted(entries)])
 
     def listed(self, lines: list, whole: bool, stopped: list) -> None:
         self.read_list()
-        self.stand()
+        self.update_version_set()
         self.changed(lines, whole, stopped)
 
     def obeys(self, epoch: int, planner: str) -> None:
         """Plans of one planner under one epoch count as one version: two and a half come each second."""
-        if (before := self.held.get(versions.PLAN)) is None or (before.number, before.issuer) != (epoch, planner):
-            self.held[versions.PLAN] = versions.version(versions.PLAN, [str(epoch), planner], planner, epoch)
-            self.stand()
+        if (before := self.active_versions.get(versions.PLAN)) is None or (before.number, before.issuer) != (epoch, planner):
+            self.active_versions[versions.PLAN] = versions.version(versions.PLAN, [str(epoch), planner], planner, epoch)
+            self.update_version_set()
 
     # What is carried out
 
     def let_in(self, ply: Try) -> None:
-        ply.stand = self.stamps.now_in_force
+        ply.stand = self.action_counts.now_in_force
         self.did(ply, acts.LET_IN)
 
     def did(self, ply: Try, action: str) -> None:
-        self.stamps.did(ply.request.key, ply.request.product, ply.stand or self.stamps.now_in_force, action, self.loop.now)
+        self.action_counts.did(ply.request.key, ply.request.product, ply.stand or self.action_counts.now_in_force, action, self.loop.now)
 
     def told(self, what: str, **facts) -> None:
         """What the director watches, stamped on its way."""
@@ -110,7 +110,7 @@
         if what in CHANGES:
             self.trouble = "" if what == "limits changed" else self.trouble
             self.read(CHANGES[what])
-            self.stand()
+            self.update_version_set()
         elif (ply := self.director.tries.get(facts.get("play"))) is not None:
             if what == "allocate":
                 self.did(ply, acts.AGAIN if facts["number"] else acts.SET_UP)
@@ -142,31 +142,31 @@
 
     def part(self, told: Told) -> Part:
         since, self.alone_since = self.alone_since, None
-        return told.part(self.stamps, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
-                         zone=self.director.house.deployment.zone, takes=self.bringing.kinds, came=tuple(self.bringing.outcome), trouble=self.trouble)
+        return told.part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
+                         zone=self.director.house.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.trouble)
 
     # What is brought up
 
-    def brings(self, bring: Callable) -> None:
+    def accept_files(self, bring: Callable) -> None:
         """Limits can be brought here: `bring(data, sure, done)` checks, puts in force and keeps on the disk (limits_file.py)."""
-        self.bring, self.bringing.kinds = bring, (versions.LIMITS,)
+        self.apply_file, self.file_receiver.kinds = bring, (versions.LIMITS,)
 
     def offered(self, peer, frame: Offer) -> None:
-        before = self.bringing.outcome
-        self.answer(peer, self.bringing.offered(frame))
-        if self.bringing.outcome not in (before, before._replace(number=0)) and self.bringing.outcome.number:
-            self.director.watch("offer at odds", why=self.bringing.outcome.why)
+        before = self.file_receiver.outcome
+        self.answer(peer, self.file_receiver.offered(frame))
+        if self.file_receiver.outcome not in (before, before._replace(number=0)) and self.file_receiver.outcome.number:
+            self.director.watch("offer at odds", why=self.file_receiver.outcome.why)
 
     def piece(self, peer, number: int, offset: int, data: bytes) -> None:
         """A piece came; the last one: the whole is checked like any file, held against what was wanted, and in force at one moment."""
-        found = self.bringing.piece(number, offset, data)
+        found = self.file_receiver.piece(number, offset, data)
         if not isinstance(found, bytes):
             return self.answer(peer, found)
 
         def done(faults: list[str]) -> None:
-            self.bringing.checked(number, faults)
+            self.file_receiver.checked(number, faults)
             self.director.watch("file brought up", number=number, refused=faults)
-        return self.bring(found, self.not_it(self.bringing.offer.hash), done)
+        return self.apply_file(found, self.not_it(self.file_receiver.offer.hash), done)
 
     def answer(self, peer, ask: Fetch | None) -> None:
         if ask is not None:
@@ -186,10 +186,10 @@
         except (ValueError, AttributeError):
             return exchange.answer(400, frames.problem("an object, with `play` or without"))
         if asked is None:
-            stand = self.stamps.stands[self.stamps.now_in_force]
-            return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.stamps.turns[-1].at_ms, "now_ms": self.loop.now,
-                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.stamps.untold}))
-        way = self.stamps.ways.get(asked)
+            stand = self.action_counts.stands[self.action_counts.now_in_force]
+            return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.action_counts.turns[-1].at_ms, "now_ms": self.loop.now,
+                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.action_counts.untold}))
+        way = self.action_counts.ways.get(asked)
         if way is None:
             return exchange.answer(404, frames.problem("no such play among those that are remembered here"))
         return exchange.answer(200, frames.encode({"process": self.director.name, "play": asked, "now_ms": self.loop.now, "way": [step._asdict() for step in way]}))
--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -15,7 +15,7 @@
 from laddergw.fleet.telling import Senseless
 from laddergw.fleet.wanted import HALTED
 from laddergw.planner import wire
-from laddergw.planner.budgeting import BUDGETS, Budgeting
+from laddergw.planner.budgeting import BUDGETS, BudgetGrants
 from laddergw.planner.rollouts import Rollouts
 from laddergw.store.keeper import Store
 from laddergw.store.ledger import Ledger
@@ -52,15 +52,15 @@
     return msgspec.msgpack.decode(record)
 
 
-class Auditing:
+class Auditor:
     """See the module. `guarded(write)`: the planner's own way to write, False where it failed."""
 
     def __init__(self, loop, guarded: Callable[[Callable[[], None]], bool], wall: Callable[[], float] = lambda: time.time() * 1000):
         self.loop, self.guarded, self.wall = loop, guarded, wall
-        self.book, self.ledger, self.floors = Book(), None, Floors()
-        self.rollouts, self.budgeting = Rollouts(self), Budgeting(self)
+        self.fleet_log, self.ledger, self.floors = Book(), None, Floors()
+        self.rollouts, self.budget_grants = Rollouts(self), BudgetGrants(self)
 
-    def opened(self, store: Store) -> None:
+    def load_journal(self, store: Store) -> None:
         """The store is ours: what it holds is read, what it lacks of what we heard is written with the next records."""
         self.ledger = Ledger(store)
         disk, forbidden, wants, budgets = Book(), [], {}, []
@@ -76,21 +76,21 @@
                     budgets = one[BUDGETS]
                     continue
                 disk.restore(one)
-                self.book.restore(one)
+                self.fleet_log.restore(one)
                 disk.bound(disk.processes[one["process"]])
         self.floors.taken_over((tuple(version) for version in forbidden), self.loop.now)
         self.rollouts.taken_over(wants)
-        self.budgeting.taken_over(budgets)
-        for name, process in self.book.processes.items():
+        self.budget_grants.taken_over(budgets)
+        for name, process in self.fleet_log.processes.items():
             process.heard_ms = min(process.heard_ms, self.loop.now)      # (another machine's clock may be ahead)
             known = disk.processes.get(name)
             folded = known.folded_to if known else 0
             turns = {number for number in process.turns if number > folded and (known is None or number not in known.turns)}
             counts = {key for key, count in process.counts.items() if key.turn > folded and (known is None or known.counts.get(key, 0) < count)}
             if turns or counts:
-                self.book.changed[name] = set(turns), counts
+                self.fleet_log.changed[name] = set(turns), counts
 
-    def keeps(self) -> bool:
+    def owns_journal(self) -> bool:
         """Whether the journal is this planner's to write, and so its book the one that knows most."""
         return self.ledger is not None and self.ledger.store.ours()
 
@@ -98,26 +98,26 @@
         """Raises Malformed for a part that makes no sense: its connection ends."""
         try:
             if frame.audit is not None:
-                self.book.merge(peer.other.name, frame.audit, frame.at_ms, self.loop.now, frame.number)
-                self.rollouts.told(peer.other.name, frame.audit)
-            self.budgeting.told(peer, frame)
+                self.fleet_log.merge(peer.remote.name, frame.audit, frame.at_ms, self.loop.now, frame.number)
+                self.rollouts.told(peer.remote.name, frame.audit)
+            self.budget_grants.told(peer, frame)
             if frame.audit is not None:
-                if frame.audit.without and self.keeps():
+                if frame.audit.without and self.owns_journal():
                     peer.send(wire.Right(frame.number, self.ledger.store.epoch, LEASE_MS, tuple(sorted(self.floors.since))))
         except Senseless as error:
-            raise wire.Malformed(f"audit: {error}") from None
+            raise wire.MalformedFrame(f"audit: {error}") from None
 
-    def keep(self, peers) -> Generator[None, None, None]:
+    def write_journal(self, peers) -> Generator[None, None, None]:
         """Writes what is new, a batch a step, then says so to those whose it is. A write that fails ends it: the next time begins there."""
         if self.ledger is None:
             return
         batch, size = [], 0
-        for name in sorted(self.book.changed):
-            if name in self.book.changed:
-                record = self.book.record(name, self.wall())
+        for name in sorted(self.fleet_log.changed):
+            if name in self.fleet_log.changed:
+                record = self.fleet_log.record(name, self.wall())
                 batch.append(record)
                 size += BYTES_A_ROW * (len(record["turns"]) + len(record["counts"]))
-                self.book.kept_stands |= record["stands"].keys()     # (once in a batch)
+                self.fleet_log.kept_stands |= record["stands"].keys()     # (once in a batch)
                 if size >= BATCH_BYTES:
                     if not self.write(batch):
                         return
@@ -128,25 +128,25 @@
         yield
         if self.ledger.crowded():
             self.guarded(lambda: self.ledger.compact(fold))
-            self.book.forget_stands()
+            self.fleet_log.forget_stands()
         for peer in list(peers):
-            if peer.other is not None and peer.other.role == wire.EDGE and (turn := self.book.acknowledged(peer.other.name)):
+            if peer.remote is not None and peer.remote.role == wire.EDGE and (turn := self.fleet_log.acknowledged(peer.remote.name)):
                 peer.send(wire.Kept(turn))
 
     def write(self, batch: list[dict]) -> bool:
         if not self.guarded(lambda: self.ledger.append([encode(batch)])):
-            self.book.kept_stands.difference_update(*(record["stands"].keys() for record in batch))
+            self.fleet_log.kept_stands.difference_update(*(record["stands"].keys() for record in batch))
             return False
         for record in batch:
-            self.book.kept(record)
+            self.fleet_log.kept(record)
         return True
 
     def change_floors(self, frame: wire.Ask) -> dict:
         """Forbids or allows a version, told by its kind and how its hash begins: first on the disk, then in force. What is forbidden then."""
-        if not self.keeps():
+        if not self.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, begins = frame.name.partition(" ")
-        known = {(v.kind, v.hash) for stand in self.book.stands.values() for v in stand.versions} | self.floors.since.keys()
+        known = {(v.kind, v.hash) for stand in self.fleet_log.stands.values() for v in stand.versions} | self.floors.since.keys()
         meant = sorted(one for one in known if begins and one[0] == kind and one[1].startswith(begins))
         if frame.question != "floors":
             if len(meant) != 1:
@@ -156,17 +156,17 @@
                 return {"refused": why}
         rows = []
         for (kind, name), since in sorted(self.floors.since.items()):
-            nobody, may = self.floors.nobody((kind, name), self.book.seen(), self.loop.now)
+            nobody, may = self.floors.nobody((kind, name), self.fleet_log.seen(), self.loop.now)
             rows.append({"kind": kind, "version": name, "since_wall_ms": self.wall() - (self.loop.now - since), "nobody_acts_on_it": nobody, "may_still": may})
-        return {"floors": rows, "not_known": answers.unknown(self.book, self.loop.now)}
+        return {"floors": rows, "not_known": answers.unknown(self.fleet_log, self.loop.now)}
 
     def forbid(self, version: tuple[str, str]) -> str | None:
         """Why not, where it is refused. A version that is wanted is not forbidden."""
-        rollout = self.rollouts.going.get(version[0])
+        rollout = self.rollouts.by_kind.get(version[0])
         if rollout is not None and rollout.want.hash == version[1] and rollout.state != HALTED:
             return "it is wanted: halt its rollout first"
         before = dict(self.floors.since)
-        return self.floors.forbid(version, self.book.seen(), self.loop.now, SILENT_MS) or self.keep_floors(before)
+        return self.floors.forbid(version, self.fleet_log.seen(), self.loop.now, SILENT_MS) or self.keep_floors(before)
 
     def allow(self, version: tuple[str, str]) -> str | None:
         before = dict(self.floors.since)
@@ -180,22 +180,22 @@
 
     def gone(self, name: str) -> dict:
         """An operator says that a silent process is no more: nobody else can know. First on the disk; a process that is heard again takes it back."""
-        process = self.book.processes.get(name)
-        if not self.keeps():
+        process = self.fleet_log.processes.get(name)
+        if not self.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         if process is None:
             return {"refused": f"no process {name[:60]!r} was ever heard of"}
         if self.loop.now - process.heard_ms < SILENT_MS:
             return {"refused": f"{name} spoke {answers.seconds(self.loop.now - process.heard_ms)} ago"}
         before = process.gone
-        self.book.ends(process, before or DECLARED)
-        if not self.write([self.book.record(name, self.wall())]):
+        self.fleet_log.ends(process, before or DECLARED)
+        if not self.write([self.fleet_log.record(name, self.wall())]):
             process.gone = before
             return {"refused": "it could not be written"}
-        return {"gone": name, "not_known": answers.unknown(self.book, self.loop.now)}
+        return {"gone": name, "not_known": answers.unknown(self.fleet_log, self.loop.now)}
 
-    def ask(self, frame: wire.Ask) -> bytes:
-        book, now, wall = self.book, self.loop.now, self.wall()
+    def answer_question(self, frame: wire.Ask) -> bytes:
+        book, now, wall = self.fleet_log, self.loop.now, self.wall()
         if frame.question == "versions":
             found = answers.versions(book, now, wall)
         elif frame.question == "director":
@@ -209,14 +209,14 @@
         elif frame.question in ("want", "halt", "stragglers"):
             found = self.rollouts.asked(frame)
         elif frame.question == "budgets":
-            found = self.budgeting.shown()
+            found = self.budget_grants.shown()
         elif frame.question == "gone":
             found = self.gone(frame.name)
         elif frame.question == "verify":
-            verdict = self.ledger.verify() if self.keeps() else None
+            verdict = self.ledger.verify() if self.owns_journal() else None
             found = {"kept": verdict is not None} | (verdict._asdict() if verdict is not None else {"why": "this planner does not keep the journal: it stands by, was fenced out, or has no store"})
         else:
             found = {"error": f"no question {frame.question[:40]!r} here"}
-        if "not_known" in found and not self.keeps():
+        if "not_known" in found and not self.owns_journal():
             found["not_known"].append("what the planner that keeps the journal knows: this one does not")
         return json.dumps(found).encode()
--- a/laddergw/planner/budgeting.py
+++ b/laddergw/planner/budgeting.py
@@ -14,11 +14,11 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-class Budgeting:
-    """See the module. `auditing`: the journal and its planner's way to write."""
+class BudgetGrants:
+    """See the module. `auditor`: the journal and its planner's way to write."""
 
-    def __init__(self, auditing):
-        self.auditing, self.loop = auditing, auditing.loop
+    def __init__(self, auditor):
+        self.auditor, self.loop = auditor, auditor.loop
         self.budgets: tuple[Budget, ...] = ()
         self.issuers: dict[str, Issuer] = {}
         self.past: dict[str, tuple[int, float]] = {}             # highest whole, longest window, by name
@@ -29,7 +29,7 @@
         self.past = {name: (whole, window_ms) for name, _, _, whole, window_ms in rows}
         self.issuers, self.written = {}, False
 
-    def set(self, budgets: tuple[Budget, ...]) -> None:
+    def configure(self, budgets: tuple[Budget, ...]) -> None:
         """The file read again. A new whole is divided at once; with another window, or new, a budget begins as after a takeover."""
         for budget in budgets:
             held = self.issuers.get(budget.name)
@@ -43,17 +43,17 @@
 
     def ready(self) -> bool:
         """Whether grants may go out: the store is ours, and what may be granted is in it."""
-        if not self.budgets or not self.auditing.keeps():
+        if not self.budgets or not self.auditor.owns_journal():
             return False
         if not self.written:
             past = {b.name: (max(b.whole, self.past.get(b.name, (0, 0.0))[0]), max(b.window_ms, self.past.get(b.name, (0, 0.0))[1])) for b in self.budgets}
             past = self.past | past
             rows = [(*next(((b.name, b.whole, b.window_ms) for b in self.budgets if b.name == name), (name, 0, 0.0)), *most) for name, most in sorted(past.items())]
-            self.written = self.auditing.guarded(lambda: self.auditing.ledger.append([encode([{BUDGETS: rows}])]))
+            self.written = self.auditor.guarded(lambda: self.auditor.ledger.append([encode([{BUDGETS: rows}])]))
             for budget in self.budgets if self.written else ():
                 if budget.name not in self.issuers:
                     whole, window_ms = past[budget.name]
-                    self.issuers[budget.name] = Issuer(budget, self.auditing.ledger.store.epoch, self.loop.now, window_ms, whole)
+                    self.issuers[budget.name] = Issuer(budget, self.auditor.ledger.store.epoch, self.loop.now, window_ms, whole)
             self.past = past if self.written else self.past
         return self.written
 
@@ -61,14 +61,14 @@
         """A director's rows of one digest, answered in one frame."""
         if not frame.budgets or not self.ready():
             return
-        name, now, grants = peer.other.name, self.loop.now, []
+        name, now, grants = peer.remote.name, self.loop.now, []
         for row in frame.budgets:
             issuer = self.issuers.get(row.name)
             if issuer is not None and issuer.told(name, frame.number, row, now) and (grant := issuer.grant(name, now)) is not None:
                 grants.append(grant)
         if grants:
-            store = self.auditing.ledger.store
-            peer.send(wire.Granted(frame.number, store.epoch, identity(store), tuple(grants)))
+            store = self.auditor.ledger.store
+            peer.send(wire.Granted(frame.number, store.epoch, store_identity(store), tuple(grants)))
 
     def shown(self) -> dict:
         """For operators: each budget, what is charged and to whom."""
@@ -84,9 +84,9 @@
                          "unknown": issuer.unknown(now), "divided": issuer.why, "held": held,
                          "waits_ms": max(0.0, issuer.began + (0.0 if issuer.settled(LEASE_MS, now) else 1.0) * (LEASE_MS + issuer.past_ms) - now),
                          "floors_known": issuer.settled(FLOOR_LEASE_MS, now)})
-        return {"issuer": identity(self.auditing.ledger.store), "budgets": rows}
+        return {"issuer": store_identity(self.auditor.ledger.store), "budgets": rows}
 
 
-def identity(store) -> str:
+def store_identity(store) -> str:
     """Of a store, as directors' files name it."""
     return f"{store.identity:014x}"
--- a/laddergw/planner/digests.py
+++ b/laddergw/planner/digests.py
@@ -23,7 +23,7 @@
     drains: tuple[int, ...]                    # nodes that it was told to be draining or gone
 
 
-class Heard(NamedTuple):
+class EdgeState(NamedTuple):
     """A digest and when it came, our clock."""
     digest: Digest
     came_ms: float
@@ -33,7 +33,7 @@
     """What all edges see."""
 
     def __init__(self):
-        self.heard: dict[str, Heard] = {}
+        self.heard: dict[str, EdgeState] = {}
         self.past: dict[str, int] = {}                     # arrivals of processes that are silent for good
         self.doubled = 0
 
@@ -43,7 +43,7 @@
         if known is not None and digest.number <= known.digest.number:
             self.doubled += 1
             return False
-        self.heard[digest.edge] = Heard(digest, now)
+        self.heard[digest.edge] = EdgeState(digest, now)
         return True
 
     def alive(self, now: float) -> list[Digest]:
--- a/laddergw/planner/leader.py
+++ b/laddergw/planner/leader_client.py
@@ -6,7 +6,7 @@
 REDIAL_MS = 700.0          # pause before it dials again
 
 
-class Leader:
+class LeaderClient:
     """See the module."""
 
     def __init__(self, planner, address: tuple[str, int]):
@@ -15,7 +15,7 @@
 
     def dial(self) -> None:
         planner = self.planner
-        hello = wire.Hello(wire.VERSION, planner.name, wire.STANDBY, planner.standing.epoch)
+        hello = wire.Hello(wire.VERSION, planner.name, wire.STANDBY, planner.standby.epoch)
         self.peer = Peer(planner.loop, hello, self.told, lambda peer: None, self.down)
         owner = self.peer if planner.client_tls is None else TlsStream(self.peer, planner.client_tls(), False, self.address[0])
         planner.loop.dial(self.address, owner, REDIAL_MS)
--- a/laddergw/planner/peer.py
+++ b/laddergw/planner/peer.py
@@ -11,7 +11,7 @@
 
     def __init__(self, loop, hello: wire.Hello, told: Callable, up: Callable, down: Callable):
         self.loop, self.hello, self.told, self.up, self.down = loop, hello, told, up, down
-        self.stream, self.other, self.over = None, None, False
+        self.stream, self.remote, self.over = None, None, False
         self.frames = wire.Unpacker()
         self.heard_at = self.said_at = loop.now
         self.credit = wire.CREDIT
@@ -31,24 +31,24 @@
                 self.frame(frame)
                 if self.over:
                     return
-        except wire.Malformed as error:
-            self.end(str(error))
+        except wire.MalformedFrame as error:
+            self.close(str(error))
 
     def write_buffer_drained(self, stream) -> None:
         pass
 
     def closed(self, stream, why: str | None) -> None:
-        self.end(why or "closed by the other side")
+        self.close(why or "closed by the other side")
 
     # Frames
 
     def frame(self, frame: wire.Frame) -> None:
-        if self.other is None:
+        if self.remote is None:
             if not isinstance(frame, wire.Hello):
-                return self.end("it did not say hello")
+                return self.close("it did not say hello")
             if frame.version != wire.VERSION:
-                return self.end(f"version {frame.version}, {wire.VERSION} is spoken here")
-            self.other = frame
+                return self.close(f"version {frame.version}, {wire.VERSION} is spoken here")
+            self.remote = frame
             return self.up(self)
         if isinstance(frame, wire.Credit):
             self.credit = min(self.credit + max(0, frame.plans), wire.CREDIT)
@@ -78,12 +78,12 @@
         if self.over:
             return
         if self.loop.now - self.heard_at >= wire.SILENT_MS:
-            return self.end("silent")
+            return self.close("silent")
         if self.loop.now - self.said_at >= wire.BEAT_MS:
             self.send(wire.Beat(self.loop.now))
         self.loop.call_later(wire.BEAT_MS / 2, self.watch)
 
-    def end(self, why: str) -> None:
+    def close(self, why: str) -> None:
         if not self.over:
             self.over = True
             if self.stream is not None:
--- a/laddergw/planner/plan.py
+++ b/laddergw/planner/plan.py
@@ -38,7 +38,7 @@
         return self.epoch, self.planner, self.version
 
 
-class Refused(Exception):
+class PlanRejected(Exception):
     """A plan that is not taken; the text says why."""
 
 
@@ -53,20 +53,20 @@
 
 
 def unseal(data: bytes, keys: Keys) -> Plan:
-    """Raises Refused for what is no plan, forged, or of an unknown key."""
+    """Raises PlanRejected for what is no plan, forged, or of an unknown key."""
     try:
         name, body, told = msgspec.msgpack.decode(data, type=tuple[str, bytes, bytes])
     except (msgspec.MsgspecError, ValueError):
-        raise Refused("not a plan") from None
+        raise PlanRejected("not a plan") from None
     secret = dict(keys).get(name)
     if secret is None:
-        raise Refused(f"signed by an unknown key {name[:20]!r}")
+        raise PlanRejected(f"signed by an unknown key {name[:20]!r}")
     if not hmac.compare_digest(told, mark(secret, body)):
-        raise Refused("its mark is wrong")
+        raise PlanRejected("its mark is wrong")
     try:
         return sound(msgspec.msgpack.decode(body, type=Plan))
     except (msgspec.MsgspecError, ValueError) as error:
-        raise Refused(f"not a plan: {error}") from None
+        raise PlanRejected(f"not a plan: {error}") from None
 
 
 def sound(plan: Plan) -> Plan:
@@ -79,7 +79,7 @@
     return plan
 
 
-class Obeyed:
+class FollowedPlan:
     """One edge's plan. `seen` outlives a plan's lease: an older one is never taken again."""
 
     def __init__(self):
@@ -103,7 +103,7 @@
         return self.plan
 
 
-class Sent:
+class SentDigests:
     """What an edge told by number, so that what a plan holds of itself can be taken out of its sums."""
 
     def __init__(self, kept: int = 32):
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/planner_client.py
@@ -11,10 +11,10 @@
 from laddergw.http.server import Exchange
 from laddergw.loop.tls import TlsStream
 from laddergw.planner import plan as plans, wire
-from laddergw.planner.audit_side import AuditSide
+from laddergw.planner.audit_client import AuditClient
 from laddergw.planner.digests import HOT_TOLD, Digest
 from laddergw.planner.peer import Peer
-from laddergw.planner.plan import Keys, Obeyed, Sent
+from laddergw.planner.plan import Keys, FollowedPlan, SentDigests
 from laddergw.planner.sketch import Sketch
 from laddergw.fleet.book import DIGEST_MS
 from laddergw.fleet.bringing import Offer
@@ -27,26 +27,26 @@
 REDIAL_MS, DIAL_MS = 500.0, 1_000.0
 
 
-class EdgeSide:
+class PlannerClient:
     """See the module. `planners`: addresses; all are told, the plan of the highest epoch is obeyed."""
 
     def __init__(self, director: Director, planners: tuple, keys: Keys | None = None, tls: Callable | None = None):
         """`keys`: of planners; the director's own, as they are read again, where left out."""
         self.director, self.loop, self.own_keys, self.tls = director, director.loop, keys, tls
-        self.obeyed, self.sent, self.trust = Obeyed(), Sent(), Trust()
-        self.number = self.used = self.refused = 0
+        self.obeyed, self.sent, self.trust = FollowedPlan(), SentDigests(), Trust()
+        self.number = self.plans_used = self.refused = 0
         self.arrivals: dict[str, int] = {}
         self.failures: dict[int, int] = {}
         self.titles = Sketch()
-        self.lines = [Line(self, tuple(address)) for address in planners]
+        self.lines = [PlannerConnection(self, tuple(address)) for address in planners]
         director.observer = self
-        self.audit = AuditSide(self)
-        self.holding = Holding(director.house.issuer) if director.house.issuer else None
-        if self.holding is not None:
-            self.holding.set(of_the_fleet(director.limits))
-            director.budgets.fleet_grants, self.watched, director.watch = self.holding, director.watch, self.watch
+        self.audit = AuditClient(self)
+        self.grant_holder = Holding(director.house.issuer) if director.house.issuer else None
+        if self.grant_holder is not None:
+            self.grant_holder.set(of_the_fleet(director.limits))
+            director.budgets.fleet_grants, self.watched, director.watch = self.grant_holder, director.watch, self.watch
             if director.tap is not None:
-                self.holding.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
+                self.grant_holder.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
         self.loop.call_later(DIGEST_MS, self.tell)
 
     @property
@@ -65,7 +65,7 @@
         if outcome in (face.ERROR, face.TIMED_OUT, face.UNREACHABLE, face.BROKEN):
             self.failures[node] = self.failures.get(node, 0) + 1
 
-    def asked_told(self, node: int, asked: float) -> None:
+    def node_load_reported(self, node: int, asked: float) -> None:
         """A node told what is asked of its link: the plan in force is held against it."""
         plan, entry = self.obeyed.now(self.loop.now), self.director.fleet.entries.get(node)
         if plan is not None and entry is not None and node in plan.nodes:
@@ -73,7 +73,7 @@
 
     def watch(self, what: str, **facts) -> None:
         if what == "limits changed":
-            self.holding.set(of_the_fleet(self.director.limits))
+            self.grant_holder.set(of_the_fleet(self.director.limits))
         self.watched(what, **facts)
 
     # Digests
@@ -98,7 +98,7 @@
         self.titles = Sketch()                   # hot titles are told once, the planner adds them up
         self.sent.told(digest.number, digest.nodes)
         self.audit.asks(digest.number)
-        budgets = self.holding.asks(digest.number, self.loop.now, self.director.stopping) if self.holding is not None else ()
+        budgets = self.grant_holder.asks(digest.number, self.loop.now, self.director.stopping) if self.grant_holder is not None else ()
         for line in self.lines:
             line.tell(digest, budgets)
 
@@ -107,7 +107,7 @@
     def heard(self, sealed: bytes) -> None:
         try:
             plan = plans.unseal(sealed, self.keys)
-        except plans.Refused as error:
+        except plans.PlanRejected as error:
             self.refused += 1
             self.director.watch("plan refused", error=str(error))
             return
@@ -124,7 +124,7 @@
         others = self.sent.others(plan, director.name, leave_out)
         if others is None:
             return
-        self.used += 1
+        self.plans_used += 1
         for node, kb in others.items():
             director.feed(director.controller.observe_load, self.loop.now, node, kb)
 
@@ -134,14 +134,14 @@
         plan = self.obeyed.now(self.loop.now)
         exchange.answer(200, frames.encode({
             "obeys": None if plan is None else {"epoch": plan.epoch, "planner": plan.planner, "version": plan.version, "age_ms": self.loop.now - self.obeyed.came_ms},
-            "believed": self.trust.believed, "used": self.used, "refused": self.refused, "stale": self.obeyed.stale,
-            "lines": [{"address": list(line.address), "up": line.peer is not None and line.peer.other is not None} for line in self.lines]}))
+            "believed": self.trust.believed, "used": self.plans_used, "refused": self.refused, "stale": self.obeyed.stale,
+            "lines": [{"address": list(line.address), "up": line.peer is not None and line.peer.remote is not None} for line in self.lines]}))
 
 
-class Line:
+class PlannerConnection:
     """The line to one planner."""
 
-    def __init__(self, side: EdgeSide, address: tuple[str, int]):
+    def __init__(self, side: PlannerClient, address: tuple[str, int]):
         self.side, self.address, self.base = side, address, None
         self.peer: Peer | None = None
         self.dial()
@@ -155,13 +155,13 @@
         side.loop.dial(self.address, owner, DIAL_MS)
 
     def tell(self, digest: Digest, budgets: tuple = ()) -> None:
-        if self.peer is None or self.peer.other is None:
+        if self.peer is None or self.peer.remote is None:
             return
         base = None if digest.number % WHOLE_EACH == 0 else self.base
         obeyed, plan = self.side.obeyed, self.side.obeyed.plan
         age = self.side.loop.now - obeyed.came_ms if plan is not None else 0.0
-        self.peer.send(wire.as_frame(digest, base, 0 if plan is None else plan.epoch, age, obeyed.seen[0], self.side.audit.part(self.audit), budgets))
-        self.base = wire.Base(digest.number, digest.nodes)
+        self.peer.send(wire.to_frame(digest, base, 0 if plan is None else plan.epoch, age, obeyed.seen[0], self.side.audit.part(self.audit), budgets))
+        self.base = wire.DeltaBase(digest.number, digest.nodes)
 
     def told(self, peer: Peer, frame: wire.Frame) -> None:
         if isinstance(frame, wire.PlanFrame):
@@ -170,9 +170,9 @@
         elif isinstance(frame, wire.Again):
             self.base = None
         elif isinstance(frame, wire.Kept):
-            self.side.audit.stamps.kept_by_planner(frame.turn)
-        elif isinstance(frame, wire.Granted) and self.side.holding is not None:
-            self.side.holding.granted(frame.number, frame.epoch, frame.issuer, frame.grants, self.side.loop.now)
+            self.side.audit.action_counts.kept_by_planner(frame.turn)
+        elif isinstance(frame, wire.Granted) and self.side.grant_holder is not None:
+            self.side.grant_holder.granted(frame.number, frame.epoch, frame.issuer, frame.grants, self.side.loop.now)
         elif isinstance(frame, wire.Offer):
             self.side.audit.offered(peer, Offer(*(getattr(frame, name) for name in Offer._fields)))
         elif isinstance(frame, wire.Piece):
@@ -182,7 +182,7 @@
 
     def down(self, peer: Peer, why: str) -> None:
         self.peer = None
-        if not any(line.peer is not None and line.peer.other is not None for line in self.side.lines):
+        if not any(line.peer is not None and line.peer.remote is not None for line in self.side.lines):
             self.side.audit.alone()
         if self.side.loop.running:
             self.side.director.watch("planner line down", why=why)
--- a/laddergw/planner/program.py
+++ b/laddergw/planner/program.py
@@ -65,7 +65,7 @@
     try:
         office = read_file(path)
         planner.keys = office.keys
-        planner.auditing.budgeting.set(office.budgets)
+        planner.auditor.budget_grants.configure(office.budgets)
         log.info("keys changed", signs=planner.keys[0][0], taken=[name for name, _ in planner.keys])
     except Refused as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
@@ -90,13 +90,13 @@
         log.error("cannot start", error=str(error))
         return EXIT_FAILED
     planner.store_path = office.store
-    planner.auditing.budgeting.set(office.budgets)
+    planner.auditor.budget_grants.configure(office.budgets)
     for number in signal.SIGTERM, signal.SIGINT:
         loop.on_signal(number, planner.stop)
     loop.on_signal(signal.SIGHUP, lambda: read_again(path, planner, log))
     gc.disable()
     planner.every(COLLECT_MS, gc.collect)
-    log.info("planner runs", address=planner.address, leads=office.leads, epoch=planner.standing.epoch)
+    log.info("planner runs", address=planner.address, leads=office.leads, epoch=planner.standby.epoch)
     sys.stdout.write(f"ready {planner.address[0]} {planner.address[1]}\n")
     sys.stdout.flush()
     loop.run()
--- a/laddergw/planner/rollouts.py
+++ b/laddergw/planner/rollouts.py
@@ -29,11 +29,11 @@
 
 
 class Rollouts:
-    """See the module. `auditing`: book, journal, floors and the planner's way to write."""
+    """See the module. `auditor`: book, journal, floors and the planner's way to write."""
 
-    def __init__(self, auditing):
-        self.auditing, self.loop = auditing, auditing.loop
-        self.going: dict[str, Rollout] = {}
+    def __init__(self, auditor):
+        self.auditor, self.loop = auditor, auditor.loop
+        self.by_kind: dict[str, Rollout] = {}
         self.content: dict[str, bytes] = {}
         self.base: dict[str, tuple[Answers, Answers]] = {}       # when it began, or was taken over
         self.hands: dict[str, Hand] = {}
@@ -41,47 +41,47 @@
 
     def taken_over(self, wants: dict[str, dict]) -> None:
         """As the journal has them."""
-        self.going, self.content, self.hands = {}, {}, {}
+        self.by_kind, self.content, self.hands = {}, {}, {}
         for kind, one in sorted(wants.items()):
             self.begin(Rollout(Want(*one["want"]), self.loop.now, one["step"], one["state"], one["why"], one["sent"], one["crashed"]), one["data"])
 
     def begin(self, rollout: Rollout, data: bytes) -> None:
         want = rollout.want
-        self.going[want.kind], self.content[want.kind] = rollout, data
-        self.base[want.kind] = self.auditing.book.answers(want.kind, want.hash)
+        self.by_kind[want.kind], self.content[want.kind] = rollout, data
+        self.base[want.kind] = self.auditor.fleet_log.answers(want.kind, want.hash)
         self.highest = max(self.highest, want.number)
 
     def write(self, rollout: Rollout, **more) -> bool:
-        return self.auditing.guarded(lambda: self.auditing.ledger.append([encode([rollout.kept() | more])]))
+        return self.auditor.guarded(lambda: self.auditor.ledger.append([encode([rollout.kept() | more])]))
 
     # Time
 
     def look(self, peers) -> None:
         """What is decided is kept, then carried out."""
-        if not self.going or not self.auditing.keeps():
+        if not self.by_kind or not self.auditor.owns_journal():
             return
-        for kind, rollout in self.going.items():
+        for kind, rollout in self.by_kind.items():
             before = rollout.kept()
-            base, now = self.base[kind], self.auditing.book.answers(kind, rollout.want.hash)
+            base, now = self.base[kind], self.auditor.fleet_log.answers(kind, rollout.want.hash)
             step = rollout.look(self.seats(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
             if step.keep and not self.write(rollout):
                 self.back_to(rollout, before)
                 continue
             for name in step.forbid:             # as an operator would, under the same guards
-                self.auditing.forbid((kind, name))
-            self.offer(rollout, set(step.offer), peers)
+                self.auditor.forbid((kind, name))
+            self.offer_file(rollout, set(step.offer), peers)
 
     def back_to(self, rollout: Rollout, before: dict) -> None:
         """What could not be written did not happen."""
         rollout.step, rollout.state, rollout.why, rollout.crashed = before["step"], before["state"], before["why"], set(before["crashed"])
 
     def seats(self, rollout: Rollout) -> list[wanted.Seat]:
-        return self.auditing.book.seats(rollout.want.kind, rollout.want.number, self.loop.now)
+        return self.auditor.fleet_log.seats(rollout.want.kind, rollout.want.number, self.loop.now)
 
-    def offer(self, rollout: Rollout, names: set[str], peers) -> None:
+    def offer_file(self, rollout: Rollout, names: set[str], peers) -> None:
         """To those whose turn it is, so many at a time."""
         now, want = self.loop.now, rollout.want
-        there = {peer.other.name: peer for peer in peers if peer.other is not None and peer.other.role == wire.EDGE}
+        there = {peer.remote.name: peer for peer in peers if peer.remote is not None and peer.remote.role == wire.EDGE}
         self.hands = {name: hand for name, hand in self.hands.items()
                       if now - hand.asked_ms < IN_HAND_MS and there.get(name) is hand.peer and (hand.kind != want.kind or name in names)}
         for name in sorted(names & there.keys()):
@@ -89,23 +89,23 @@
                 if len(self.hands) >= IN_HAND:
                     return
                 self.hands[name] = Hand(want.kind, now, there[name])
-                there[name].send(wire.Offer(self.auditing.ledger.store.epoch, want.kind, want.number, want.hash, want.sha, want.size))
+                there[name].send(wire.Offer(self.auditor.ledger.store.epoch, want.kind, want.number, want.hash, want.sha, want.size))
 
     # Directors
 
     def told(self, process: str, part: Part) -> None:
         self.highest = max(self.highest, part.came[0])
         if part.over:
-            for rollout in self.going.values():
+            for rollout in self.by_kind.values():
                 rollout.stopped(process.partition("-")[0])
         if part.came[2]:
             self.hands.pop(process, None)
 
-    def fetch(self, peer, frame: wire.Fetch) -> None:
+    def send_piece(self, peer, frame: wire.Fetch) -> None:
         """A piece of a want that still goes on, to whom it was offered; else nothing: the director is offered again."""
-        name, hand = peer.other.name, self.hands.get(peer.other.name)
-        rollout = self.going.get(hand.kind) if hand is not None else None
-        if rollout is None or rollout.state == wanted.HALTED or frame.number != rollout.want.number or not 0 <= frame.offset < rollout.want.size or not self.auditing.keeps():
+        name, hand = peer.remote.name, self.hands.get(peer.remote.name)
+        rollout = self.by_kind.get(hand.kind) if hand is not None else None
+        if rollout is None or rollout.state == wanted.HALTED or frame.number != rollout.want.number or not 0 <= frame.offset < rollout.want.size or not self.auditor.owns_journal():
             return
         data = self.content[hand.kind][frame.offset:frame.offset + PIECE_BYTES]
         self.hands[name] = hand._replace(asked_ms=self.loop.now)
@@ -118,7 +118,7 @@
     # Operators
 
     def asked(self, frame: wire.Ask) -> dict:
-        if not self.auditing.keeps():
+        if not self.auditor.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, rest = frame.name.partition(" ")
         if kind not in CAN_BE_WANTED:
@@ -133,14 +133,14 @@
 
     def want(self, kind: str, name: str, frame: wire.Ask) -> str | None:
         """Begins a rollout; why not, where it is refused."""
-        before = self.going.get(kind)
+        before = self.by_kind.get(kind)
         if before is not None and before.state == wanted.GOING:
             return f"the rollout of {before.want.hash[:8]} (number {before.want.number}) goes on: halt it first"
         if not 0 < len(frame.data) <= SIZE_MOST or len(name) != HASH_DIGITS:
             return f"a file of {len(frame.data)} bytes, 1 to {SIZE_MOST}, and its version's hash are needed"
-        if (kind, name) in self.auditing.floors.since:
+        if (kind, name) in self.auditor.floors.since:
             return f"{kind} {name[:8]} must not be used any more: allow it first"
-        want = Want(kind, wanted.next_number(self.auditing.ledger.store.epoch, self.highest), name, hashlib.sha256(frame.data).hexdigest(), len(frame.data), max(0.0, frame.figures.get("soak_ms", wanted.SOAK_MS)),
+        want = Want(kind, wanted.next_number(self.auditor.ledger.store.epoch, self.highest), name, hashlib.sha256(frame.data).hexdigest(), len(frame.data), max(0.0, frame.figures.get("soak_ms", wanted.SOAK_MS)),
                     max(0.0, frame.figures.get("by_ms", 0.0)))
         rollout = Rollout(want, self.loop.now)
         if not self.write(rollout, data=frame.data):
@@ -149,7 +149,7 @@
         return self.begin(rollout, frame.data)
 
     def halt(self, kind: str) -> str | None:
-        rollout = self.going.get(kind)
+        rollout = self.by_kind.get(kind)
         if rollout is None or rollout.state == wanted.HALTED:
             return "nothing goes on"
         before = rollout.kept()
@@ -161,7 +161,7 @@
 
     def stragglers(self, kind: str) -> dict:
         """The rollout, and each director that is not on what is wanted, with its cause."""
-        rollout, now, book = self.going.get(kind), self.loop.now, self.auditing.book
+        rollout, now, book = self.by_kind.get(kind), self.loop.now, self.auditor.fleet_log
         if rollout is None:
             return {"want": None, "behind": [], "not_known": answers.unknown(book, now)}
         seats, behind = self.seats(rollout), []
--- a/laddergw/planner/rules_check.py
+++ b/laddergw/planner/rules_check.py
@@ -9,8 +9,8 @@
 from collections import deque
 from typing import Callable, Iterator, NamedTuple
 
-from laddergw.planner.plan import LEASE_MS, Obeyed, Plan
-from laddergw.planner.standby import LEADS, SILENT_MS, STRAY_MS, Standing
+from laddergw.planner.plan import LEASE_MS, FollowedPlan, Plan
+from laddergw.planner.standby import LEADS, SILENT_MS, STRAY_MS, Standby
 
 TICK_MS = 1_250.0          # a lease is two to three ticks, a silence two to three
 TICKS_MOST = 6             # of one history
@@ -21,8 +21,8 @@
 
 class Rules(NamedTuple):
     """What is checked: the real rules, or, to see that the check sees, one with a mistake in it."""
-    offer: Callable[[Obeyed, Plan, float], bool] = Obeyed.offer
-    now: Callable[[Obeyed, float], Plan | None] = Obeyed.now
+    offer: Callable[[FollowedPlan, Plan, float], bool] = FollowedPlan.offer
+    now: Callable[[FollowedPlan, float], Plan | None] = FollowedPlan.now
     fenced: bool = True
 
 
@@ -46,18 +46,18 @@
     return State(0, 1, ((True, LEADS, 1, 1, 0.0, 0), (True, "stands by", 1, 1, 0.0, 0)), (((0, "", 0), None, 0.0),) * 2, ())
 
 
-def standing(told: tuple) -> Standing:
-    made = Standing(1, told[2], told[4], told[1] == LEADS)
+def standing(told: tuple) -> Standby:
+    made = Standby(1, told[2], told[4], told[1] == LEADS)
     made.highest, made.wait = told[3], SILENT_MS + STRAY_MS / 2
     return made
 
 
-def as_told(alive: bool, made: Standing, version: int) -> tuple:
+def as_told(alive: bool, made: Standby, version: int) -> tuple:
     return alive, made.state, made.epoch, made.highest, made.heard_at, version
 
 
-def obeyed(told: tuple) -> Obeyed:
-    made = Obeyed()
+def obeyed(told: tuple) -> FollowedPlan:
+    made = FollowedPlan()
     made.seen, made.came_ms = told[0], told[2]
     made.plan = None if told[1] is None else plan_of(told[1])
     return made
--- a/laddergw/planner/server.py
+++ b/laddergw/planner/server.py
@@ -9,15 +9,15 @@
 
 from laddergw.loop.tls import common_name, wrap_accept
 from laddergw.planner import plan as plans, wire
-from laddergw.planner.auditing import Auditing
+from laddergw.planner.auditing import Auditor
 from laddergw.planner.digests import Digest, View
 from laddergw.planner.forecast import Forecast
-from laddergw.planner.leader import Leader
+from laddergw.planner.leader_client import LeaderClient
 from laddergw.planner.peer import Peer
 from laddergw.planner.rollouts import LOOK_MS
 from laddergw.planner.plan import Keys, Plan
 from laddergw.planner.sketch import Hot, Sketch
-from laddergw.planner.standby import LEADS, Standing
+from laddergw.planner.standby import LEADS, Standby
 from laddergw.store.keeper import Fenced, Store, StoreError
 from laddergw.work.scheduler import IDLE, NORMAL, URGENT, Scheduler
 
@@ -52,8 +52,8 @@
         self.view, self.hot, self.forecasts = View(), Sketch(), {}
         self.version = self.records = 0
         self.past: dict[str, int] = {}
-        self.standing = Standing(seed, store.epoch if store is not None else 1, loop.now, leads)
-        self.auditing = Auditing(loop, self.guarded)
+        self.standby = Standby(seed, store.epoch if store is not None else 1, loop.now, leads)
+        self.auditor = Auditor(loop, self.guarded)
         if store is not None:
             self.recover()
         self.peers: dict[Peer, None] = {}
@@ -62,8 +62,8 @@
         self.work = Scheduler(clock, on_failure=lambda job, error: watch("work failed", job=job, error=str(error)), on_long_step=lambda job, ms: watch("long step", job=job, ms=ms))
         self.listener = loop.listen(address, wrap_accept(self.accept, tls))
         self.address = self.listener.address
-        self.links = [Leader(self, other) for other in others]
-        for ms, call in (PLAN_MS, self.plan_due), (KEEP_MS, self.keep_due), (AGE_MS, self.age_due), (TURN_MS, self.turn), (LOOK_MS, lambda: self.auditing.rollouts.look(self.peers)):
+        self.links = [LeaderClient(self, other) for other in others]
+        for ms, call in (PLAN_MS, self.plan_due), (KEEP_MS, self.keep_due), (AGE_MS, self.age_due), (TURN_MS, self.turn), (LOOK_MS, lambda: self.auditor.rollouts.look(self.peers)):
             self.every(ms, call)
 
     def every(self, ms: float, call: Callable[[], None]) -> None:
@@ -95,13 +95,13 @@
             self.hot = Sketch()
             self.hot.merge(Hot(*hot) for hot in kept.hot)
         self.view.past = dict(self.past)
-        self.guarded(lambda: self.auditing.opened(self.store))
+        self.guarded(lambda: self.auditor.load_journal(self.store))
         self.watch("recovered", records=len(found.records), snapshot=found.state is not None, epoch=self.store.epoch)
 
     def keep_due(self) -> None:
-        if self.store is not None and self.standing.state == LEADS:
+        if self.store is not None and self.standby.state == LEADS:
             self.work.add("keep", self.keep(), NORMAL)
-            self.work.add("audit", self.auditing.keep(self.peers), NORMAL)
+            self.work.add("audit", self.auditor.write_journal(self.peers), NORMAL)
 
     def keep(self) -> Generator[None, None, None]:
         """One record of the history; each SNAPSHOT_EACH of them a snapshot."""
@@ -121,7 +121,7 @@
             write()
             return True
         except Fenced as error:
-            self.standing.fenced(self.loop.now)
+            self.standby.fenced(self.loop.now)
             self.watch("fenced", error=str(error))
         except StoreError as error:
             self.watch("store fault", fault=str(error))
@@ -130,7 +130,7 @@
     # Edges
 
     def hello(self) -> wire.Hello:
-        return wire.Hello(wire.VERSION, self.name, wire.PLANNER, self.standing.epoch)
+        return wire.Hello(wire.VERSION, self.name, wire.PLANNER, self.standby.epoch)
 
     def accept(self, stream) -> Peer:
         peer = Peer(self.loop, self.hello(), self.told, self.peer_up, self.peer_down)
@@ -138,57 +138,57 @@
         return peer
 
     def peer_up(self, peer: Peer) -> None:
-        certified = common_name(getattr(peer.stream, "peer", None)) if self.tls is not None else peer.other.name
-        if certified and not peer.other.name.startswith(certified):
-            return peer.end(f"{peer.other.name} shows the certificate of {certified}")
-        self.watch("peer up", peer=peer.other.name, role=peer.other.role)
+        certified = common_name(getattr(peer.stream, "peer", None)) if self.tls is not None else peer.remote.name
+        if certified and not peer.remote.name.startswith(certified):
+            return peer.close(f"{peer.remote.name} shows the certificate of {certified}")
+        self.watch("peer up", peer=peer.remote.name, role=peer.remote.role)
         return None
 
     def peer_down(self, peer: Peer, why: str) -> None:
         self.peers.pop(peer, None)
-        if peer.other is not None:
-            self.bases.pop(peer.other.name, None)
-        self.watch("peer down", peer=peer.other.name if peer.other else "", why=why)
+        if peer.remote is not None:
+            self.bases.pop(peer.remote.name, None)
+        self.watch("peer down", peer=peer.remote.name if peer.remote else "", why=why)
 
     def told(self, peer: Peer, frame: wire.Frame) -> None:
-        if isinstance(frame, wire.Ask) and peer.other.role == wire.OPERATOR:
-            return peer.send(wire.Answer(self.auditing.ask(frame)))
-        if isinstance(frame, wire.Fetch) and peer.other.role == wire.EDGE:
-            return self.auditing.rollouts.fetch(peer, frame)
-        if not isinstance(frame, wire.DigestFrame) or peer.other.role != wire.EDGE:
-            return peer.end("only edges tell digests, and operators ask")
-        edge = peer.other.name
-        self.auditing.told(peer, frame)          # first: it needs no base, and is told once on a connection
-        digest = wire.as_digest(edge, frame, self.bases.get(edge))
+        if isinstance(frame, wire.Ask) and peer.remote.role == wire.OPERATOR:
+            return peer.send(wire.Answer(self.auditor.answer_question(frame)))
+        if isinstance(frame, wire.Fetch) and peer.remote.role == wire.EDGE:
+            return self.auditor.rollouts.send_piece(peer, frame)
+        if not isinstance(frame, wire.DigestFrame) or peer.remote.role != wire.EDGE:
+            return peer.close("only edges tell digests, and operators ask")
+        edge = peer.remote.name
+        self.auditor.told(peer, frame)          # first: it needs no base, and is told once on a connection
+        digest = wire.to_digest(edge, frame, self.bases.get(edge))
         if digest is None:
             return peer.send(wire.Again(frame.number))
         self.bases[edge] = digest
         if self.view.merge(digest, self.loop.now):
             for hot in digest.hot:
                 self.hot.add(hot.title, hot.count)
-        self.standing.knows(min(frame.seen, self.standing.highest + plans.AHEAD_MOST))
+        self.standby.knows(min(frame.seen, self.standby.highest + plans.AHEAD_MOST))
         if frame.obeys:
-            self.standing.heard(frame.obeys, self.loop.now, frame.age_ms)
+            self.standby.heard(frame.obeys, self.loop.now, frame.age_ms)
         return None
 
     # Plans
 
     def plan_due(self) -> None:
-        step = self.standing.look(self.loop.now)
+        step = self.standby.look(self.loop.now)
         if step.take:
             self.take(step.take)
-        if self.standing.state == LEADS:
+        if self.standby.state == LEADS:
             self.work.add("plan", self.plan(), URGENT)
             self.work.run_turn()
 
     def take(self, epoch: int) -> None:
         """The next epoch, from the store where there is one."""
         if self.store is None and self.store_path is not None and not self.guarded(self.open_store):
-            return self.standing.fenced(self.loop.now)
-        if self.store is not None and not (self.guarded(lambda: self.store.take_epoch(epoch)) and self.guarded(lambda: self.auditing.opened(self.store))):
-            return self.standing.fenced(self.loop.now)
-        self.standing.took(self.store.epoch if self.store is not None else epoch)
-        self.watch("leads", epoch=self.standing.epoch)
+            return self.standby.fenced(self.loop.now)
+        if self.store is not None and not (self.guarded(lambda: self.store.take_epoch(epoch)) and self.guarded(lambda: self.auditor.load_journal(self.store))):
+            return self.standby.fenced(self.loop.now)
+        self.standby.took(self.store.epoch if self.store is not None else epoch)
+        self.watch("leads", epoch=self.standby.epoch)
         return None
 
     def open_store(self) -> None:
@@ -205,14 +205,14 @@
             rates[product] = forecast.ahead(PLAN_MS).a_second
         yield
         self.version += 1
-        plan = Plan(self.standing.epoch, self.name, self.version, plans.LEASE_MS, self.view.asked(now), self.view.numbers(now), rates,
+        plan = Plan(self.standby.epoch, self.name, self.version, plans.LEASE_MS, self.view.asked(now), self.view.numbers(now), rates,
                     tuple(self.hot.top(HOT_MOST)), self.view.drained(now))
         if self.lie is not None:
             plan = self.lie(plan)
         yield
         sealed = plans.seal(plan, self.keys)
         for peer in list(self.peers):
-            if peer.other is not None:
+            if peer.remote is not None:
                 peer.plan(sealed)
         self.watch("plan", epoch=plan.epoch, version=plan.version, nodes=len(plan.nodes), edges=len(plan.numbers))
 
@@ -220,11 +220,11 @@
         """A standby, or a leader that hears of another: whose epoch is higher."""
         try:
             plan = plans.unseal(sealed, self.keys)
-        except plans.Refused as error:
+        except plans.PlanRejected as error:
             self.watch("plan refused", error=str(error))
             return
         if plan.planner != self.name:
-            self.standing.heard(plan.epoch, self.loop.now)
+            self.standby.heard(plan.epoch, self.loop.now)
 
     def age_due(self) -> None:
         def age() -> Generator[None, None, None]:
@@ -235,9 +235,9 @@
     def stop(self) -> None:
         self.listener.close()
         for peer in list(self.peers):
-            peer.end("the planner stops")
-        if self.store is not None and self.standing.state == LEADS:
-            for step in self.keep(), self.auditing.keep(self.peers):
+            peer.close("the planner stops")
+        if self.store is not None and self.standby.state == LEADS:
+            for step in self.keep(), self.auditor.write_journal(self.peers):
                 for _ in step:
                     pass
         if self.store is not None:
--- a/laddergw/planner/standby.py
+++ b/laddergw/planner/standby.py
@@ -17,7 +17,7 @@
     take: int = 0
 
 
-class Standing:
+class Standby:
     """One planner among several."""
 
     def __init__(self, seed: int, epoch: int, now: float, leads: bool):
--- a/laddergw/planner/wire.py
+++ b/laddergw/planner/wire.py
@@ -130,7 +130,7 @@
 encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
 
 
-class Malformed(Exception):
+class MalformedFrame(Exception):
     """Bytes that are no frame of ours; the text says why."""
 
 
@@ -140,7 +140,7 @@
 
 
 class Unpacker:
-    """Frames out of a stream of bytes. Raises Malformed; the stream is of no more use then."""
+    """Frames out of a stream of bytes. Raises MalformedFrame; the stream is of no more use then."""
 
     def __init__(self):
         self.rest = bytearray()
@@ -151,7 +151,7 @@
         while len(self.rest) >= HEAD:
             size = int.from_bytes(self.rest[:HEAD], "big")
             if size > FRAME_MOST:
-                raise Malformed(f"a frame of {size} bytes, {FRAME_MOST} at most")
+                raise MalformedFrame(f"a frame of {size} bytes, {FRAME_MOST} at most")
             if len(self.rest) < HEAD + size:
                 break
             body = bytes(self.rest[HEAD:HEAD + size])
@@ -159,17 +159,17 @@
             try:
                 found.append(decoder.decode(body))
             except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-                raise Malformed(f"not a frame: {error}") from None
+                raise MalformedFrame(f"not a frame: {error}") from None
         return found
 
 
-class Base(NamedTuple):
+class DeltaBase(NamedTuple):
     """The last digest that the other side surely has."""
     number: int
     nodes: dict[int, tuple[float, int]]
 
 
-def as_frame(digest: Digest, base: Base | None, obeys: int = 0, age_ms: float = 0.0, seen: int = 0, audit: Part | None = None, budgets: tuple[Row, ...] = ()) -> DigestFrame:
+def to_frame(digest: Digest, base: DeltaBase | None, obeys: int = 0, age_ms: float = 0.0, seen: int = 0, audit: Part | None = None, budgets: tuple[Row, ...] = ()) -> DigestFrame:
     """Whole, or what changed since a base; with what the edge obeys, and its part of the audit."""
     nodes, gone, since = digest.nodes, (), 0
     if base is not None:
@@ -180,11 +180,11 @@
                        budgets, audit)
 
 
-def as_digest(edge: str, frame: DigestFrame, known: Digest | None) -> Digest | None:
-    """The digest that a frame tells; None where it is a delta to one that is not here. Raises Malformed for figures out of range."""
+def to_digest(edge: str, frame: DigestFrame, known: Digest | None) -> Digest | None:
+    """The digest that a frame tells; None where it is a delta to one that is not here. Raises MalformedFrame for figures out of range."""
     if any(not 0 <= kb < 1e9 or not 0 <= plays < 1e9 for kb, plays in frame.nodes.values()) or frame.number < 1 or any(count < 0 for count in frame.arrivals.values()) \
             or not 0 <= frame.age_ms < 1e15 or frame.obeys < 0 or frame.seen < 0:
-        raise Malformed("a digest with figures out of range")
+        raise MalformedFrame("a digest with figures out of range")
     nodes = frame.nodes
     if frame.base:
         if known is None or known.number != frame.base:
--- a/tests/fleet_town.py
+++ b/tests/fleet_town.py
@@ -7,7 +7,7 @@
 from laddergw.director.limits_file import InPlace, LimitsFile
 from laddergw.lab.lines import Line
 from laddergw.planner import wire
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
 from laddergw.store.keeper import Store
 from tests.town import Town
@@ -36,13 +36,13 @@
         """The director's process tells the planner, and takes files over the line."""
         director = self.town.directors[number]
         director.house = director.house._replace(deployment=director.house.deployment._replace(zone=self.zones.get(number, 0)))
-        self.sides[number] = side = EdgeSide(director, (self.lines[number].address,))
+        self.sides[number] = side = PlannerClient(director, (self.lines[number].address,))
         path = os.path.join(self.folder, f"limits.{number}")
         if not os.path.exists(path):
             with open(path, "w") as stream:
                 stream.write("(limits)")
         self.files[number] = LimitsFile(director.loop, path, InPlace(director.house), director.change_limits, director.limits_refused, b"(limits)")
-        side.audit.brings(self.files[number].bring)
+        side.audit.accept_files(self.files[number].bring)
 
     def strike(self, number, what, value=None):
         line = self.lines[number]
@@ -70,4 +70,4 @@
         return ask.answer, ask.lines[0][1].get("reason")
 
     def question(self, what, name=""):
-        return json.loads(self.planner.auditing.ask(wire.Ask(what, name)))
+        return json.loads(self.planner.auditor.answer_question(wire.Ask(what, name)))
--- a/tests/test_budgets_town.py
+++ b/tests/test_budgets_town.py
@@ -7,7 +7,7 @@
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.lab.budget_parts import most_within
 from laddergw.planner import wire
-from laddergw.planner.budgeting import identity
+from laddergw.planner.budgeting import store_identity
 from laddergw.store.keeper import Store
 from laddergw.terms.loading import load
 from laddergw.terms.sexpr import Refused
@@ -26,15 +26,15 @@
     def setUp(self):
         super().setUp()
         self.spends = []
-        self.issuer = identity(self.planner.store)
+        self.issuer = store_identity(self.planner.store)
         for number in self.town.directors:
             self.begin(number)
-        self.planner.auditing.budgeting.set((Budget(NAME, WHOLE, WINDOW_MS),))
+        self.planner.auditor.budget_grants.configure((Budget(NAME, WHOLE, WINDOW_MS),))
         self.town.run(lasts(LEASE_MS, WINDOW_MS) + 1_000)
 
     def join(self, number):
         director = self.town.directors[number]
-        director.house = director.house._replace(issuer=identity(self.planner.store))
+        director.house = director.house._replace(issuer=store_identity(self.planner.store))
         super().join(number)
 
     def begin(self, number, window_ms=int(WINDOW_MS)):
@@ -67,7 +67,7 @@
         both = self.storm(20_000)
         self.assertGreater(min(both.values()), 0.15 * sum(both.values()))
         self.assertEqual(self.town.directors[0].budgets.may_retry((NAME,), self.town.directors[0].loop.now), NAME)
-        row, = json.loads(self.planner.auditing.ask(wire.Ask("budgets")))["budgets"]
+        row, = json.loads(self.planner.auditor.answer_question(wire.Ask("budgets")))["budgets"]
         self.assertEqual((row["whole"], len(row["held"]), row["charged"] <= WHOLE), (WHOLE, 3, True), row)
 
     def test_cut_off_killed_and_taken_over(self):
@@ -79,8 +79,8 @@
         self.kill_planner()
         self.storm(3_000)
         self.start_planner()
-        self.planner.auditing.budgeting.set((Budget(NAME, WHOLE, WINDOW_MS),))
-        self.assertEqual(identity(self.planner.store), self.issuer)      # of the store, whoever opens it
+        self.planner.auditor.budget_grants.configure((Budget(NAME, WHOLE, WINDOW_MS),))
+        self.assertEqual(store_identity(self.planner.store), self.issuer)      # of the store, whoever opens it
         before = len(self.spends)
         self.storm(4_000)                                                # what is held goes on, nobody gets more
         self.assertGreater(len(self.spends), before)
@@ -94,18 +94,18 @@
     def test_the_whole_lowered_raised_and_taken_out(self):
         self.town.run(FLOOR_LEASE_MS)                                    # what a planner of before granted is surely over
         self.assertGreater(sum(self.storm(8_000).values()), 0.7 * WHOLE * 4)
-        self.planner.auditing.budgeting.set((Budget(NAME, 3, WINDOW_MS),))
+        self.planner.auditor.budget_grants.configure((Budget(NAME, 3, WINDOW_MS),))
         self.storm(LEASE_MS + WINDOW_MS)
         begun = len(self.spends)
         self.storm(8_000)
         self.assertLessEqual(most_within(self.spends[begun:], WINDOW_MS)[0], 3)
         self.assertGreater(len(self.spends) - begun, 4)                  # three among three: by turns
-        self.planner.auditing.budgeting.set((Budget(NAME, WHOLE, WINDOW_MS),))
+        self.planner.auditor.budget_grants.configure((Budget(NAME, WHOLE, WINDOW_MS),))
         self.storm(8_000)
-        self.planner.auditing.budgeting.set(())
+        self.planner.auditor.budget_grants.configure(())
         self.storm(LEASE_MS + 1_000)
         self.assertLessEqual(sum(self.storm(6_000).values()), 3 * WHOLE / 2)     # floors
-        self.assertIn("refused", json.loads(self.planner.auditing.ask(wire.Ask("budgets"))))
+        self.assertIn("refused", json.loads(self.planner.auditor.answer_question(wire.Ask("budgets"))))
 
     def test_a_file_that_comes_back_does_not_make_its_past_forgotten(self):
         self.storm(6_000)
@@ -119,9 +119,9 @@
 
     def test_another_store_grants_nothing(self):
         for side in self.sides.values():
-            side.holding.issuer = identity(Store(self.path + ".other"))
+            side.grant_holder.issuer = store_identity(Store(self.path + ".other"))
         self.storm(LEASE_MS + 1_000)
-        self.assertEqual([side.holding.held[NAME].right(self.town.world.now + 60_000) for side in self.sides.values()], [0, 0, 0])
+        self.assertEqual([side.grant_holder.held[NAME].right(self.town.world.now + 60_000) for side in self.sides.values()], [0, 0, 0])
 
     def test_what_a_file_may_say(self):
         house = self.town.directors[0].house
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -21,7 +21,7 @@
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import auditing, wire
 from laddergw.planner.digests import Digest
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.peer import Peer
 from laddergw.planner.server import Planner
 from laddergw.programme import rules as programmes
@@ -43,10 +43,10 @@
         peer = Peer(world.host("d0"), wire.Hello(wire.VERSION, "d0-1", wire.EDGE, 0), lambda peer, frame: back.append(frame), lambda peer: None, lambda peer, why: None)
         world.hosts["d0"].dial(("p0", 8300), peer, 500.0)
         world.run(world.now + 50)
-        peer.send(wire.as_frame(Digest("d0-1", 9, world.now, {}, {}, (), {}, ()), wire.Base(8, {}), audit=Told().part(stamps)))
+        peer.send(wire.to_frame(Digest("d0-1", 9, world.now, {}, {}, (), {}, ()), wire.DeltaBase(8, {}), audit=Told().part(stamps)))
         world.run(world.now + 50)
         self.assertIn(wire.Again(9), back)
-        self.assertEqual(answers.counted(planner.auditing.book), {("d0-1", STANDS[0].id, "safe", LET_IN): 1})
+        self.assertEqual(answers.counted(planner.auditor.fleet_log), {("d0-1", STANDS[0].id, "safe", LET_IN): 1})
 
     def test_one_planner_at_a_time_keeps_the_journal(self):
         """Rehearsed: one that was fenced out was asked, and did not know what its successor had been told; and one that takes the store back must read it first."""
@@ -56,42 +56,42 @@
         keepers, stamps = [], Stamps()
 
         def keeper():
-            made = auditing.Auditing(MemoryNetwork(1).host("p"), self.guarded)
-            made.opened(Store(path))
+            made = auditing.Auditor(MemoryNetwork(1).host("p"), self.guarded)
+            made.load_journal(Store(path))
             self.addCleanup(made.ledger.store.db.close)
             keepers.append(made)
             return made
         first = keeper()
         stamps.on(STANDS[0], 1.0)
         stamps.did("v", "safe", "", LET_IN, 2.0)
-        first.book.merge("d0-1", Told().part(stamps), 2.0, 2.0)
-        list(first.keep(()))
+        first.fleet_log.merge("d0-1", Told().part(stamps), 2.0, 2.0)
+        list(first.write_journal(()))
         second = keeper()
-        self.assertEqual([one.keeps() for one in keepers], [False, True])
+        self.assertEqual([one.owns_journal() for one in keepers], [False, True])
         stamps.kept_by_planner(2)
         stamps.did("w", "safe", "", LET_IN, 3.0)
         stamps.on(STANDS[1], 4.0)
-        second.book.merge("d0-1", Told().part(stamps), 4.0, 4.0)
-        list(second.keep(()))
-        stamps.kept_by_planner(second.book.acknowledged("d0-1"))
+        second.fleet_log.merge("d0-1", Told().part(stamps), 4.0, 4.0)
+        list(second.write_journal(()))
+        stamps.kept_by_planner(second.fleet_log.acknowledged("d0-1"))
         self.assertEqual(len(stamps.turns), 1)                           # what only the second was told, nobody tells again
-        first.book.merge("d0-1", Told().part(stamps), 5.0, 5.0)
-        self.assertFalse(json.loads(first.ask(wire.Ask("verify")))["kept"])
-        self.assertTrue(json.loads(first.ask(wire.Ask("versions")))["not_known"])
-        list(first.keep(()))                                             # fenced: nothing is written, nothing acknowledged
+        first.fleet_log.merge("d0-1", Told().part(stamps), 5.0, 5.0)
+        self.assertFalse(json.loads(first.answer_question(wire.Ask("verify")))["kept"])
+        self.assertTrue(json.loads(first.answer_question(wire.Ask("versions")))["not_known"])
+        list(first.write_journal(()))                                             # fenced: nothing is written, nothing acknowledged
         first.ledger.store.take_epoch(9)
-        first.opened(first.ledger.store)
-        list(first.keep(()))
-        self.assertEqual([one.keeps() for one in keepers], [True, False])
-        self.assertEqual(sum(answers.counted(first.book).values()), 2)
+        first.load_journal(first.ledger.store)
+        list(first.write_journal(()))
+        self.assertEqual([one.owns_journal() for one in keepers], [True, False])
+        self.assertEqual(sum(answers.counted(first.fleet_log).values()), 2)
         self.assertEqual(first.ledger.verify().faults, ())
 
     def test_each_change_is_another_stand_and_the_way_back_the_same(self):
         """Reviewed: an edge whose programme rules were read again told nobody, and went on under the stand of before."""
         town = Town(director_class=Front)
         edge = town.directors[0]
-        audit = EdgeSide(edge, ()).audit
-        stands, rules = [audit.stamps.now_in_force], programmes.read(GOOD)
+        audit = PlannerClient(edge, ()).audit
+        stands, rules = [audit.action_counts.now_in_force], programmes.read(GOOD)
         limits, house = load(b"(limits (defaults (attempts 2)))", "own", edge.house).limits, edge.house
         usual = edge.limits
         for there, back in ((lambda: edge.change_programme(rules), lambda: edge.change_programme(Programme({}, ()))),
@@ -101,13 +101,13 @@
             for act in there, back:
                 act()
                 town.run(100)
-                stands.append(audit.stamps.now_in_force)
+                stands.append(audit.action_counts.now_in_force)
         self.assertEqual(len(set(stands)), 5)
         self.assertEqual(set(stands[::2]), {stands[0]})
 
     def keeper(self, path, **bounds):
-        made = auditing.Auditing(MemoryNetwork(1).host("p"), self.guarded)
-        made.opened(Store(path, **bounds))
+        made = auditing.Auditor(MemoryNetwork(1).host("p"), self.guarded)
+        made.load_journal(Store(path, **bounds))
         self.addCleanup(made.ledger.store.db.close)
         return made
 
@@ -120,16 +120,16 @@
         for n in range(6):
             stamps.on(STANDS[n], float(n))
             stamps.did("v", "safe", "", LET_IN, float(n))
-            keeper.book.merge("d0-1", told.part(stamps), float(n), float(n))
-            list(keeper.keep(()))
-            stamps.kept_by_planner(keeper.book.acknowledged("d0-1"))
+            keeper.fleet_log.merge("d0-1", told.part(stamps), float(n), float(n))
+            list(keeper.write_journal(()))
+            stamps.kept_by_planner(keeper.fleet_log.acknowledged("d0-1"))
             if n == 2:
                 shutil.copy(path, path + ".backup")
-        self.assertEqual(answers.unknown(keeper.book, 6.0), [])
+        self.assertEqual(answers.unknown(keeper.fleet_log, 6.0), [])
         back = self.keeper(path + ".backup")
-        back.book.merge("d0-1", Told().part(stamps), 7.0, 7.0)
-        self.assertIn("its turns 4 to 5 are missing here", answers.unknown(back.book, 7.0)[0])
-        self.assertEqual(answers.counted(back.book)["d0-1", STANDS[5].id, "safe", LET_IN], 1)
+        back.fleet_log.merge("d0-1", Told().part(stamps), 7.0, 7.0)
+        self.assertIn("its turns 4 to 5 are missing here", answers.unknown(back.fleet_log, 7.0)[0])
+        self.assertEqual(answers.counted(back.fleet_log)["d0-1", STANDS[5].id, "safe", LET_IN], 1)
 
     def test_a_full_disk_acknowledges_nothing_and_loses_nothing(self):
         folder = tempfile.TemporaryDirectory()
@@ -140,9 +140,9 @@
         for n in range(120):
             stamps.on(versions.stand([versions.version(versions.LIMITS, [f"limits {n}"] * 50, "an issuer with a long name " * 20)]), float(n))
             stamps.did("v", "safe", "", LET_IN, float(n))
-            keeper.book.merge("d0-1", told.part(stamps), float(n), float(n))
-            list(keeper.keep([self.edge("d0-1", said)]))
-            full += bool(keeper.book.changed)
+            keeper.fleet_log.merge("d0-1", told.part(stamps), float(n), float(n))
+            list(keeper.write_journal([self.edge("d0-1", said)]))
+            full += bool(keeper.fleet_log.changed)
             if said:
                 stamps.kept_by_planner(said[-1])
         self.assertGreater(full, 10)
@@ -154,9 +154,9 @@
         self.assertLessEqual(said[-1], max(on_disk.processes["d0-1"].turns))
         self.assertLessEqual(stamps.turns[0].number, said[-1] + 1)       # what is not on the disk is still at the director
         keeper.ledger.store.db.execute("PRAGMA max_page_count = 100000").fetchall()
-        list(keeper.keep([self.edge("d0-1", said)]))
-        self.assertEqual((said[-1], keeper.book.changed), (120, {}))
-        self.assertEqual(sum(answers.counted(keeper.book).values()), 120)
+        list(keeper.write_journal([self.edge("d0-1", said)]))
+        self.assertEqual((said[-1], keeper.fleet_log.changed), (120, {}))
+        self.assertEqual(sum(answers.counted(keeper.fleet_log).values()), 120)
 
     def edge(self, name, said):
         return SimpleNamespace(other=wire.Hello(wire.VERSION, name, wire.EDGE, 0), send=lambda frame: said.append(frame.turn))
@@ -175,9 +175,9 @@
         for n, peer in enumerate(peers):
             world.hosts[f"d{n}"].dial(("p0", 8300), peer, 500.0)
         world.run(world.now + 50)
-        peers[0].send(wire.as_frame(Digest("d0-1", 1, 1.0, {}, {}, (), {}, ()), None, audit=Part(untold=-1)))
+        peers[0].send(wire.to_frame(Digest("d0-1", 1, 1.0, {}, {}, (), {}, ()), None, audit=Part(untold=-1)))
         world.run(world.now + 50)
-        self.assertEqual((ends, len(planner.peers), planner.auditing.book.processes), ([peers[0]], 1, {}))
+        self.assertEqual((ends, len(planner.peers), planner.auditor.fleet_log.processes), ([peers[0]], 1, {}))
 
 
 class Rehearsed(unittest.TestCase):
@@ -201,7 +201,7 @@
         self.assertLessEqual(stage.facts["turns kept"], 8)               # what planners keep, directors drop
 
     def test_mistakes_are_seen(self):
-        merge, part, keep = Book.merge, Told.part, auditing.Auditing.keep
+        merge, part, write_journal = Book.merge, Told.part, auditing.Auditor.write_journal
 
         def doubled(book, name, told, at, now):
             had = dict(book.processes[name].counts) if name in book.processes else {}
@@ -219,19 +219,19 @@
         def hasty(self, peers):
             yield
             for peer in list(peers):
-                if self.ledger is not None and peer.other is not None and (process := self.book.processes.get(peer.other.name)):
+                if self.ledger is not None and peer.remote is not None and (process := self.fleet_log.processes.get(peer.remote.name)):
                     peer.send(wire.Kept(max(process.turns, default=1)))
-            if len(self.book.changed) < 3:
-                yield from keep(self, [])
+            if len(self.fleet_log.changed) < 3:
+                yield from write_journal(self, [])
 
         def forgetful(self, peers):
             if self.ledger is not None and self.ledger.number % 3 == 1:
                 self.ledger.store.db.execute("DELETE FROM ledger WHERE number = (SELECT max(number) FROM ledger)")
-            yield from keep(self, peers)
+            yield from write_journal(self, peers)
         for seed, target, name, mistake in ((3, Right, "why_shut", lambda right, stand, now: None), (2, Rollout, "why_halt", lambda *given: None)):
             with self.subTest(name), mock.patch.object(target, name, mistake):
                 self.assertNotEqual(self.play(seed, 36, 3).verdict, [])
-        for target, name, mistake in ((Book, "merge", doubled), (Told, "part", unheard), (auditing.Auditing, "keep", hasty), (auditing.Auditing, "keep", forgetful)):
+        for target, name, mistake in ((Book, "merge", doubled), (Told, "part", unheard), (auditing.Auditor, "write_journal", hasty), (auditing.Auditor, "write_journal", forgetful)):
             with self.subTest(mistake.__name__), mock.patch.object(target, name, mistake):
                 self.assertNotEqual(self.play().verdict, [])
 
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -75,7 +75,7 @@
         loaded = load(b"(limits (defaults (attempts 2)))", "own", director.house)
         host.deliver_at(self.town.world.now, lambda: director.change_limits(loaded.limits))
         self.town.run(1_500)
-        return self.sides[1].audit.held[versions.LIMITS].hash[:8]
+        return self.sides[1].audit.active_versions[versions.LIMITS].hash[:8]
 
     def test_shut_out_and_back(self):
         self.assertEqual([self.ask(number)[0] for number in (0, 1)], ["playing", "playing"])
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -10,7 +10,7 @@
 from laddergw.fleet.rights import LEASE_MS, MARGIN_MS
 from laddergw.fleet.wanted import Want
 from laddergw.planner import rollouts, wire
-from laddergw.planner.audit_side import limits_text
+from laddergw.planner.audit_client import limits_text
 from laddergw.terms.loading import load
 from tests.fleet_town import FleetTown
 
@@ -25,13 +25,13 @@
         loaded = load(data, "wanted", self.town.directors[0].house)
         name = name or versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         self.name = name
-        return json.loads(self.planner.auditing.ask(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": soak_ms, "by_ms": by_ms})))
+        return json.loads(self.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": soak_ms, "by_ms": by_ms})))
 
     def stragglers(self):
         return self.question("stragglers", "limits")
 
     def on_it(self):
-        return {number for number, side in self.sides.items() if side.audit.held[versions.LIMITS].hash == self.name}
+        return {number for number, side in self.sides.items() if side.audit.active_versions[versions.LIMITS].hash == self.name}
 
     def until_done(self, ms=30_000):
         for _ in range(int(ms / 500)):
@@ -83,14 +83,14 @@
         self.assertEqual([name for name in os.listdir(self.folder) if name.endswith(".new")], [])
 
     def test_one_that_is_refused_halts_and_touches_nobody(self):
-        before = {number: side.audit.held[versions.LIMITS].hash for number, side in self.sides.items()}
+        before = {number: side.audit.active_versions[versions.LIMITS].hash for number, side in self.sides.items()}
         self.want(BAD, name="f" * 16)
         self.town.run(8_000)
         found = self.stragglers()
         self.assertEqual((found["state"], found["on_it"]), ("halted", 0))
         self.assertIn("attempts", found["why"])
         self.assertLessEqual(sum(row["cause"] == wanted.REFUSED for row in found["behind"]), 2)
-        self.assertEqual({number: side.audit.held[versions.LIMITS].hash for number, side in self.sides.items()}, before)
+        self.assertEqual({number: side.audit.active_versions[versions.LIMITS].hash for number, side in self.sides.items()}, before)
         self.assertNotIn("refused", self.want(GOOD, name="e" * 16))                  # a name that is not its content's
         self.town.run(3_000)
         self.assertIn("is wanted", self.stragglers()["why"])
@@ -111,8 +111,8 @@
 
     def test_a_line_that_stalls_and_breaks_in_the_middle_of_the_file(self):
         data = GOOD + b"\n; " + b"x" * 12 * PIECE_BYTES
-        offsets, fetch = [], rollouts.Rollouts.fetch
-        self.planner.auditing.rollouts.fetch = lambda peer, frame: (offsets.append((peer.other.name, frame.offset)), fetch(self.planner.auditing.rollouts, peer, frame))
+        offsets, fetch = [], rollouts.Rollouts.send_piece
+        self.planner.auditor.rollouts.send_piece = lambda peer, frame: (offsets.append((peer.remote.name, frame.offset)), fetch(self.planner.auditor.rollouts, peer, frame))
         self.want(data)
         for number in range(5):
             self.strike(number, "rate", 60_000.0)
@@ -153,9 +153,9 @@
             def bring(data, sure, done):
                 crashed.append(number)
                 self.town.loop_at = self.town.world.schedule(self.town.world.now + 1, lambda: (self.restart(number), fragile(number)))
-            self.sides[number].audit.bring = bring
+            self.sides[number].audit.apply_file = bring
         first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.town.directors[0].house).limits)).hash, "", 1),
-                                   self.planner.auditing.book.seats("limits", 1, self.town.world.now))[0].director[1:])
+                                   self.planner.auditor.fleet_log.seats("limits", 1, self.town.world.now))[0].director[1:])
         fragile(first)
         self.want(GOOD)
         self.town.run(40_000)
@@ -171,15 +171,15 @@
         self.town.run(7_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"] if row["process"][:2] in ("d1", "d3")}, {"d1": wanted.UNREACHABLE, "d3": wanted.UNREACHABLE})
         self.strike(1, "heal")
-        self.planner.auditing.rollouts.offer = lambda *given: None
+        self.planner.auditor.rollouts.offer_file = lambda *given: None
         self.town.run(4_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"] if row["process"][:2] in ("d1", "d3")}, {"d1": wanted.COMING, "d3": wanted.STILL})
-        del self.planner.auditing.rollouts.offer
+        del self.planner.auditor.rollouts.offer_file
         self.until_done()
 
     def test_past_its_time_who_is_behind_is_shut_out_but_never_a_whole_zone(self):
         for number in 2, 3:
-            self.sides[number].audit.bringing.kinds = ()                             # an older program
+            self.sides[number].audit.file_receiver.kinds = ()                             # an older program
         self.want(GOOD, by_ms=9_000.0)
         self.town.run(8_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"]}, {"d2": wanted.OLD, "d3": wanted.OLD})
@@ -192,12 +192,12 @@
 
     def test_the_last_directors_of_a_zone_stay_open(self):
         for number in 3, 4:
-            self.sides[number].audit.bringing.kinds = ()
+            self.sides[number].audit.file_receiver.kinds = ()
         self.want(GOOD, by_ms=6_000.0)
         self.town.run(12_000)
         self.assertEqual(self.question("floors")["floors"], [])
         self.assertEqual([self.ask(number)[0] for number in (0, 4)], ["playing", "playing"])
-        old = self.sides[4].audit.held[versions.LIMITS].hash
+        old = self.sides[4].audit.active_versions[versions.LIMITS].hash
         self.assertIn("zone 1", self.question("forbid", f"limits {old[:8]}")["refused"])
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -11,10 +11,10 @@
 from laddergw.planner import plan as plans, rules_check, wire
 from laddergw.planner.digests import SILENT_MS, Digest, View
 from laddergw.planner.forecast import Forecast
-from laddergw.planner.plan import LEASE_MS, Obeyed, Plan, Sent
+from laddergw.planner.plan import LEASE_MS, FollowedPlan, Plan, SentDigests
 from laddergw.planner.rules_check import Rules, check
 from laddergw.planner.sketch import Hot, Sketch
-from laddergw.planner.standby import LEADS, STANDS_BY, Standing
+from laddergw.planner.standby import LEADS, STANDS_BY, Standby
 from laddergw.planner.trust import Trust
 
 KEYS = (("k", b"a key of planners and edges"),)
@@ -106,7 +106,7 @@
 
 class Obeying(unittest.TestCase):
     def test_ranks_leases_and_forgeries(self):
-        obeyed = Obeyed()
+        obeyed = FollowedPlan()
         self.assertTrue(obeyed.offer(plan(1, 5), 0.0))
         self.assertFalse(obeyed.offer(plan(1, 5), 1.0))               # replayed
         self.assertFalse(obeyed.offer(plan(1, 4), 1.0))               # late
@@ -125,15 +125,15 @@
         for place in range(0, len(sealed), 3):
             forged = bytearray(sealed)
             forged[place] ^= 1
-            with self.assertRaises(plans.Refused):
+            with self.assertRaises(plans.PlanRejected):
                 plans.unseal(bytes(forged), KEYS)
         for bad in (b"", b"\x93", sealed[:-1], plans.seal(plan(), (("x", b"another key altogether"),)), plans.seal(plan(nodes={1: (float("nan"), 1)}), KEYS),
                     plans.seal(plan(nodes={1: (-5.0, 1)}), KEYS), plans.seal(plan(lease=1e9), KEYS), plans.seal(plan(epoch=0), KEYS)):
-            with self.assertRaises(plans.Refused):
+            with self.assertRaises(plans.PlanRejected):
                 plans.unseal(bad, KEYS)
 
     def test_what_others_ask(self):
-        sent = Sent(kept=2)
+        sent = SentDigests(kept=2)
         for number in (1, 2, 3):
             sent.told(number, {1: (10.0 * number, 1)})
         made = plan(nodes={1: (100.0, 9), 2: (50.0, 4), 3: (5.0, 1)}, numbers={"me": 3, "other": 8})
@@ -155,7 +155,7 @@
         self.assertTrue(trust.believed)
 
     def test_standing_by_and_taking_over(self):
-        one, other = Standing(1, 4, 0.0, True), Standing(2, 1, 0.0, False)
+        one, other = Standby(1, 4, 0.0, True), Standby(2, 1, 0.0, False)
         other.heard(4, 100.0)
         self.assertEqual(other.look(2_000.0).state, STANDS_BY)
         step = other.look(3_500.0)
@@ -184,21 +184,21 @@
     def test_nonsense_is_refused_or_waited_for(self, data):
         try:
             wire.Unpacker().feed(data)
-        except wire.Malformed:
+        except wire.MalformedFrame:
             pass
-        with self.assertRaises(wire.Malformed):
+        with self.assertRaises(wire.MalformedFrame):
             wire.Unpacker().feed(len(data).to_bytes(4, "big") + data + b"\xff\xff\xff\xff")
 
     def test_deltas(self):
         one = digest("e", 1, {1: (5.0, 1), 2: (6.0, 1)})
         two = digest("e", 2, {1: (5.0, 1), 3: (7.0, 1)})
-        frame = wire.as_frame(two, wire.Base(1, one.nodes))
+        frame = wire.to_frame(two, wire.DeltaBase(1, one.nodes))
         self.assertEqual((frame.nodes, frame.gone), ({3: (7.0, 1)}, (2,)))
-        self.assertEqual(wire.as_digest("e", frame, one), two)
-        self.assertIsNone(wire.as_digest("e", frame, None))
-        self.assertIsNone(wire.as_digest("e", frame, two))
-        with self.assertRaises(wire.Malformed):
-            wire.as_digest("e", wire.as_frame(digest("e", 1, {1: (-1.0, 1)}), None), None)
+        self.assertEqual(wire.to_digest("e", frame, one), two)
+        self.assertIsNone(wire.to_digest("e", frame, None))
+        self.assertIsNone(wire.to_digest("e", frame, two))
+        with self.assertRaises(wire.MalformedFrame):
+            wire.to_digest("e", wire.to_frame(digest("e", 1, {1: (-1.0, 1)}), None), None)
 
 
 class Checked(unittest.TestCase):
@@ -237,7 +237,7 @@
         self.judged(stage, the_plant)
         told = [what for _, what, _ in stage.events]
         self.assertTrue(told.count("recovered") >= 4 and told.count("plan") > 10, told)
-        self.assertGreater(sum(side.used for side in stage.sides.values()), 20)
+        self.assertGreater(sum(side.plans_used for side in stage.sides.values()), 20)
         epochs = [side.obeyed.seen[0] for side in stage.sides.values()]
         self.assertGreater(min(epochs), 2)
 
--- a/tests/test_planner_hard.py
+++ b/tests/test_planner_hard.py
@@ -7,7 +7,7 @@
 
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import plan as plans, program, wire
-from laddergw.planner.plan import LEASE_MS, Obeyed
+from laddergw.planner.plan import LEASE_MS, FollowedPlan
 from laddergw.planner.peer import Peer
 from laddergw.planner.server import PLAN_MS, Planner
 from laddergw.planner.standby import LEADS, STANDS_BY
@@ -21,7 +21,7 @@
 
     def __init__(self, world, name, planners, reads=True):
         self.host, self.name, self.planners, self.reads = world.host(name), name, planners, reads
-        self.obeyed, self.plans, self.numbers, self.peers = Obeyed(), [], {}, {}
+        self.obeyed, self.plans, self.numbers, self.peers = FollowedPlan(), [], {}, {}
         for address in planners:
             self.dial(address)
         self.host.call_later(250, self.tell)
@@ -41,7 +41,7 @@
     def tell(self):
         self.numbers[0] = self.numbers.get(0, 0) + 1
         for peer in self.peers.values():
-            if peer.other is not None and not peer.over:
+            if peer.remote is not None and not peer.over:
                 peer.send(wire.DigestFrame(self.numbers[0], 0, self.host.now, {1: (100.0, 2)}, (), {"x": self.numbers[0]}, ((7, 1.0, 0.0),), {}, (),
                                             self.obeyed.plan.epoch if self.obeyed.plan else 0, self.host.now - self.obeyed.came_ms, self.obeyed.seen[0]))
         self.host.call_later(250, self.tell)
@@ -77,9 +77,9 @@
         self.assertEqual({edge.obeyed.seen[:2] for edge in edges}, {(1, "p.1")})
         self.world.hosts["p"].freeze(10_000)
         self.run_for(9_000)
-        self.assertEqual(({edge.obeyed.seen[1] for edge in edges}, second.standing.state), ({"q.1"}, LEADS))
+        self.assertEqual(({edge.obeyed.seen[1] for edge in edges}, second.standby.state), ({"q.1"}, LEADS))
         self.run_for(6_000)
-        self.assertEqual((first.standing.state, second.standing.state), (STANDS_BY, LEADS))
+        self.assertEqual((first.standby.state, second.standby.state), (STANDS_BY, LEADS))
         for edge in edges:
             self.assertEqual(edge.obeyed.now(edge.host.now).planner, "q.1")
             taken = [rank for _, rank, took in edge.plans if took]
@@ -126,7 +126,7 @@
         next(iter(slow.peers.values())).send(wire.Credit(1))
         self.run_for(10)
         self.assertEqual(slow.plans[-1][1], quick.plans[-1][1])
-        self.assertEqual(planner.standing.state, LEADS)
+        self.assertEqual(planner.standby.state, LEADS)
 
     def test_a_store_without_room_stops_no_plan(self):
         store = self.store(most_bytes=40_960)
@@ -140,7 +140,7 @@
         self.assertIn(("p", "store fault"), [event[:2] for event in self.events])
         self.assertIsNotNone(edge.obeyed.now(edge.host.now))
         self.assertLess(edge.host.now - edge.plans[-1][0], LEASE_MS)
-        self.assertEqual(planner.standing.state, LEADS)
+        self.assertEqual(planner.standby.state, LEADS)
 
     def test_files_and_keys_read_again(self):
         """A good file's keys sign the next plan; a refused one changes nothing and is told."""
