--- a/benchmarks/audit_cost.py
+++ b/benchmarks/audit_cost.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from laddergw.fleet import answers, versions
-from laddergw.fleet.book import Book
-from laddergw.fleet.stamps import ENDED, LET_IN, PLAYING, SET_UP, TURNS_MOST, Stamps
-from laddergw.fleet.telling import Told
+from laddergw.fleet.fleet_log import FleetLog
+from laddergw.fleet.action_counts import ENDED, ADMITTED, PLAYING, SET_UP, MAX_TURNS, ActionCounts
+from laddergw.fleet.state_reports import ReportedState
 from laddergw.planner.auditing import Auditing
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 
 PARTS_A_SECOND = 4         # a part on each digest
 PLAYS_A_SECOND = 2         # of each director
@@ -46,21 +46,21 @@
         return found
 
 
-def stand(second: int) -> versions.Stand:
-    return versions.stand([versions.version(kind, [kind, str(second if kind == versions.LIST else 0)]) for kind in versions.KINDS])
+def stand(second: int) -> versions.VersionSet:
+    return versions.version_set([versions.version(kind, [kind, str(second if kind == versions.LIST else 0)]) for kind in versions.KINDS])
 
 
-def play(stamps: Stamps, number: int, now: float) -> None:
-    for action in LET_IN, SET_UP, PLAYING, ENDED:
-        stamps.did(f"v{number}", PRODUCTS[number % len(PRODUCTS)], stamps.now_in_force, action, now)
+def play(stamps: ActionCounts, number: int, now: float) -> None:
+    for action in ADMITTED, SET_UP, PLAYING, ENDED:
+        stamps.record(f"v{number}", PRODUCTS[number % len(PRODUCTS)], stamps.current_id, action, now)
 
 
 def stamping(rounds: int = 20_000) -> float:
     """Microseconds of a play."""
     best = float("inf")
     for _ in range(5):
-        stamps = Stamps()
-        stamps.on(stand(0), 0.0)
+        stamps = ActionCounts()
+        stamps.set_in_force(stand(0), 0.0)
         began = time.perf_counter()
         for number in range(rounds):
             play(stamps, number, 1.0)
@@ -72,25 +72,25 @@
     loop, wrote = Loop(), Clock()
     auditing = Auditing(loop, lambda write: write() or True)
     auditing.opened(Store(os.path.join(folder, "store")))
-    fleet = [Stamps() for _ in range(directors)]
-    lines = [Told() for _ in fleet]
+    fleet = [ActionCounts() for _ in range(directors)]
+    lines = [ReportedState() for _ in fleet]
     merged, size, parts = Clock(), 0, 0
     for second in range(seconds):
         for part in range(PARTS_A_SECOND):
             loop.now = 1000.0 * second + 250.0 * part
             for number, (stamps, told) in enumerate(zip(fleet, lines)):
                 if part == 0:
-                    stamps.on(stand(second), loop.now)
+                    stamps.set_in_force(stand(second), loop.now)
                 for n in range(PLAYS_A_SECOND // 2 if part % 2 else 0):
                     play(stamps, second * 8 + part + n + number, loop.now)
-                said = told.part(stamps)
+                said = told.next_part(stamps)
                 size, parts = size + len(encode(said)), parts + 1
                 merged.time(auditing.book.merge, f"d{number}-0", said, loop.now, loop.now)
         steps = auditing.keep(())
         while wrote.time(lambda: next(steps, DONE)) is not DONE:
             pass
         for number, stamps in enumerate(fleet):
-            stamps.kept_by_planner(auditing.book.acknowledged(f"d{number}-0"))
+            stamps.acknowledge(auditing.book.acknowledged(f"d{number}-0"))
     print(f"{directors} directors, {seconds} s: {size / seconds / 1000:.0f} kB/s of parts ({size / parts:.0f} bytes each), merging {merged.sum / seconds:.0f} ms a second "
           f"(longest {merged.worst:.1f} ms), writing {wrote.sum / seconds:.0f} ms a second (longest step {wrote.worst:.1f} ms)")
     ledger, looked = auditing.ledger, Clock()
@@ -104,23 +104,23 @@
 
 def returning(directors: int) -> None:
     """All at once, each with as many untold turns as it may keep."""
-    fleet, book, merged, size = [], Book(), Clock(), 0
+    fleet, book, merged, size = [], FleetLog(), Clock(), 0
     for number in range(directors):
-        stamps = Stamps()
-        for turn in range(TURNS_MOST + 20):
-            stamps.on(stand(turn), 1000.0 * turn)
+        stamps = ActionCounts()
+        for turn in range(MAX_TURNS + 20):
+            stamps.set_in_force(stand(turn), 1000.0 * turn)
             play(stamps, turn, 1000.0 * turn)
             play(stamps, turn + 1, 1000.0 * turn)
         fleet.append(stamps)
-    now = 1000.0 * (TURNS_MOST + 20)
+    now = 1000.0 * (MAX_TURNS + 20)
     for number, stamps in enumerate(fleet):
-        part = Told().part(stamps)
+        part = ReportedState().next_part(stamps)
         size += len(encode(part))
         merged.time(book.merge, f"d{number}-0", part, now, now)
     written, data = Clock(), 0
     for name in sorted(book.changed):
         data += len(written.time(lambda: encode(book.record(name, 0.0))))
-    print(f"{directors} back at once, {TURNS_MOST} turns each: {size / 1e6:.1f} MB, merging {merged.sum:.0f} ms (longest {merged.worst:.1f} ms of one), "
+    print(f"{directors} back at once, {MAX_TURNS} turns each: {size / 1e6:.1f} MB, merging {merged.sum:.0f} ms (longest {merged.worst:.1f} ms of one), "
           f"records of {data / 1e6:.1f} MB in {written.sum:.0f} ms (longest {written.worst:.1f} ms of one); untold {sum(s.untold for s in fleet)} actions, as each said")
 
 
--- a/benchmarks/budgets_use.py
+++ b/benchmarks/budgets_use.py
@@ -2,15 +2,15 @@
 
     PYTHONPATH=. .venv/bin/python benchmarks/budgets_use.py [seeds]
 
-The program's own Holding and Issuer over messages in memory (lab/budgets_play.py), the second half of 160 s. Beside them, on the same wants: one window over all
+The program's own GrantHolder and GrantIssuer over messages in memory (lab/budgets_play.py), the second half of 160 s. Beside them, on the same wants: one window over all
 spends, exact (what a planner that sees all at once would let through); equal shares that stay; and today's own counts, where each director holds the whole (what it lets through is over the whole).
 """
 import sys
 import time
 from collections import deque
 
-from laddergw.fleet.grants import Grant, Holding
-from laddergw.fleet.issuing import Budget, Issuer
+from laddergw.fleet.grants import Grant, GrantHolder
+from laddergw.fleet.grant_issuer import Budget, GrantIssuer
 from laddergw.lab.budget_parts import STORE, Kind
 from laddergw.lab.budgets_play import Play
 from laddergw.machines.retry_budget import BudgetTerms, RetryBudgets
@@ -91,10 +91,10 @@
 
 
 def cost() -> None:
-    holding, budgets, rounds = Holding(STORE), RetryBudgets(), 200_000
-    holding.set({"b": 10_000.0})
-    holding.asks(1, 0.0)
-    holding.granted(1, 1, STORE, [Grant("b", 10 ** 9, 10 ** 9, 0, 10_000.0)], 0.0)
+    holding, budgets, rounds = GrantHolder(STORE), RetryBudgets(), 200_000
+    holding.configure({"b": 10_000.0})
+    holding.build_rows(1, 0.0)
+    holding.apply_grants(1, 1, STORE, [Grant("b", 10 ** 9, 10 ** 9, 0, 10_000.0)], 0.0)
     budgets.configure({"b": BudgetTerms(10 ** 9, 0.0, 10_000.0)})
     for name, call in (("a spend of a fleet budget", lambda: holding.spend("b", 1_000.0)), ("of a director's own", lambda: budgets.may_retry(("b",), 1_000.0))):
         best = float("inf")
@@ -104,22 +104,22 @@
                 call()
             best = min(best, (time.perf_counter() - began) / (rounds // 5) * 1e6)
         print(f"{name}: {best:.2f} us")
-    fleet = [Holding(STORE) for _ in range(230)]
+    fleet = [GrantHolder(STORE) for _ in range(230)]
     names = {f"b{n}": 10_000.0 for n in range(20)}
-    issuers = {name: Issuer(Budget(name, 400, 10_000.0), 1, -1e9) for name in names}
+    issuers = {name: GrantIssuer(Budget(name, 400, 10_000.0), 1, -1e9) for name in names}
     for holding in fleet:
-        holding.set(names)
+        holding.configure(names)
     spent, longest = 0.0, 0.0
     for step in range(1, 21):
         for number, holding in enumerate(fleet):
             now = 250.0 * step + number          # (digests come spread over their pace)
             holding.spend("b1", now)
-            rows = holding.asks(step, now)
+            rows = holding.build_rows(step, now)
             began = time.perf_counter()
-            grants = [issuers[row.name].grant(f"d{number}-1", now) for row in rows if issuers[row.name].told(f"d{number}-1", step, row, now)]
+            grants = [issuers[row.name].grant(f"d{number}-1", now) for row in rows if issuers[row.name].handle_request(f"d{number}-1", step, row, now)]
             took = (time.perf_counter() - began) * 1000
             spent, longest = spent + took, max(longest, took)
-            holding.granted(step, 1, STORE, grants, now)
+            holding.apply_grants(step, 1, STORE, grants, now)
     print(f"230 directors, 20 budgets, four askings a second: planner {spent / 5:.0f} ms of CPU a second, longest answer {longest:.1f} ms")
 
 
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from laddergw.director.limits_file import InPlace, LimitsFile
-from laddergw.fleet.stamps import ENDED, LET_IN, PLAYING, SET_UP
+from laddergw.fleet.action_counts import ENDED, ADMITTED, PLAYING, SET_UP
 from laddergw.interface import READY
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import draw, plant
@@ -25,7 +25,7 @@
 from laddergw.planner.audit_side import limits_text
 from laddergw.planner.edge_side import EdgeSide
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from laddergw.fleet import versions
 from laddergw.terms import house as houses
 from laddergw.terms.limits import Limits
@@ -93,8 +93,8 @@
         for index, side in enumerate(self.sides):
             stamps, now = side.audit.stamps, self.world.now
             for n in range(PLAYS_A_SECOND):
-                for action in LET_IN, SET_UP, PLAYING, ENDED:
-                    stamps.did(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.now_in_force, action, now)
+                for action in ADMITTED, SET_UP, PLAYING, ENDED:
+                    stamps.record(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.current_id, action, now)
             side.audit.held[versions.LIST] = versions.version(versions.LIST, [str(number)])
             side.audit.stand()
 
--- a/benchmarks/store_recovery.py
+++ b/benchmarks/store_recovery.py
@@ -6,7 +6,7 @@
 import tempfile
 import time
 
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 
 RECORD = os.urandom(1_500)     # a record of counts and hot titles
 EACH = 60                      # records between snapshots, as the planner has it
--- a/laddergw/fleet/stamps.py
+++ b/laddergw/fleet/action_counts.py
@@ -7,13 +7,13 @@
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
-from laddergw.fleet.versions import Stand
+from laddergw.fleet.versions import VersionSet
 
-LET_IN, SET_UP, AGAIN, PLAYING, DECLINED, FAILED, ENDED = "let in", "set-up", "set-up again", "playing", "declined", "failed", "ended"
-ACTIONS = (LET_IN, SET_UP, AGAIN, PLAYING, DECLINED, FAILED, ENDED)
-TURNS_MOST = 256           # untold: minutes of a list that changes each second while no planner can be reached
-KEYS_MOST = 128            # of one turn: products by actions by stands that plays keep; past it they count under no product
-WAYS_MOST, STEPS_MOST = 2_048, 24   # plays whose way is kept, the latest ones; steps of one
+ADMITTED, SET_UP, SET_UP_RETRIED, PLAYING, DECLINED, FAILED, ENDED = "let in", "set-up", "set-up again", "playing", "declined", "failed", "ended"
+ACTIONS = (ADMITTED, SET_UP, SET_UP_RETRIED, PLAYING, DECLINED, FAILED, ENDED)
+MAX_TURNS = 256           # untold: minutes of a list that changes each second while no planner can be reached
+MAX_KEYS_PER_TURN = 128            # of one turn: products by actions by stands that plays keep; past it they count under no product
+MAX_TRACKED_PLAYS, MAX_STEPS_PER_PLAY = 2_048, 24   # plays whose way is kept, the latest ones; steps of one
 
 
 class Turn(NamedTuple):
@@ -39,49 +39,49 @@
     kept: str
 
 
-class Stamps:
+class ActionCounts:
     """See the module."""
 
     def __init__(self):
         self.turns: deque[Turn] = deque()
         self.counts: dict[int, dict[Key, int]] = {}
-        self.stands: dict[str, Stand] = {}
-        self.ways: OrderedDict[str, list[Step]] = OrderedDict()
-        self.untold = self.acknowledged = 0
+        self.version_sets: dict[str, VersionSet] = {}
+        self.play_steps: OrderedDict[str, list[Step]] = OrderedDict()
+        self.dropped = self.acknowledged = 0
 
     @property
-    def now_in_force(self) -> str:
+    def current_id(self) -> str:
         return self.turns[-1].stand if self.turns else ""
 
-    def on(self, stand: Stand, now: float) -> bool:
+    def set_in_force(self, stand: VersionSet, now: float) -> bool:
         """From now on this stand is in force; False where it was already."""
-        if self.now_in_force == stand.id:
+        if self.current_id == stand.id:
             return False
         number = self.turns[-1].number + 1 if self.turns else 1
         self.turns.append(Turn(number, now, stand.id))
-        self.counts[number], self.stands[stand.id] = {}, stand
-        while len(self.turns) > TURNS_MOST:
-            self.untold += sum(self.counts.pop(self.turns.popleft().number).values())
+        self.counts[number], self.version_sets[stand.id] = {}, stand
+        while len(self.turns) > MAX_TURNS:
+            self.dropped += sum(self.counts.pop(self.turns.popleft().number).values())
         self.forget_stands()
         return True
 
-    def did(self, play: str, product: str, kept: str, action: str, now: float) -> None:
+    def record(self, play: str, product: str, kept: str, action: str, now: float) -> None:
         """An action was carried out; `kept`: the stand under which its play was let in."""
         turn = self.turns[-1]
         mine = self.counts[turn.number]
         key = Key(turn.number, "" if kept == turn.stand else kept, product, action)
-        if key not in mine and len(mine) >= KEYS_MOST:
+        if key not in mine and len(mine) >= MAX_KEYS_PER_TURN:
             key = Key(turn.number, "", "", action)
         mine[key] = mine.get(key, 0) + 1
-        way = self.ways.get(play)
+        way = self.play_steps.get(play)
         if way is None:
-            way = self.ways[play] = []
-            if len(self.ways) > WAYS_MOST:
-                self.ways.popitem(last=False)
-        if len(way) < STEPS_MOST:
+            way = self.play_steps[play] = []
+            if len(self.play_steps) > MAX_TRACKED_PLAYS:
+                self.play_steps.popitem(last=False)
+        if len(way) < MAX_STEPS_PER_PLAY:
             way.append(Step(now, action, turn.stand, key.kept))
 
-    def kept_by_planner(self, turn: int) -> None:
+    def acknowledge(self, turn: int) -> None:
         """All counts of turns before this one are on a planner's disk."""
         self.acknowledged = max(self.acknowledged, turn)
         while len(self.turns) > 1 and self.turns[0].number < self.acknowledged:
@@ -90,5 +90,5 @@
 
     def forget_stands(self) -> None:
         used = {turn.stand for turn in self.turns} | {key.kept for counts in self.counts.values() for key in counts}
-        for stand in [stand for stand in self.stands if stand not in used]:
-            del self.stands[stand]
+        for stand in [stand for stand in self.version_sets if stand not in used]:
+            del self.version_sets[stand]
--- a/laddergw/fleet/answers.py
+++ b/laddergw/fleet/answers.py
@@ -1,16 +1,16 @@
 """Answers to operators' questions from the book. Pure. Each says what it does not know: who was silent, cut off, or could not tell all it did."""
-from laddergw.fleet.book import SILENT_MS, Book, Process
-from laddergw.fleet.stamps import LET_IN
+from laddergw.fleet.fleet_log import SILENT_MS, FleetLog, Process
+from laddergw.fleet.action_counts import ADMITTED
 from laddergw.fleet.versions import KINDS
 
 
-def unknown(book: Book, now: float) -> list[str]:
+def list_unknown(book: FleetLog, now: float) -> list[str]:
     """What stands behind every answer."""
     said = [f"{len(processes)} processes run as {director}: {', '.join(sorted(process.name for _, process in processes))}"
             for director, processes in sorted(book.running(now).items()) if len(processes) > 1]
     for process in in_order(book):
         if now - process.heard_ms >= SILENT_MS and not process.gone:
-            said.append(f"{process.name} silent since {seconds(now - process.heard_ms)} ago: what it does now is not known")
+            said.append(f"{process.name} silent since {format_seconds(now - process.heard_ms)} ago: what it does now is not known")
         if process.untold:
             said.append(f"{process.name} dropped {process.untold} actions before any planner could keep them")
         said += [f"{process.name}: its turns {first} to {last} are missing here: the journal was set back, or another planner keeps it" for first, last in gaps(process)]
@@ -27,46 +27,46 @@
     return found
 
 
-def in_order(book: Book) -> list[Process]:
+def in_order(book: FleetLog) -> list[Process]:
     return [book.processes[name] for name in sorted(book.processes)]
 
 
-def seconds(ms: float) -> str:
+def format_seconds(ms: float) -> str:
     return f"{ms / 1000:.1f} s"
 
 
-def versions(book: Book, now: float, wall_ms: float) -> dict:
+def versions(book: FleetLog, now: float, wall_ms: float) -> dict:
     """By kind and version: the directors on it, plays let in under it in the last minute, since when the first is on it."""
     rows: dict[tuple, dict] = {}
     for process in in_order(book):
         held = process.last()
         if held is None or now - process.heard_ms >= SILENT_MS:
             continue
-        for one in book.stands[held.stand].versions:
+        for one in book.version_sets[held.stand].versions:
             row = rows.setdefault((KINDS.index(one.kind), one.hash), {"kind": one.kind, "version": one.hash, "number": one.number, "issuer": one.issuer,
                                                                       "directors": [], "let_in_last_minute": 0, "since_wall_ms": wall_ms})
             row["directors"].append(process.name)
             row["since_wall_ms"] = min(row["since_wall_ms"], wall_ms - (now - since(book, process, one)))
     for process in in_order(book):
         for _, stand_id, count in process.lately:
-            for one in book.stands[stand_id].versions:
+            for one in book.version_sets[stand_id].versions:
                 if (key := (KINDS.index(one.kind), one.hash)) in rows:
                     rows[key]["let_in_last_minute"] += count
-    return {"versions": [rows[key] for key in sorted(rows)], "not_known": unknown(book, now)}
+    return {"versions": [rows[key] for key in sorted(rows)], "not_known": list_unknown(book, now)}
 
 
-def since(book: Book, process: Process, one) -> float:
+def since(book: FleetLog, process: Process, one) -> float:
     """Since when a process is on a version without a break."""
     start = process.last().since_ms
     for number in sorted(process.turns, reverse=True):
         held = process.turns[number]
-        if (on := book.stands[held.stand].of(one.kind)) is None or on.hash != one.hash:
+        if (on := book.version_sets[held.stand].of(one.kind)) is None or on.hash != one.hash:
             break
         start = held.since_ms
     return start
 
 
-def director(book: Book, name: str, at_wall_ms: float, now: float, wall_ms: float) -> dict:
+def director(book: FleetLog, name: str, at_wall_ms: float, now: float, wall_ms: float) -> dict:
     """What each process of a director acted on at a time."""
     at, found = now - (wall_ms - at_wall_ms), []
     for process in in_order(book):
@@ -75,14 +75,14 @@
         held = process.at(at)
         if held is None:
             first = min((h.since_ms for h in process.turns.values()), default=now)
-            found.append({"process": process.name, "stand": None, "why": f"nothing is known of it before {seconds(now - first)} ago"})
+            found.append({"process": process.name, "stand": None, "why": f"nothing is known of it before {format_seconds(now - first)} ago"})
             continue
         after = process.turns.get(held.number + 1)
-        found.append({"process": process.name, "stand": held.stand, "turn": held.number, "versions": [tuple(v) for v in book.stands[held.stand].versions],
+        found.append({"process": process.name, "stand": held.stand, "turn": held.number, "versions": [tuple(v) for v in book.version_sets[held.stand].versions],
                       "since_wall_ms": wall_ms - (now - held.since_ms), "until_wall_ms": None if after is None else wall_ms - (now - after.since_ms),
                       "last_word_wall_ms": wall_ms - (now - process.heard_ms), "late_by_at_most_ms": held.told_ms - held.since_ms,
                       "did": did(process, held.number)})
-    return {"director": name, "at_wall_ms": at_wall_ms, "processes": found, "not_known": unknown(book, now)}
+    return {"director": name, "at_wall_ms": at_wall_ms, "processes": found, "not_known": list_unknown(book, now)}
 
 
 def did(process: Process, turn: int) -> dict[str, int]:
@@ -93,17 +93,17 @@
     return found
 
 
-def version(book: Book, hash_begins: str, now: float, wall_ms: float) -> dict:
+def version(book: FleetLog, hash_begins: str, now: float, wall_ms: float) -> dict:
     """Who acted on a version, from when to when, how many plays of which product; also plays that kept it past its time."""
     rows = []
     for process in in_order(book):
-        turns = [held for number, held in sorted(process.turns.items()) if any(v.hash.startswith(hash_begins) for v in book.stands[held.stand].versions)]
+        turns = [held for number, held in sorted(process.turns.items()) if any(v.hash.startswith(hash_begins) for v in book.version_sets[held.stand].versions)]
         numbers = {held.number for held in turns}
         plays: dict[str, int] = {}
         later: dict[str, int] = {}
         for key, count in sorted(process.counts.items()):
-            kept = key.kept and any(v.hash.startswith(hash_begins) for v in book.stands[key.kept].versions) if key.kept in book.stands else False
-            if key.turn in numbers and key.action == LET_IN:
+            kept = key.kept and any(v.hash.startswith(hash_begins) for v in book.version_sets[key.kept].versions) if key.kept in book.version_sets else False
+            if key.turn in numbers and key.action == ADMITTED:
                 plays[key.product] = plays.get(key.product, 0) + count
             elif kept and key.turn not in numbers:
                 name = f"{key.product} {key.action}"
@@ -112,10 +112,10 @@
             end = process.turns.get(turns[-1].number + 1)
             rows.append({"process": process.name, "from_wall_ms": wall_ms - (now - turns[0].since_ms), "turns": len(turns),
                          "to_wall_ms": None if end is None else wall_ms - (now - end.since_ms), "let_in": plays, "kept_later": later})
-    return {"version": hash_begins, "acted": rows, "not_known": unknown(book, now)}
+    return {"version": hash_begins, "acted": rows, "not_known": list_unknown(book, now)}
 
 
-def counted(book: Book) -> dict[tuple[str, str, str, str], int]:
+def total_counts(book: FleetLog) -> dict[tuple[str, str, str, str], int]:
     """All counts, by process, stand in force (empty: of turns that are kept no more), product and action."""
     found: dict[tuple[str, str, str, str], int] = {}
     for process in in_order(book):
--- a/laddergw/fleet/dividing.py
+++ b/laddergw/fleet/fair_share.py
@@ -14,7 +14,7 @@
     weight: float = 1.0
 
 
-def max_min(whole: int, wants: list[tuple[str, int, float]], turn: int) -> dict[str, int]:
+def max_min_shares(whole: int, wants: list[tuple[str, int, float]], turn: int) -> dict[str, int]:
     """Of (name, want, weight): nobody gets more than it wants, and who gets less has, by weight, no less than any other. What is left over of whole numbers goes one by one,
     in an order drawn anew for each turn, so that three among 230 come to all in time."""
     shares, left, weights = dict.fromkeys((name for name, *_ in wants), 0), whole, sum(weight for _, want, weight in wants if want > 0)
@@ -34,15 +34,15 @@
 
 def fair(whole: int, needs: list[Need], turn: int) -> dict[str, int]:
     """What is needed now comes before what is wanted in hand."""
-    shares = max_min(whole, [(need.name, min(need.need, need.want), need.weight) for need in needs], turn)
+    shares = max_min_shares(whole, [(need.name, min(need.need, need.want), need.weight) for need in needs], turn)
     left = whole - sum(shares.values())
     if left <= 0:
         return shares
-    rest = max_min(left, [(need.name, need.want - shares[need.name], need.weight) for need in needs], turn)
+    rest = max_min_shares(left, [(need.name, need.want - shares[need.name], need.weight) for need in needs], turn)
     return {name: share + rest[name] for name, share in shares.items()}
 
 
-def targets(whole: int, needs: list[Need], turn: int) -> dict[str, int]:
+def target_shares(whole: int, needs: list[Need], turn: int) -> dict[str, int]:
     """What each should come to hold. Who holds a little over what is fair keeps it, unless somebody has nothing."""
     shares = fair(whole, needs, turn)
     starving = any(shares[need.name] > need.charged and need.charged == 0 for need in needs)
--- a/laddergw/fleet/bringing.py
+++ b/laddergw/fleet/file_transfer.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 PIECE_BYTES = 16_384       # of one piece: a fifth of a second on a line of 80 kB/s, so beats pass between
-SIZE_MOST = 4_194_304      # of a file, as the file itself may have
+MAX_FILE_BYTES = 4_194_304      # of a file, as the file itself may have
 IN_FORCE, REFUSED, CONFLICT = "in force", "refused", "other content under the same number"
 
 
@@ -35,7 +35,7 @@
     why: str = ""
 
 
-class Bringing:
+class FileReceiver:
     """See the module. `kinds`: that can be brought here."""
 
     def __init__(self):
@@ -43,9 +43,9 @@
         self.epoch, self.offer, self.data, self.checking = 0, None, bytearray(), False
         self.outcome = Outcome()
 
-    def offered(self, offer: Offer) -> Fetch | None:
+    def handle_offer(self, offer: Offer) -> Fetch | None:
         """What to ask for now, if anything."""
-        if offer.epoch < self.epoch or offer.kind not in self.kinds or not 0 < offer.size <= SIZE_MOST or offer.number < 1:
+        if offer.epoch < self.epoch or offer.kind not in self.kinds or not 0 < offer.size <= MAX_FILE_BYTES or offer.number < 1:
             return None
         self.epoch, held = offer.epoch, self.offer
         if held is not None and offer.number <= held.number:
@@ -58,7 +58,7 @@
         self.offer, self.data, self.outcome, self.checking = offer, bytearray(), Outcome(), False
         return Fetch(offer.number, 0)
 
-    def piece(self, number: int, offset: int, data: bytes) -> Fetch | bytes | None:
+    def handle_piece(self, number: int, offset: int, data: bytes) -> Fetch | bytes | None:
         """The next piece to ask for, the whole once it is here, or None for one that is not the next."""
         offer = self.offer
         if offer is None or self.checking or self.outcome.number or number != offer.number or offset != len(self.data) or not data or offset + len(data) > offer.size:
@@ -73,7 +73,7 @@
         self.checking = True
         return whole
 
-    def checked(self, number: int, faults: list[str]) -> None:
+    def finish_check(self, number: int, faults: list[str]) -> None:
         """It is in force, or was refused for these. What came of an older offer than the latest is of no more interest."""
         if self.offer is not None and number == self.offer.number and self.checking:
             self.checking = False
--- a/laddergw/fleet/issuing.py
+++ b/laddergw/fleet/grant_issuer.py
@@ -10,9 +10,9 @@
 import math
 from typing import NamedTuple
 
-from laddergw.fleet.dividing import Need, targets
+from laddergw.fleet.fair_share import Need, target_shares
 from laddergw.fleet.grants import FLOOR_LEASE_MS, Grant, Row
-from laddergw.fleet.rights import ASKED_KEPT, LEASE_MS, MARGIN_MS
+from laddergw.fleet.rights import MAX_PENDING_REQUESTS, LEASE_MS, MARGIN_MS
 
 RESERVE_PART = 0.5         # of a whole, for floors: who is cut off keeps about half of what it would have
 ACTIVE_MS = 2_500.0        # who asked within this takes part in a division
@@ -28,7 +28,7 @@
     window_ms: float
 
 
-def lasts(lease_ms: float, window_ms: float) -> float:
+def charge_duration_ms(lease_ms: float, window_ms: float) -> float:
     """From when a grant was sent until nothing of it can be within a window any more."""
     return lease_ms * (1 + MARGIN_PART) + MARGIN_MS + window_ms
 
@@ -54,15 +54,15 @@
     def amount(self, now: float, window_ms: float) -> int:
         most = self.used if now < self.asked_ms + MARGIN_MS + window_ms else 0
         for grant in (self.before, *self.sent.values()):
-            if grant.amount > most and now < grant.at_ms + lasts(LEASE_MS, window_ms):
+            if grant.amount > most and now < grant.at_ms + charge_duration_ms(LEASE_MS, window_ms):
                 most = grant.amount
         return max(most, self.floor(now, window_ms))
 
     def floor(self, now: float, window_ms: float) -> int:
-        return max((grant.floor for grant in (self.before, *self.sent.values()) if now < grant.at_ms + lasts(FLOOR_LEASE_MS, window_ms)), default=0)
+        return max((grant.floor for grant in (self.before, *self.sent.values()) if now < grant.at_ms + charge_duration_ms(FLOOR_LEASE_MS, window_ms)), default=0)
 
 
-class Issuer:
+class GrantIssuer:
     """One budget at the planner that keeps the journal. `began`: when it took over; `past_ms`, `past_whole`: the longest window and the highest whole that a planner of before may have
     granted under."""
 
@@ -70,19 +70,19 @@
         self.budget, self.epoch, self.began, self.past_ms, self.past_whole = budget, epoch, began, max(past_ms, budget.window_ms), max(past_whole, budget.whole)
         self.charges: dict[str, Charge] = {}
         self.targets: dict[str, int] = {}
-        self.divided_ms, self.sum, self.floors, self.active, self.why = -math.inf, 0, 0, 0, "nothing was divided yet"
+        self.divided_ms, self.charged_total, self.floors_total, self.active, self.division_reason = -math.inf, 0, 0, 0, "nothing was divided yet"
 
-    def changed(self, budget: Budget, now: float) -> None:
+    def set_budget(self, budget: Budget, now: float) -> None:
         """Another whole."""
         self.budget, self.divided_ms = budget, -math.inf
 
-    def settled(self, lease_ms: float, now: float) -> bool:
+    def is_settled(self, lease_ms: float, now: float) -> bool:
         """Whether all that a planner of before granted under such a lease is over."""
-        return now >= self.began + lasts(lease_ms, self.past_ms)
+        return now >= self.began + charge_duration_ms(lease_ms, self.past_ms)
 
     # What directors tell
 
-    def told(self, process: str, number: int, row: Row, now: float) -> bool:
+    def handle_request(self, process: str, number: int, row: Row, now: float) -> bool:
         """A process asks; False where it makes no sense, or is older than what it told before, or is of an epoch past ours."""
         charge = self.charges.setdefault(process, Charge())
         if number <= charge.number or row.epoch > self.epoch or min(row.amount, row.floor, row.used, row.need, row.want, row.number) < 0 or row.window_ms != self.budget.window_ms:
@@ -91,10 +91,10 @@
         charge.number, charge.asked_ms, charge.used, charge.need, charge.want = number, now, row.used, row.need, min(row.want, self.budget.whole)
         charge.holds, charge.holds_floor = row.amount, row.floor
         if row.epoch == self.epoch:
-            charge.sent = {sent: grant for sent, grant in charge.sent.items() if sent == row.number or sent > max(row.number, number - ASKED_KEPT)}
+            charge.sent = {sent: grant for sent, grant in charge.sent.items() if sent == row.number or sent > max(row.number, number - MAX_PENDING_REQUESTS)}
             charge.before = Sent(0, 0, -math.inf)
-        elif not self.settled(FLOOR_LEASE_MS, now):          # of a planner of before: its sum had room for it, as long as it lasts
-            held = row.floor if self.settled(LEASE_MS, now) else max(row.amount, row.used)
+        elif not self.is_settled(FLOOR_LEASE_MS, now):          # of a planner of before: its sum had room for it, as long as it lasts
+            held = row.floor if self.is_settled(LEASE_MS, now) else max(row.amount, row.used)
             charge.before = Sent(held, row.floor, now)
         self.recharge(charge, before, now)
         return True
@@ -104,18 +104,18 @@
 
     def recharge(self, charge: Charge, before: tuple[int, int], now: float) -> None:
         amount, floor = self.of(charge, now)
-        self.sum, self.floors = self.sum + amount - before[0], self.floors + floor - before[1]
+        self.charged_total, self.floors_total = self.charged_total + amount - before[0], self.floors_total + floor - before[1]
 
     # Division
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Where it is due: charges as of now, those that are over go, and a division. In between sums only fall behind, never below."""
         if now - self.divided_ms < DIVIDE_MS:
             return
-        self.divided_ms, self.sum, self.floors, self.active, silent, needs = now, 0, 0, 0, 0, []
+        self.divided_ms, self.charged_total, self.floors_total, self.active, silent, needs = now, 0, 0, 0, 0, []
         for process, charge in sorted(self.charges.items()):
             amount, floor = self.of(charge, now)
-            self.sum, self.floors, asks = self.sum + amount, self.floors + floor, now - charge.asked_ms < ACTIVE_MS
+            self.charged_total, self.floors_total, asks = self.charged_total + amount, self.floors_total + floor, now - charge.asked_ms < ACTIVE_MS
             if asks:
                 self.active += 1
                 needs.append(Need(process, charge.want, amount, charge.need))
@@ -129,9 +129,9 @@
         """What is charged to the silent is not to be had; the rest is divided among who asks, each floor first."""
         floor = self.floor_of()
         needs = [need._replace(want=max(need.want, floor)) if need.want else need for need in needs]
-        spare = max(0, self.budget.whole - silent - self.unknown(now))
-        self.targets = targets(spare, needs, int(now // TURN_MS))
-        self.why = f"{len(needs)} ask for {sum(need.want for need in needs)} of {spare}, {silent} with the silent"
+        spare = max(0, self.budget.whole - silent - self.unknown_floors(now))
+        self.targets = target_shares(spare, needs, int(now // TURN_MS))
+        self.division_reason = f"{len(needs)} ask for {sum(need.want for need in needs)} of {spare}, {silent} with the silent"
 
     def reserve(self) -> int:
         return int(self.budget.whole * RESERVE_PART)
@@ -144,17 +144,17 @@
         charge = self.charges.get(process)
         if charge is None or charge.asked_ms != now:
             return None
-        self.look(now)
+        self.update(now)
         before = self.of(charge, now)
         target = self.targets.get(process, 0)
-        if not self.settled(LEASE_MS, now):                  # it may have what it holds, and nobody more
+        if not self.is_settled(LEASE_MS, now):                  # it may have what it holds, and nobody more
             target = min(charge.want, charge.holds)
-        amount = max(0, min(target, before[0] + max(0, self.budget.whole - self.sum - self.unknown(now))))
-        floor = min(amount, self.floor_of(), max(0, charge.holds_floor if not self.settled(FLOOR_LEASE_MS, now) else self.reserve() - self.floors + before[1]))
+        amount = max(0, min(target, before[0] + max(0, self.budget.whole - self.charged_total - self.unknown_floors(now))))
+        floor = min(amount, self.floor_of(), max(0, charge.holds_floor if not self.is_settled(FLOOR_LEASE_MS, now) else self.reserve() - self.floors_total + before[1]))
         charge.sent[charge.number] = Sent(amount, floor, now)
         self.recharge(charge, before, now)
         return Grant(self.budget.name, self.budget.whole, amount, floor, self.budget.window_ms)
 
-    def unknown(self, now: float) -> int:
+    def unknown_floors(self, now: float) -> int:
         """What a planner of before may have granted to who is not heard: floors outlast the rest, and those that are told now were part of them."""
-        return 0 if self.settled(FLOOR_LEASE_MS, now) else max(0, int(self.past_whole * RESERVE_PART) - self.floors)
+        return 0 if self.is_settled(FLOOR_LEASE_MS, now) else max(0, int(self.past_whole * RESERVE_PART) - self.floors_total)
--- a/laddergw/fleet/grants.py
+++ b/laddergw/fleet/grants.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from laddergw.fleet.rights import ASKED_KEPT, LEASE_MS
+from laddergw.fleet.rights import MAX_PENDING_REQUESTS, LEASE_MS
 from laddergw.machines.retry_budget import SlidingWindowCounter
 
 RENEW_EACH = 4             # digests: a grant that is enough is asked for anew each second, a fifth of its lease
@@ -40,7 +40,7 @@
     window_ms: float
 
 
-class Held:
+class HeldGrant:
     """One budget at one director's process."""
 
     def __init__(self, window_ms: float):
@@ -54,12 +54,12 @@
 
     def spend(self, now: float) -> bool:
         self.wanted.add(now)
-        if not self.may(now):
+        if not self.may_spend(now):
             return False
         self.spent.add(now)
         return True
 
-    def may(self, now: float) -> bool:
+    def may_spend(self, now: float) -> bool:
         return self.spent.upper_bound(now) + 1 <= self.right(now)
 
     def urgent(self, row: Row) -> bool:
@@ -73,31 +73,31 @@
         return Row(name, self.window_ms, *self.rank, self.right(now), self.floor if now < self.floor_until else 0, self.spent.upper_bound(now), need, want)
 
 
-class Holding:
+class GrantHolder:
     """All fleet budgets of one process. `issuer`: identity of the one store whose planners may grant; others are not obeyed."""
 
     def __init__(self, issuer: str):
         self.issuer, self.held, self.refused = issuer, {}, 0
-        self.drawn = lambda name, now: None      # told of each that is spent
-        self.ever: dict[tuple[str, float], Held] = {}
+        self.on_draw = lambda name, now: None      # told of each that is spent
+        self.ever: dict[tuple[str, float], HeldGrant] = {}
         self.asked: OrderedDict[int, float] = OrderedDict()
 
-    def set(self, windows: dict[str, float]) -> None:
+    def configure(self, windows: dict[str, float]) -> None:
         """Budgets by name with their windows, ms. One that was there before goes on with what it spent then: a file that comes back must not make it forgotten."""
         for name, window_ms in windows.items():
             if (name, window_ms) not in self.ever and len(self.ever) < BUDGETS_MOST:
-                self.ever[name, window_ms] = Held(window_ms)
+                self.ever[name, window_ms] = HeldGrant(window_ms)
         self.held = {name: self.ever[name, window_ms] for name, window_ms in windows.items() if (name, window_ms) in self.ever}
 
-    def asks(self, number: int, now: float, stopping: bool = False) -> tuple[Row, ...]:
+    def build_rows(self, number: int, now: float, stopping: bool = False) -> tuple[Row, ...]:
         """What goes out with the digest of that number. One that stops wants nothing."""
         self.asked[number] = now
-        while len(self.asked) > ASKED_KEPT:
+        while len(self.asked) > MAX_PENDING_REQUESTS:
             self.asked.popitem(last=False)
         return tuple(row for place, (name, held) in enumerate(self.held.items())
                      if held.urgent(row := held.row(name, now, stopping)) or (number + place) % RENEW_EACH == 0)
 
-    def granted(self, number: int, epoch: int, issuer: str, grants: list[Grant], now: float) -> None:
+    def apply_grants(self, number: int, epoch: int, issuer: str, grants: list[Grant], now: float) -> None:
         """An answer to the digest of that number; what is older by epoch or number, answers nothing, or makes no sense changes nothing. The first word of another planner
         gives no more than what holds at this moment: it may answer an asking of before its predecessor took some of it back."""
         if issuer != self.issuer or number not in self.asked:
@@ -121,14 +121,14 @@
         held = self.held.get(name)
         return held is not None and held.spend(now)
 
-    def may(self, name: str, now: float) -> bool:
+    def may_spend(self, name: str, now: float) -> bool:
         """Whether one could be spent at this moment; it is wanted, whatever comes of it."""
         held = self.held.get(name)
         if held is not None:
             held.wanted.add(now)
-        return held is not None and held.may(now)
+        return held is not None and held.may_spend(now)
 
-    def took(self, name: str, now: float) -> None:
+    def draw(self, name: str, now: float) -> None:
         """What `may` allowed at this moment is spent."""
         self.held[name].spent.add(now)
-        self.drawn(name, now)
+        self.on_draw(name, now)
--- a/laddergw/fleet/rights.py
+++ b/laddergw/fleet/rights.py
@@ -13,7 +13,7 @@
 LEASE_MS = 5_000.0         # of a right: two losses of a planner's connection (2 s of silence each) pass by it
 MARGIN_MS = 500.0          # past a lease, for clocks that run apart by parts in a thousand, and a turn in which both fall
 FIRST_WORD_MS = 2_000.0    # a process that begins, and stays open without planners, waits so long for their first word: a dial and a digest, twice
-ASKED_KEPT = 64            # askings that a grant may answer: digests of 16 s, past any lease
+MAX_PENDING_REQUESTS = 64            # askings that a grant may answer: digests of 16 s, past any lease
 MOST_SHUT = 0.5            # share of the directors heard lately that a forbidden version may shut out
 FORBIDDEN_MOST = 64        # versions
 OPEN, CLOSED = "open", "closed"    # what a director does whose right has ended
@@ -29,12 +29,12 @@
         self.asked: OrderedDict[int, float] = OrderedDict()
         self.forbidden: frozenset[Named] = frozenset()
 
-    def asks(self, number: int, now: float) -> None:
+    def record_request(self, number: int, now: float) -> None:
         self.asked[number] = now
-        while len(self.asked) > ASKED_KEPT:
+        while len(self.asked) > MAX_PENDING_REQUESTS:
             self.asked.popitem(last=False)
 
-    def granted(self, number: int, epoch: int, lease_ms: float, forbidden: Iterable[Named]) -> bool:
+    def apply_grant(self, number: int, epoch: int, lease_ms: float, forbidden: Iterable[Named]) -> bool:
         """An answer to what was asked under that number; False where it is older than what was obeyed, by epoch or number, or answers nothing."""
         if (epoch, number) <= self.rank or epoch < self.rank[0] or number not in self.asked:
             return False
@@ -42,7 +42,7 @@
         self.until = max(self.until, self.asked[number] + min(lease_ms, LEASE_MS))
         return True
 
-    def why_shut(self, stand: frozenset[Named], now: float) -> str | None:
+    def refusal_reason(self, stand: frozenset[Named], now: float) -> str | None:
         """Why no play may be let in at this moment under these versions; None where one may."""
         if banned := self.forbidden & stand:
             kind, name = min(banned)
@@ -89,11 +89,11 @@
         """The way back."""
         return self.since.pop(version, None) is not None
 
-    def taken_over(self, versions: Iterable[Named], now: float) -> None:
+    def restore(self, versions: Iterable[Named], now: float) -> None:
         """As the journal has them: whoever was granted something by the planner of before was granted it before now."""
         self.since = {version: now for version in versions}
 
-    def nobody(self, version: Named, seen: list[Seen], now: float) -> tuple[bool, list[str]]:
+    def check_unused(self, version: Named, seen: list[Seen], now: float) -> tuple[bool, list[str]]:
         """Whether nobody lets plays in under a forbidden version any more, and who may still: of the directors that stay open alone, whose last word
         tells of it (what is told to them may be lost while they are heard), and who is silent (it may go over to it unheard)."""
         since = self.since[version]
--- a/laddergw/fleet/rights_check.py
+++ b/laddergw/fleet/rights_check.py
@@ -7,7 +7,7 @@
 """
 from typing import Callable, Iterator, NamedTuple
 
-from laddergw.fleet.breadth import Outcome, search
+from laddergw.fleet.breadth_first_search import Outcome, search
 from laddergw.fleet.rights import CLOSED, LEASE_MS, MARGIN_MS, Floors, Right, Seen
 
 TICK_MS = 1_500.0          # a lease is three to four ticks
@@ -19,9 +19,9 @@
 
 class Rules(NamedTuple):
     """What is checked: the real rules, or, to see that the check sees, one with a mistake in it."""
-    granted: Callable = Right.granted
-    why_shut: Callable = Right.why_shut
-    nobody: Callable = Floors.nobody
+    apply_grant: Callable = Right.apply_grant
+    refusal_reason: Callable = Right.refusal_reason
+    check_unused: Callable = Floors.check_unused
     fenced: bool = True                          # a planner grants only while the store is its own
 
 
@@ -68,7 +68,7 @@
         if state.tick and len(state.flying) < FLYING_MOST and len(asked) < 3 and (not asked or asked[-1][1] < now):
             made = right_of(state.directors[place])
             number = max([rank[1], *made.asked]) + 1
-            made.asks(number, now)
+            made.record_request(number, now)
             for planner in PLANNERS:
                 if state.planners[planner][0]:
                     yield f"director {place} asks planner {planner}", state._replace(
@@ -85,7 +85,7 @@
         else:
             _, place, number, epoch, forbidden = message
             made = right_of(state.directors[place])
-            rules.granted(made, number, epoch, LEASE_MS, [V] if forbidden else [])
+            rules.apply_grant(made, number, epoch, LEASE_MS, [V] if forbidden else [])
             yield f"{message} comes", state._replace(directors=put(state.directors, place, as_told(state.directors[place][0], made)), flying=rest)
     if state.tick < TICKS_MOST:
         yield "time passes", state._replace(tick=state.tick + 1)
@@ -100,9 +100,9 @@
         floors = Floors()
         floors.since = {V: since}
         seen = [Seen(f"d{n}", frozenset([V if told[0] else W]), now, CLOSED) for n, told in enumerate(state.directors)]
-        if rules.nobody(floors, V, seen, now)[0]:
+        if rules.check_unused(floors, V, seen, now)[0]:
             for number, told in enumerate(state.directors):
-                if told[0] and rules.why_shut(right_of(told), frozenset([V]), now) is None:
+                if told[0] and rules.refusal_reason(right_of(told), frozenset([V]), now) is None:
                     return f"director {number} lets plays in under V though planner {place} said that nobody does"
     return None
 
--- a/laddergw/fleet/telling.py
+++ b/laddergw/fleet/state_reports.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from laddergw.fleet.rights import CLOSED, OPEN
-from laddergw.fleet.stamps import ACTIONS, Key, Stamps, Turn
-from laddergw.fleet.versions import KINDS, Version, stand
+from laddergw.fleet.action_counts import ACTIONS, Key, ActionCounts, Turn
+from laddergw.fleet.versions import KINDS, Version, version_set
 
 TURNS_TOLD, COUNTS_TOLD, STANDS_TOLD = 512, 65_536, 1_024      # of one part, at most: twice what a director holds
-TEXT_MOST = 600            # letters of one text
+MAX_TEXT_CHARS = 600            # letters of one text
 
 
 class Part(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -27,17 +27,17 @@
     trouble: str = ""                                           # what speaks against the director's own file of limits
 
 
-class Senseless(ValueError):
+class InvalidReport(ValueError):
     """A part that cannot be; the text says why."""
 
 
-class Told:
+class ReportedState:
     """What went out on one connection."""
 
     def __init__(self):
         self.turn, self.counts, self.stands = 0, {}, set()
 
-    def part(self, stamps: Stamps, **more) -> Part:
+    def next_part(self, stamps: ActionCounts, **more) -> Part:
         """What has changed since the last part, and counts as told by now; `more`: the part's other fields."""
         turns = [turn for turn in stamps.turns if turn.number > self.turn]
         counts = []
@@ -48,25 +48,25 @@
             counts += [(*key, count) for key, count in mine.items() if before.get(key) != count]
         self.counts = {number: dict(mine) for number, mine in stamps.counts.items()}
         named = {turn.stand for turn in turns} | {row[1] for row in counts if row[1]}
-        stands = {name: tuple(tuple(v) for v in stamps.stands[name].versions) for name in sorted(named - self.stands) if name in stamps.stands}
+        stands = {name: tuple(tuple(v) for v in stamps.version_sets[name].versions) for name in sorted(named - self.stands) if name in stamps.version_sets}
         self.stands |= stands.keys()
         if turns:
             self.turn = turns[-1].number
-        return Part(tuple(tuple(turn) for turn in turns), stands, tuple(counts), stamps.untold, **more)
+        return Part(tuple(tuple(turn) for turn in turns), stands, tuple(counts), stamps.dropped, **more)
 
 
 def checked(part: Part) -> tuple[list[Turn], list[tuple[Key, int]]]:
-    """Its turns and counts. Raises Senseless."""
+    """Its turns and counts. Raises InvalidReport."""
     if len(part.turns) > TURNS_TOLD or len(part.counts) > COUNTS_TOLD or len(part.stands) > STANDS_TOLD or part.untold < 0 or part.without not in ("", OPEN, CLOSED) or not 0 <= part.alone_ms < 1e15 or part.zone < 0 \
-            or len(part.takes) > len(KINDS) or part.came[0] < 0 or max(map(len, (*part.came[1:], part.trouble))) > TEXT_MOST:
-        raise Senseless("more than a director holds")
+            or len(part.takes) > len(KINDS) or part.came[0] < 0 or max(map(len, (*part.came[1:], part.trouble))) > MAX_TEXT_CHARS:
+        raise InvalidReport("more than a director holds")
     turns = [Turn(*turn) for turn in part.turns]
     if any(turn.number < 1 or not 0 <= turn.at_ms < 1e15 for turn in turns) or [t.number for t in turns] != sorted({t.number for t in turns}):
-        raise Senseless("turns that do not follow each other")
+        raise InvalidReport("turns that do not follow each other")
     counts = [(Key(*row[:4]), row[4]) for row in part.counts]
     if any(count < 0 or key.turn < 1 or key.action not in ACTIONS for key, count in counts):
-        raise Senseless("counts of nothing")
+        raise InvalidReport("counts of nothing")
     for name, versions in part.stands.items():
-        if any(version[0] not in KINDS for version in versions) or stand(Version(*version) for version in versions).id != name:
-            raise Senseless(f"stand {name[:20]!r} is not made of what it names")
+        if any(version[0] not in KINDS for version in versions) or version_set(Version(*version) for version in versions).id != name:
+            raise InvalidReport(f"stand {name[:20]!r} is not made of what it names")
     return turns, counts
--- a/laddergw/fleet/versions.py
+++ b/laddergw/fleet/versions.py
@@ -6,9 +6,9 @@
 from hashlib import sha256
 from typing import Iterable, NamedTuple
 
-PROGRAM, HOUSE, KEYS, LIMITS, RULES, LIST, PLAN = "program", "file", "keys", "limits", "rules", "list", "plan"
-KINDS = (PROGRAM, HOUSE, KEYS, LIMITS, RULES, LIST, PLAN)
-CAN_BE_WANTED = (LIMITS,)               # kinds that are the same for all directors, and of which a running one takes a file over
+PROGRAM, DIRECTOR_FILE, KEYS, LIMITS, RULES, LIST, PLAN = "program", "file", "keys", "limits", "rules", "list", "plan"
+KINDS = (PROGRAM, DIRECTOR_FILE, KEYS, LIMITS, RULES, LIST, PLAN)
+ROLLOUT_KINDS = (LIMITS,)               # kinds that are the same for all directors, and of which a running one takes a file over
 HASH_DIGITS, ID_DIGITS = 16, 12        # hexadecimal: 64 bits of a version, 48 of a stand: among thousands none meet by chance
 
 
@@ -23,7 +23,7 @@
         return f"{self.kind} {self.hash[:8]}" + (f" (number {self.number})" if self.number else "") + (f" of {self.issuer}" if self.issuer else "")
 
 
-class Stand(NamedTuple):
+class VersionSet(NamedTuple):
     """Versions in force together, one of a kind, in the order of KINDS."""
     id: str
     versions: tuple[Version, ...]
@@ -45,9 +45,9 @@
     return Version(kind, number, hashed(*texts), issuer)
 
 
-def stand(versions: Iterable[Version]) -> Stand:
+def version_set(versions: Iterable[Version]) -> VersionSet:
     """Raises ValueError for a kind that is unknown or told twice."""
     held = sorted(versions, key=lambda v: KINDS.index(v.kind))
     if len({v.kind for v in held}) != len(held):
         raise ValueError("two versions of one kind")
-    return Stand(sha256("\n".join(f"{v.kind} {v.hash}" for v in held).encode()).hexdigest()[:ID_DIGITS], tuple(held))
+    return VersionSet(sha256("\n".join(f"{v.kind} {v.hash}" for v in held).encode()).hexdigest()[:ID_DIGITS], tuple(held))
--- a/laddergw/fleet/wanted.py
+++ b/laddergw/fleet/wanted.py
@@ -8,10 +8,10 @@
 from typing import Iterable, NamedTuple
 from zlib import crc32
 
-from laddergw.fleet.bringing import IN_FORCE
+from laddergw.fleet.file_transfer import IN_FORCE
 
 FIRST = 2                  # directors of the first step: one could be odd by itself
-SHARES = (0.0, 0.1, 0.3, 1.0)      # of all directors, by step; FIRST at least
+STEP_SHARES = (0.0, 0.1, 0.3, 1.0)      # of all directors, by step; FIRST at least
 SOAK_MS = 10_000.0         # that a step stands before the next: plays that began under it have had their answers
 SENT_MOST = 2              # times that one director is sent the whole of it: who was brought up twice and is not on it is left alone
 CRASHES_LEAST = 2          # directors that began anew while on it
@@ -22,7 +22,7 @@
 GOING, HALTED, DONE = "going", "halted", "done"
 UNREACHABLE, REFUSED, CRASHED, OLD, STILL, FILE, TURN, COMING = ("cannot be reached", "refused it", "was brought up and is not on it", "its program does not know the form",
                                                                 "stood still", "its own file is at fault", "waits for its turn", "is being brought up")
-BEHIND = (UNREACHABLE, REFUSED, CRASHED, OLD, STILL, FILE)       # causes that want somebody's eye; the others pass by themselves
+CAUSES_FOR_OPERATOR = (UNREACHABLE, REFUSED, CRASHED, OLD, STILL, FILE)       # causes that want somebody's eye; the others pass by themselves
 
 
 class Want(NamedTuple):
@@ -36,7 +36,7 @@
     by_ms: float = 0.0
 
 
-class Seat(NamedTuple):
+class ProcessProgress(NamedTuple):
     """One director as the planner knows it: its latest process. `on`: hash of the kind in force; `outcome`: what it told of this want, with its error."""
     director: str
     process: str
@@ -73,7 +73,7 @@
     return max(epoch * NUMBERS_OF_EPOCH, highest) + 1
 
 
-def in_turn(want: Want, seats: Iterable[Seat]) -> list[Seat]:
+def in_turn(want: Want, seats: Iterable[ProcessProgress]) -> list[ProcessProgress]:
     """Directors in the order in which they get it: drawn within each zone by the version, zones one after the other."""
     found, places = [], {}
     for seat in sorted(seats, key=lambda s: (crc32(f"{want.hash} {s.director}".encode()), s.director)):
@@ -103,22 +103,22 @@
         self.crashed = set(crashed)
         self.ready: dict[str, float] = {}            # since when a director's turn has come
 
-    def kept(self) -> dict:
+    def as_record(self) -> dict:
         return {"want": list(self.want), "step": self.step, "state": self.state, "why": self.why, "sent": {director: list(told) for director, told in self.sent.items()}, "crashed": sorted(self.crashed)}
 
-    def members(self, seats: list[Seat]) -> list[Seat]:
+    def members(self, seats: list[ProcessProgress]) -> list[ProcessProgress]:
         """Who may be on it by now."""
-        return in_turn(self.want, [seat for seat in seats if self.able(seat)])[:max(FIRST, math.ceil(SHARES[self.step] * len(seats)))]
+        return in_turn(self.want, [seat for seat in seats if self.able(seat)])[:max(FIRST, math.ceil(STEP_SHARES[self.step] * len(seats)))]
 
-    def able(self, seat: Seat) -> bool:
+    def able(self, seat: ProcessProgress) -> bool:
         """Whether it is on it, refused it, or can be brought there: nobody waits for the others."""
         return seat.on == self.want.hash or seat.heard and seat.takes and seat.outcome != IN_FORCE and self.may_try(seat)
 
-    def look(self, seats: list[Seat], new: Answers, others: Answers, now: float) -> Step:
+    def update(self, seats: list[ProcessProgress], new: Answers, others: Answers, now: float) -> Step:
         """`new`, `others`: answers since it began, under the wanted version and under others."""
         members, before = self.members(seats), (self.step, self.state, len(self.crashed))
         self.watch_processes(seats)
-        if self.state == GOING and (why := self.why_halt(members, seats, new, others)) is not None:
+        if self.state == GOING and (why := self.halt_reason(members, seats, new, others)) is not None:
             self.state, self.why = HALTED, why
         if self.state != HALTED:
             self.go_on(members, now)
@@ -127,11 +127,11 @@
         forbid = tuple(sorted({seat.on for seat in seats if seat.on and seat.on != self.want.hash})) if late else ()
         return Step(offer, before != (self.step, self.state, len(self.crashed)), forbid)
 
-    def may_try(self, seat: Seat) -> bool:
+    def may_try(self, seat: ProcessProgress) -> bool:
         """Not a third process of one director; one that has it already goes on trying."""
         return self.tries(seat.director) < SENT_MOST or seat.process in self.sent[seat.director]
 
-    def watch_processes(self, seats: list[Seat]) -> None:
+    def watch_processes(self, seats: list[ProcessProgress]) -> None:
         """A director on it whose process is another than before began anew: told it stopped, or it crashed."""
         for seat in seats:
             last = self.process.get(seat.director)
@@ -141,11 +141,11 @@
             if seat.heard and seat.on == self.want.hash:
                 self.process[seat.director] = seat.process
 
-    def stopped(self, director: str) -> None:
+    def process_stopped(self, director: str) -> None:
         """A director ended as it was told to: what comes next under its name is no crash."""
         self.process.pop(director, None)
 
-    def why_halt(self, members: list[Seat], seats: list[Seat], new: Answers, others: Answers) -> str | None:
+    def halt_reason(self, members: list[ProcessProgress], seats: list[ProcessProgress], new: Answers, others: Answers) -> str | None:
         for seat in members:
             if seat.outcome not in ("", IN_FORCE):
                 return f"{seat.process} refused it: {seat.why}"
@@ -156,26 +156,26 @@
             return f"{new.share():.1%} of {sum(new)} answers under it are no play, {others.share():.1%} of {sum(others)} under others"
         return None
 
-    def go_on(self, members: list[Seat], now: float) -> None:
+    def go_on(self, members: list[ProcessProgress], now: float) -> None:
         """To the next step once all that can be on it have been so for a while."""
         if not members or any(seat.on != self.want.hash for seat in members):
             self.stood = None
             self.state = GOING if members else self.state
             return
         self.stood = now if self.stood is None else self.stood
-        if self.step == len(SHARES) - 1:
+        if self.step == len(STEP_SHARES) - 1:
             self.state = DONE
         elif now - self.stood >= self.want.soak_ms:
             self.step, self.since, self.stood = self.step + 1, now, None
 
-    def may_be_sent(self, seat: Seat, now: float) -> bool:
+    def may_be_sent(self, seat: ProcessProgress, now: float) -> bool:
         if seat.on == self.want.hash:
             self.ready.pop(seat.director, None)
             return False
         self.ready.setdefault(seat.director, now)
         return seat.heard and seat.takes and seat.outcome == "" and self.may_try(seat)
 
-    def whole_sent(self, process: str) -> None:
+    def record_sent(self, process: str) -> None:
         """The last piece has gone out to it; a second time, as its line broke, is no other try."""
         told = self.sent.setdefault(process.partition("-")[0], [])
         if process not in told:
@@ -184,7 +184,7 @@
     def tries(self, director: str) -> int:
         return len(self.sent.get(director, ()))
 
-    def cause(self, seat: Seat, now: float) -> tuple[str, str] | None:
+    def cause(self, seat: ProcessProgress, now: float) -> tuple[str, str] | None:
         """Why a director is not on the wanted version, and what else is known; None where it is on it."""
         if seat.on == self.want.hash:
             return None if seat.heard else (UNREACHABLE, f"on it when it was last heard, {(now - seat.heard_ms) / 1000:.1f} s ago")
@@ -202,7 +202,7 @@
             return STILL, f"for {seat.still_ms / 1000:.1f} s, until {(now - seat.still_at) / 1000:.1f} s ago"
         due = self.ready.get(seat.director)
         if due is None or self.state == HALTED:
-            return TURN, f"the rollout is at step {self.step + 1} of {len(SHARES)}" + (f", halted: {self.why}" if self.state == HALTED else "")
+            return TURN, f"the rollout is at step {self.step + 1} of {len(STEP_SHARES)}" + (f", halted: {self.why}" if self.state == HALTED else "")
         if seat.trouble and now - due >= GRACE_MS:
             return FILE, seat.trouble
         return COMING, f"since {(now - due) / 1000:.1f} s"
--- a/laddergw/fleet/wanted_check.py
+++ b/laddergw/fleet/wanted_check.py
@@ -1,5 +1,5 @@
 """A model checker over wanted versions: two planners that share a store, two directors, offers and files that are lost, late and out of order, stores set back,
-processes that begin anew. It runs the functions that the program runs: Bringing, Rollout.may_try and whole_sent, and the next number.
+processes that begin anew. It runs the functions that the program runs: FileReceiver, Rollout.may_try and record_sent, and the next number.
 
 What must hold in every state: a number is one content wherever it came in force; nobody obeys a planner of an epoch before one that it obeyed; no director is
 sent the whole of a want a third time; and nothing of a want that was halted comes in force that was not on its way by then. Mistakes handed in with `Rules` must be found.
@@ -7,16 +7,16 @@
 from hashlib import sha256
 from typing import Callable, Iterator, NamedTuple
 
-from laddergw.fleet import breadth
-from laddergw.fleet.bringing import IN_FORCE, Bringing, Offer, Outcome
-from laddergw.fleet.wanted import GOING, HALTED, NUMBERS_OF_EPOCH, SENT_MOST, Rollout, Seat, Want, next_number
+from laddergw.fleet import breadth_first_search
+from laddergw.fleet.file_transfer import IN_FORCE, FileReceiver, Offer, Outcome
+from laddergw.fleet.wanted import GOING, HALTED, NUMBERS_OF_EPOCH, SENT_MOST, Rollout, ProcessProgress, Want, next_number
 
 TEXTS = (b"(limits one)", b"(limits two)")
 
 
 class Rules(NamedTuple):
     """What the checker runs; a test hands in mistakes."""
-    offered: Callable = Bringing.offered
+    handle_offer: Callable = FileReceiver.handle_offer
     may_try: Callable = Rollout.may_try
     number: Callable = next_number               # of a new want, by the epoch and the highest number known
     fenced: bool = True                          # a planner that lost the store offers nothing
@@ -41,14 +41,14 @@
     return State((1, None), ((1, None), (0, None)), ((1, 0, None, False, Outcome(), None),) * rules.directors, ())
 
 
-def machine(told: tuple) -> Bringing:
-    made = Bringing()
+def machine(told: tuple) -> FileReceiver:
+    made = FileReceiver()
     made.kinds = ("limits",)
     _, made.epoch, made.offer, made.checking, made.outcome, _ = told
     return made
 
 
-def as_told(told: tuple, made: Bringing, on: tuple | None) -> tuple:
+def as_told(told: tuple, made: FileReceiver, on: tuple | None) -> tuple:
     return told[0], made.epoch, made.offer, made.checking, made.outcome, on
 
 
@@ -82,7 +82,7 @@
             yield f"planner {place} takes the store", state._replace(store=(epoch + 1, want), planners=put(state.planners, place, (epoch + 1, want)))
         if (keeps or not rules.fenced) and known is not None and known[2] == GOING and len(state.flying) < rules.flying:
             for director, told in enumerate(state.directors):
-                seat = Seat(f"d{director}", f"d{director}-{told[0]}", 0, True, 0.0, "", True)
+                seat = ProcessProgress(f"d{director}", f"d{director}-{told[0]}", 0, True, 0.0, "", True)
                 if rules.may_try(rollout(known), seat) and told[4].number != known[0]:
                     sent = ("offer", director, told[0], place, mine, known[0], known[1])
                     yield f"planner {place} offers {known[:2]} to {director}", state._replace(flying=tuple(sorted(state.flying + (sent,))))
@@ -118,14 +118,14 @@
     made = machine(told)
     if kind == "offer":
         before = told[1]
-        fetch = rules.offered(made, offer(epoch, number, text))
+        fetch = rules.handle_offer(made, offer(epoch, number, text))
         if fetch is not None and epoch < before:
             broken = f"director {director} obeys epoch {epoch} after {before}"
         after = state._replace(directors=put(state.directors, director, as_told(told, made, told[5])), broken=broken)
         mine, known = state.planners[place]
         if fetch is not None and (mine == state.store[0] or not rules.fenced) and known is not None and known[0] == number and known[2] == GOING:
             new = rollout(known)
-            new.whole_sent(f"d{director}-{life}")
+            new.record_sent(f"d{director}-{life}")
             kept = as_want(new, known)
             if max(map(len, kept[3])) > SENT_MOST:
                 broken = f"director {director} is sent {number} a third time"
@@ -133,11 +133,11 @@
                                    flying=tuple(sorted(after.flying + (("whole", director, life, place, epoch, number, text),))), broken=broken)
         yield f"{message} comes", after
         return
-    found = made.piece(number, 0, TEXTS[text])
+    found = made.handle_piece(number, 0, TEXTS[text])
     if isinstance(found, bytes):
         for faults in [], ["refused"]:
             done = machine(as_told(told, made, told[5]))
-            done.checked(number, faults)
+            done.finish_check(number, faults)
             on = (number, text) if done.outcome.what == IN_FORCE else told[5]
             yield f"{message} comes, {'refused' if faults else 'in force'}", state._replace(directors=put(state.directors, director, as_told(told, done, on)))
     else:
@@ -151,6 +151,6 @@
     return state.broken or (f"number {twice[0]} is two contents" if twice else None)
 
 
-def check(rules: Rules = Rules(), most: int = 60_000) -> breadth.Outcome:
+def check(rules: Rules = Rules(), most: int = 60_000) -> breadth_first_search.Outcome:
     """Breadth first, up to so many states; what broke first, with the steps to it."""
-    return breadth.search(start(rules), lambda state: moves(state, rules), broken, most)
+    return breadth_first_search.search(start(rules), lambda state: moves(state, rules), broken, most)
--- a/laddergw/lab/apart.py
+++ b/laddergw/lab/apart.py
@@ -14,7 +14,7 @@
 from laddergw.planner.edge_side import EdgeSide
 from laddergw.planner.plan import Plan
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 
 PORT = 8300
 AWAY_MS = (300.0, 2_500.0) # a planner that was killed is back after this
--- a/laddergw/lab/budget_parts.py
+++ b/laddergw/lab/budget_parts.py
@@ -2,8 +2,8 @@
 from bisect import bisect_left
 from typing import NamedTuple
 
-from laddergw.fleet.grants import Holding
-from laddergw.fleet.issuing import Issuer
+from laddergw.fleet.grants import GrantHolder
+from laddergw.fleet.grant_issuer import GrantIssuer
 
 ASK_MS, STORE = 250.0, "the-store"
 HOLDS = 0.1                # a planner stands still between deciding and sending, for each trouble
@@ -27,8 +27,8 @@
 
 class Rules(NamedTuple):
     """What plays; a test hands in mistakes."""
-    holding: type = Holding
-    issuer: type = Issuer
+    holding: type = GrantHolder
+    issuer: type = GrantIssuer
     fenced: bool = True
 
 
@@ -46,7 +46,7 @@
     def __init__(self, number: int, life: int, rules: Rules, kind: Kind, clock: Clock):
         self.name, self.clock, self.number, self.epoch = f"d{number}-{life}", clock, 0, 0
         self.holding = rules.holding(STORE)
-        self.holding.set({"b": kind.window_ms})
+        self.holding.configure({"b": kind.window_ms})
         self.still_until, self.alive, self.inbox = 0.0, True, []
 
 
--- a/laddergw/lab/budgets_play.py
+++ b/laddergw/lab/budgets_play.py
@@ -1,4 +1,4 @@
-"""Fleet budgets in memory at full size, without sockets: the program's own Holding and Issuer, messages between them, and all that can go wrong, drawn by seed.
+"""Fleet budgets in memory at full size, without sockets: the program's own GrantHolder and GrantIssuer, messages between them, and all that can go wrong, drawn by seed.
 
 Directors and planners have clocks of their own, apart by an hour and 500 parts in a million in pace. Messages are lost, doubled, late and out of order; lines are cut one way or both; directors
 and planners stand still, are killed and begin anew, under old names too; a planner stands still between deciding and sending; both planners live, and whoever takes the store fences the other; the store
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from laddergw.fleet.grants import Grant, Row
-from laddergw.fleet.issuing import Budget
+from laddergw.fleet.grant_issuer import Budget
 from laddergw.lab.budget_parts import ASK_MS, HOLDS, PACE, STORE, Clock, Director, Kind, Outcome, Planner, Rules, most_within
 
 class Play:
@@ -66,7 +66,7 @@
             return
         if row.epoch > planner.epoch:
             return self.take(place, row.epoch + 1)
-        if planner.issuer.told(process, number, row, now) and (grant := planner.issuer.grant(process, now)) is not None:
+        if planner.issuer.handle_request(process, number, row, now) and (grant := planner.issuer.grant(process, now)) is not None:
             epoch = planner.epoch
             self.hold(planner, lambda: back(number, epoch, grant))
 
@@ -93,7 +93,7 @@
         if not director.alive or director.still_until > self.now:
             return
         director.number += 1
-        rows = director.holding.asks(director.number, director.clock.at(self.now))
+        rows = director.holding.build_rows(director.number, director.clock.at(self.now))
         if not rows:
             return
         row, = rows
@@ -116,7 +116,7 @@
             return
         if director.still_until > self.now:
             return self.put(director.still_until - self.now + 0.01, lambda: self.at_director(director, number, epoch, grant))
-        return director.holding.granted(number, epoch, STORE, [grant], director.clock.at(self.now))
+        return director.holding.apply_grants(number, epoch, STORE, [grant], director.clock.at(self.now))
 
     def want(self) -> None:
         """One director wants one."""
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -10,7 +10,7 @@
 from laddergw.director.limits_file import InPlace, LimitsFile
 from laddergw.fleet import answers, versions
 from laddergw.fleet.rights import CLOSED, OPEN
-from laddergw.fleet.stamps import LET_IN
+from laddergw.fleet.action_counts import ADMITTED
 from laddergw.lab import fleet_check
 from laddergw.lab.apart import PORT, TWO, ApartStage
 from laddergw.lab.fleet_check import Tally
@@ -173,12 +173,12 @@
             return
         back = {d.name for n, d in self.directors.items() if self.world.hosts[f"d{n}"].alive and self.world.hosts[f"d{n}"].running}
         book = leader.auditing.book
-        rows = [(*key, count) for key, count in answers.counted(book).items()]
+        rows = [(*key, count) for key, count in answers.total_counts(book).items()]
         of_version: dict[tuple[str, str, str], int] = {}
         for process in book.processes.values():
             for key, count in process.counts.items():
-                if key.action == LET_IN:
-                    name = process.name, book.stands[process.turns[key.turn].stand].of(versions.LIMITS).hash, key.product
+                if key.action == ADMITTED:
+                    name = process.name, book.version_sets[process.turns[key.turn].stand].of(versions.LIMITS).hash, key.product
                     of_version[name] = of_version.get(name, 0) + count
         hash_of = lambda text: versions.version(versions.LIMITS, text.split("\n") if text else []).hash
         self.verdict = fleet_check.judge(rows, self.tallies, back) + fleet_check.judge_versions(of_version, self.tallies, back, hash_of)
@@ -186,5 +186,5 @@
         self.verdict += fleet_check.judge_sentences(self.wanting.sentences, self.tallies, hash_of)
         self.verdict += fleet_check.judge_wanted(self.wanting.at_the_end(leader), {d.name: hash_of(d.tally.limits) for n, d in self.directors.items() if d.name in back and not old(n)})
         self.facts = {"processes": len(self.tallies), "back": len(back), "switches": self.switches, "faults": len(self.faults),
-                      "actions": sum(sum(t.counts.values()) for t in self.tallies.values()), "stands": len(book.stands),
+                      "actions": sum(sum(t.counts.values()) for t in self.tallies.values()), "stands": len(book.version_sets),
                       "wants": self.wanting.wants, "halted": self.wanting.halted, "sentences": len(self.wanting.sentences), "turns kept": max((len(side.audit.stamps.turns) for side in self.sides.values()), default=0), "records": leader.auditing.ledger.count}
--- a/laddergw/machines/retry_budget.py
+++ b/laddergw/machines/retry_budget.py
@@ -94,9 +94,9 @@
             if self.retries[name].upper_bound(now) + 1 > budget.free + budget.share * self.plays[
                 name
             ].lower_bound(now):
-                if self.fleet_grants is None or not self.fleet_grants.may(name, now):
+                if self.fleet_grants is None or not self.fleet_grants.may_spend(name, now):
                     return name
                 from_fleet.add(name)
         for name in known:
-            self.fleet_grants.took(name, now) if name in from_fleet else self.retries[name].add(now)
+            self.fleet_grants.draw(name, now) if name in from_fleet else self.retries[name].add(now)
         return None
--- a/laddergw/planner/audit_side.py
+++ b/laddergw/planner/audit_side.py
@@ -10,18 +10,18 @@
 import laddergw
 from laddergw.director import frames
 from laddergw.director.tries import Try
-from laddergw.fleet import stamps as acts, versions
-from laddergw.fleet.bringing import Bringing, Fetch, Offer
+from laddergw.fleet import action_counts as acts, versions
+from laddergw.fleet.file_transfer import FileReceiver, Fetch, Offer
 from laddergw.fleet.rights import Right
-from laddergw.fleet.stamps import Stamps
-from laddergw.fleet.telling import TEXT_MOST, Part, Told
+from laddergw.fleet.action_counts import ActionCounts
+from laddergw.fleet.state_reports import MAX_TEXT_CHARS, Part, ReportedState
 from laddergw.http.server import Exchange
 from laddergw.interface import DECLINED
 from laddergw.machines.admission import Rejection
 from laddergw.planner import wire
 from laddergw.terms.generations import flat
 
-CHANGES = {"limits changed": versions.LIMITS, "deployment changed": versions.HOUSE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
+CHANGES = {"limits changed": versions.LIMITS, "deployment changed": versions.DIRECTOR_FILE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
 
 
 @cache
@@ -41,7 +41,7 @@
     """See the module. `side`: the director's line to its planners."""
 
     def __init__(self, side):
-        self.side, self.director, self.loop, self.stamps = side, side.director, side.loop, Stamps()
+        self.side, self.director, self.loop, self.stamps = side, side.director, side.loop, ActionCounts()
         self.alone_since: float | None = self.loop.now
         self.held = {versions.PROGRAM: program()}
         for kind in CHANGES.values():
@@ -52,7 +52,7 @@
         director.pages["POST", "/v1/audit"] = self.page
         self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
         self.named: frozenset = frozenset()
-        self.bringing, self.bring, self.trouble = Bringing(), None, ""
+        self.bringing, self.bring, self.trouble = FileReceiver(), None, ""
         if self.right is not None:
             director.shut = self.shut
         self.stand()
@@ -64,7 +64,7 @@
         house = self.director.house
         if kind == versions.LIMITS:
             texts = limits_text(self.director.limits)
-        elif kind == versions.HOUSE:
+        elif kind == versions.DIRECTOR_FILE:
             texts = [*house.names, repr(house.deployment._replace(number=0, zone=0))]     # (what is a director's own place is no version)
         elif kind == versions.KEYS:
             texts = [part for name, secret in house.keys for part in (name, secret)] + sorted(house.retired)
@@ -76,7 +76,7 @@
         self.held[kind] = versions.version(kind, texts)
 
     def stand(self) -> None:
-        self.stamps.on(versions.stand(self.held.values()), self.loop.now)
+        self.stamps.set_in_force(versions.version_set(self.held.values()), self.loop.now)
         self.named = frozenset((version.kind, version.hash) for version in self.held.values())
 
     def read_list(self) -> None:
@@ -97,23 +97,23 @@
     # What is carried out
 
     def let_in(self, ply: Try) -> None:
-        ply.stand = self.stamps.now_in_force
-        self.did(ply, acts.LET_IN)
+        ply.stand = self.stamps.current_id
+        self.did(ply, acts.ADMITTED)
 
     def did(self, ply: Try, action: str) -> None:
-        self.stamps.did(ply.request.key, ply.request.product, ply.stand or self.stamps.now_in_force, action, self.loop.now)
+        self.stamps.record(ply.request.key, ply.request.product, ply.stand or self.stamps.current_id, action, self.loop.now)
 
     def told(self, what: str, **facts) -> None:
         """What the director watches, stamped on its way."""
         if what == "limits refused":
-            self.trouble = facts.get("first", "")[:TEXT_MOST]
+            self.trouble = facts.get("first", "")[:MAX_TEXT_CHARS]
         if what in CHANGES:
             self.trouble = "" if what == "limits changed" else self.trouble
             self.read(CHANGES[what])
             self.stand()
         elif (ply := self.director.tries.get(facts.get("play"))) is not None:
             if what == "allocate":
-                self.did(ply, acts.AGAIN if facts["number"] else acts.SET_UP)
+                self.did(ply, acts.SET_UP_RETRIED if facts["number"] else acts.SET_UP)
             elif what == "answer":
                 self.did(ply, acts.PLAYING if facts["answer"] == "playing" else acts.DECLINED if facts["answer"] == DECLINED else acts.FAILED)
             elif what == "ended" and ply.playing:
@@ -126,11 +126,11 @@
 
     def asks(self, number: int) -> None:
         if self.right is not None:
-            self.right.asks(number, self.loop.now)
+            self.right.record_request(number, self.loop.now)
 
     def shut(self) -> Rejection | None:
         """Why nothing is let in at this moment: viewers are declined and come again elsewhere; what plays goes on under its terms."""
-        why = self.right.why_shut(self.named, self.loop.now)
+        why = self.right.refusal_reason(self.named, self.loop.now)
         return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.chance()) / 2, why)
 
     # What is told
@@ -140,9 +140,9 @@
         if self.alone_since is None:
             self.alone_since = self.loop.now
 
-    def part(self, told: Told) -> Part:
+    def part(self, told: ReportedState) -> Part:
         since, self.alone_since = self.alone_since, None
-        return told.part(self.stamps, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
+        return told.next_part(self.stamps, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
                          zone=self.director.house.deployment.zone, takes=self.bringing.kinds, came=tuple(self.bringing.outcome), trouble=self.trouble)
 
     # What is brought up
@@ -153,18 +153,18 @@
 
     def offered(self, peer, frame: Offer) -> None:
         before = self.bringing.outcome
-        self.answer(peer, self.bringing.offered(frame))
+        self.answer(peer, self.bringing.handle_offer(frame))
         if self.bringing.outcome not in (before, before._replace(number=0)) and self.bringing.outcome.number:
             self.director.watch("offer at odds", why=self.bringing.outcome.why)
 
     def piece(self, peer, number: int, offset: int, data: bytes) -> None:
         """A piece came; the last one: the whole is checked like any file, held against what was wanted, and in force at one moment."""
-        found = self.bringing.piece(number, offset, data)
+        found = self.bringing.handle_piece(number, offset, data)
         if not isinstance(found, bytes):
             return self.answer(peer, found)
 
         def done(faults: list[str]) -> None:
-            self.bringing.checked(number, faults)
+            self.bringing.finish_check(number, faults)
             self.director.watch("file brought up", number=number, refused=faults)
         return self.bring(found, self.not_it(self.bringing.offer.hash), done)
 
@@ -186,10 +186,10 @@
         except (ValueError, AttributeError):
             return exchange.answer(400, frames.problem("an object, with `play` or without"))
         if asked is None:
-            stand = self.stamps.stands[self.stamps.now_in_force]
+            stand = self.stamps.version_sets[self.stamps.current_id]
             return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.stamps.turns[-1].at_ms, "now_ms": self.loop.now,
-                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.stamps.untold}))
-        way = self.stamps.ways.get(asked)
+                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.stamps.dropped}))
+        way = self.stamps.play_steps.get(asked)
         if way is None:
             return exchange.answer(404, frames.problem("no such play among those that are remembered here"))
         return exchange.answer(200, frames.encode({"process": self.director.name, "play": asked, "now_ms": self.loop.now, "way": [step._asdict() for step in way]}))
--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from laddergw.fleet import answers
-from laddergw.fleet.book import DECLARED, SILENT_MS, Book
+from laddergw.fleet.fleet_log import DECLARED_GONE, SILENT_MS, FleetLog
 from laddergw.fleet.rights import LEASE_MS, Floors
-from laddergw.fleet.telling import Senseless
+from laddergw.fleet.state_reports import InvalidReport
 from laddergw.fleet.wanted import HALTED
 from laddergw.planner import wire
 from laddergw.planner.budgeting import BUDGETS, Budgeting
 from laddergw.planner.rollouts import Rollouts
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from laddergw.store.ledger import Ledger
 
 BATCH_BYTES, BYTES_A_ROW = 131_072, 64     # of one write and step: some ms of the planner's turn; of a row of a record, about
@@ -31,7 +31,7 @@
 
 def fold(records: Iterator[bytes]) -> bytes:
     """Records of the journal as one: for each process what holds by then, its oldest turns as counts alone."""
-    book, floors, wants, budgets = Book(), [], {}, []
+    book, floors, wants, budgets = FleetLog(), [], {}, []
     for record in records:
         for one in read(record):
             if FLOORS in one:
@@ -44,7 +44,7 @@
                 budgets = [one]
                 continue
             book.restore(one)
-            book.bound(book.processes[one["process"]])
+            book.trim(book.processes[one["process"]])
     return encode(floors + budgets + list(wants.values()) + [book.record(name, 0.0, whole=True) for name in sorted(book.processes)])
 
 
@@ -57,13 +57,13 @@
 
     def __init__(self, loop, guarded: Callable[[Callable[[], None]], bool], wall: Callable[[], float] = lambda: time.time() * 1000):
         self.loop, self.guarded, self.wall = loop, guarded, wall
-        self.book, self.ledger, self.floors = Book(), None, Floors()
+        self.book, self.ledger, self.floors = FleetLog(), None, Floors()
         self.rollouts, self.budgeting = Rollouts(self), Budgeting(self)
 
     def opened(self, store: Store) -> None:
         """The store is ours: what it holds is read, what it lacks of what we heard is written with the next records."""
         self.ledger = Ledger(store)
-        disk, forbidden, wants, budgets = Book(), [], {}, []
+        disk, forbidden, wants, budgets = FleetLog(), [], {}, []
         for record in self.ledger.records():
             for one in read(record):
                 if FLOORS in one:
@@ -77,8 +77,8 @@
                     continue
                 disk.restore(one)
                 self.book.restore(one)
-                disk.bound(disk.processes[one["process"]])
-        self.floors.taken_over((tuple(version) for version in forbidden), self.loop.now)
+                disk.trim(disk.processes[one["process"]])
+        self.floors.restore((tuple(version) for version in forbidden), self.loop.now)
         self.rollouts.taken_over(wants)
         self.budgeting.taken_over(budgets)
         for name, process in self.book.processes.items():
@@ -92,7 +92,7 @@
 
     def keeps(self) -> bool:
         """Whether the journal is this planner's to write, and so its book the one that knows most."""
-        return self.ledger is not None and self.ledger.store.ours()
+        return self.ledger is not None and self.ledger.store.is_current()
 
     def told(self, peer, frame: wire.DigestFrame) -> None:
         """Raises Malformed for a part that makes no sense: its connection ends."""
@@ -104,7 +104,7 @@
             if frame.audit is not None:
                 if frame.audit.without and self.keeps():
                     peer.send(wire.Right(frame.number, self.ledger.store.epoch, LEASE_MS, tuple(sorted(self.floors.since))))
-        except Senseless as error:
+        except InvalidReport as error:
             raise wire.Malformed(f"audit: {error}") from None
 
     def keep(self, peers) -> Generator[None, None, None]:
@@ -117,7 +117,7 @@
                 record = self.book.record(name, self.wall())
                 batch.append(record)
                 size += BYTES_A_ROW * (len(record["turns"]) + len(record["counts"]))
-                self.book.kept_stands |= record["stands"].keys()     # (once in a batch)
+                self.book.stored_version_sets |= record["stands"].keys()     # (once in a batch)
                 if size >= BATCH_BYTES:
                     if not self.write(batch):
                         return
@@ -126,7 +126,7 @@
         if batch and not self.write(batch):
             return
         yield
-        if self.ledger.crowded():
+        if self.ledger.needs_compaction():
             self.guarded(lambda: self.ledger.compact(fold))
             self.book.forget_stands()
         for peer in list(peers):
@@ -135,10 +135,10 @@
 
     def write(self, batch: list[dict]) -> bool:
         if not self.guarded(lambda: self.ledger.append([encode(batch)])):
-            self.book.kept_stands.difference_update(*(record["stands"].keys() for record in batch))
+            self.book.stored_version_sets.difference_update(*(record["stands"].keys() for record in batch))
             return False
         for record in batch:
-            self.book.kept(record)
+            self.book.mark_stored(record)
         return True
 
     def change_floors(self, frame: wire.Ask) -> dict:
@@ -146,7 +146,7 @@
         if not self.keeps():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, begins = frame.name.partition(" ")
-        known = {(v.kind, v.hash) for stand in self.book.stands.values() for v in stand.versions} | self.floors.since.keys()
+        known = {(v.kind, v.hash) for stand in self.book.version_sets.values() for v in stand.versions} | self.floors.since.keys()
         meant = sorted(one for one in known if begins and one[0] == kind and one[1].startswith(begins))
         if frame.question != "floors":
             if len(meant) != 1:
@@ -156,9 +156,9 @@
                 return {"refused": why}
         rows = []
         for (kind, name), since in sorted(self.floors.since.items()):
-            nobody, may = self.floors.nobody((kind, name), self.book.seen(), self.loop.now)
+            nobody, may = self.floors.check_unused((kind, name), self.book.seen(), self.loop.now)
             rows.append({"kind": kind, "version": name, "since_wall_ms": self.wall() - (self.loop.now - since), "nobody_acts_on_it": nobody, "may_still": may})
-        return {"floors": rows, "not_known": answers.unknown(self.book, self.loop.now)}
+        return {"floors": rows, "not_known": answers.list_unknown(self.book, self.loop.now)}
 
     def forbid(self, version: tuple[str, str]) -> str | None:
         """Why not, where it is refused. A version that is wanted is not forbidden."""
@@ -186,13 +186,13 @@
         if process is None:
             return {"refused": f"no process {name[:60]!r} was ever heard of"}
         if self.loop.now - process.heard_ms < SILENT_MS:
-            return {"refused": f"{name} spoke {answers.seconds(self.loop.now - process.heard_ms)} ago"}
+            return {"refused": f"{name} spoke {answers.format_seconds(self.loop.now - process.heard_ms)} ago"}
         before = process.gone
-        self.book.ends(process, before or DECLARED)
+        self.book.mark_gone(process, before or DECLARED_GONE)
         if not self.write([self.book.record(name, self.wall())]):
             process.gone = before
             return {"refused": "it could not be written"}
-        return {"gone": name, "not_known": answers.unknown(self.book, self.loop.now)}
+        return {"gone": name, "not_known": answers.list_unknown(self.book, self.loop.now)}
 
     def ask(self, frame: wire.Ask) -> bytes:
         book, now, wall = self.book, self.loop.now, self.wall()
@@ -203,7 +203,7 @@
         elif frame.question == "version":
             found = answers.version(book, frame.name, now, wall)
         elif frame.question == "counts":
-            found = {"counts": [[*key, count] for key, count in sorted(answers.counted(book).items())], "not_known": answers.unknown(book, now)}
+            found = {"counts": [[*key, count] for key, count in sorted(answers.total_counts(book).items())], "not_known": answers.list_unknown(book, now)}
         elif frame.question in ("forbid", "allow", "floors"):
             found = self.change_floors(frame)
         elif frame.question in ("want", "halt", "stragglers"):
--- a/laddergw/planner/budgeting.py
+++ b/laddergw/planner/budgeting.py
@@ -1,11 +1,11 @@
-"""A planner's side of budgets that are the fleet's: takes in what directors tell of them, answers with grants, tells operators. Decisions lie in fleet/issuing.py.
+"""A planner's side of budgets that are the fleet's: takes in what directors tell of them, answers with grants, tells operators. Decisions lie in fleet/grant_issuer.py.
 
 Only the planner that has the store grants, and only as its own file names budgets. Which budgets it grants is in the journal before the first grant: whoever takes over knows the
 longest window and the highest whole that there were.
 """
 import msgspec
 
-from laddergw.fleet.issuing import ACTIVE_MS, Budget, Issuer
+from laddergw.fleet.grant_issuer import ACTIVE_MS, Budget, GrantIssuer
 from laddergw.fleet.grants import FLOOR_LEASE_MS
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.planner import wire
@@ -20,7 +20,7 @@
     def __init__(self, auditing):
         self.auditing, self.loop = auditing, auditing.loop
         self.budgets: tuple[Budget, ...] = ()
-        self.issuers: dict[str, Issuer] = {}
+        self.issuers: dict[str, GrantIssuer] = {}
         self.past: dict[str, tuple[int, float]] = {}             # highest whole, longest window, by name
         self.written = False
 
@@ -34,7 +34,7 @@
         for budget in budgets:
             held = self.issuers.get(budget.name)
             if held is not None and held.budget.window_ms == budget.window_ms:
-                held.changed(budget, self.loop.now)
+                held.set_budget(budget, self.loop.now)
             else:
                 self.issuers.pop(budget.name, None)
         for name in self.issuers.keys() - {budget.name for budget in budgets}:
@@ -53,7 +53,7 @@
             for budget in self.budgets if self.written else ():
                 if budget.name not in self.issuers:
                     whole, window_ms = past[budget.name]
-                    self.issuers[budget.name] = Issuer(budget, self.auditing.ledger.store.epoch, self.loop.now, window_ms, whole)
+                    self.issuers[budget.name] = GrantIssuer(budget, self.auditing.ledger.store.epoch, self.loop.now, window_ms, whole)
             self.past = past if self.written else self.past
         return self.written
 
@@ -64,7 +64,7 @@
         name, now, grants = peer.other.name, self.loop.now, []
         for row in frame.budgets:
             issuer = self.issuers.get(row.name)
-            if issuer is not None and issuer.told(name, frame.number, row, now) and (grant := issuer.grant(name, now)) is not None:
+            if issuer is not None and issuer.handle_request(name, frame.number, row, now) and (grant := issuer.grant(name, now)) is not None:
                 grants.append(grant)
         if grants:
             store = self.auditing.ledger.store
@@ -76,14 +76,14 @@
             return {"refused": "this planner grants no budgets: it does not keep the journal, or its file names none"}
         now, rows = self.loop.now, []
         for name, issuer in sorted(self.issuers.items()):
-            issuer.look(now)
+            issuer.update(now)
             window = issuer.budget.window_ms
             held = [{"process": process, "charged": charge.amount(now, window), "floor": charge.floor(now, window), "spent": charge.used, "needs": charge.need, "wants": charge.want,
                      "silent": now - charge.asked_ms >= ACTIVE_MS} for process, charge in sorted(issuer.charges.items())]
-            rows.append({"budget": name, "whole": issuer.budget.whole, "window_ms": window, "charged": issuer.sum, "floors": issuer.floors, "reserve": issuer.reserve(),
-                         "unknown": issuer.unknown(now), "divided": issuer.why, "held": held,
-                         "waits_ms": max(0.0, issuer.began + (0.0 if issuer.settled(LEASE_MS, now) else 1.0) * (LEASE_MS + issuer.past_ms) - now),
-                         "floors_known": issuer.settled(FLOOR_LEASE_MS, now)})
+            rows.append({"budget": name, "whole": issuer.budget.whole, "window_ms": window, "charged": issuer.charged_total, "floors": issuer.floors_total, "reserve": issuer.reserve(),
+                         "unknown": issuer.unknown_floors(now), "divided": issuer.division_reason, "held": held,
+                         "waits_ms": max(0.0, issuer.began + (0.0 if issuer.is_settled(LEASE_MS, now) else 1.0) * (LEASE_MS + issuer.past_ms) - now),
+                         "floors_known": issuer.is_settled(FLOOR_LEASE_MS, now)})
         return {"issuer": identity(self.auditing.ledger.store), "budgets": rows}
 
 
--- a/laddergw/planner/edge_side.py
+++ b/laddergw/planner/edge_side.py
@@ -16,10 +16,10 @@
 from laddergw.planner.peer import Peer
 from laddergw.planner.plan import Keys, Obeyed, Sent
 from laddergw.planner.sketch import Sketch
-from laddergw.fleet.book import DIGEST_MS
-from laddergw.fleet.bringing import Offer
-from laddergw.fleet.grants import Holding
-from laddergw.fleet.telling import Told
+from laddergw.fleet.fleet_log import DIGEST_MS
+from laddergw.fleet.file_transfer import Offer
+from laddergw.fleet.grants import GrantHolder
+from laddergw.fleet.state_reports import ReportedState
 from laddergw.planner.trust import Trust
 from laddergw.terms.generations import of_the_fleet
 
@@ -41,12 +41,12 @@
         self.lines = [Line(self, tuple(address)) for address in planners]
         director.observer = self
         self.audit = AuditSide(self)
-        self.holding = Holding(director.house.issuer) if director.house.issuer else None
+        self.holding = GrantHolder(director.house.issuer) if director.house.issuer else None
         if self.holding is not None:
-            self.holding.set(of_the_fleet(director.limits))
+            self.holding.configure(of_the_fleet(director.limits))
             director.budgets.fleet_grants, self.watched, director.watch = self.holding, director.watch, self.watch
             if director.tap is not None:
-                self.holding.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
+                self.holding.on_draw = lambda name, now: director.tap("budget drawn", now, {"budget": name})
         self.loop.call_later(DIGEST_MS, self.tell)
 
     @property
@@ -73,7 +73,7 @@
 
     def watch(self, what: str, **facts) -> None:
         if what == "limits changed":
-            self.holding.set(of_the_fleet(self.director.limits))
+            self.holding.configure(of_the_fleet(self.director.limits))
         self.watched(what, **facts)
 
     # Digests
@@ -98,7 +98,7 @@
         self.titles = Sketch()                   # hot titles are told once, the planner adds them up
         self.sent.told(digest.number, digest.nodes)
         self.audit.asks(digest.number)
-        budgets = self.holding.asks(digest.number, self.loop.now, self.director.stopping) if self.holding is not None else ()
+        budgets = self.holding.build_rows(digest.number, self.loop.now, self.director.stopping) if self.holding is not None else ()
         for line in self.lines:
             line.tell(digest, budgets)
 
@@ -149,7 +149,7 @@
     def dial(self) -> None:
         side = self.side
         hello = wire.Hello(wire.VERSION, side.director.name, wire.EDGE, side.obeyed.seen[0])
-        self.base, self.audit = None, Told()
+        self.base, self.audit = None, ReportedState()
         self.peer = Peer(side.loop, hello, self.told, lambda peer: None, self.down)
         owner = self.peer if side.tls is None else TlsStream(self.peer, side.tls(), False, self.address[0])
         side.loop.dial(self.address, owner, DIAL_MS)
@@ -170,15 +170,15 @@
         elif isinstance(frame, wire.Again):
             self.base = None
         elif isinstance(frame, wire.Kept):
-            self.side.audit.stamps.kept_by_planner(frame.turn)
+            self.side.audit.stamps.acknowledge(frame.turn)
         elif isinstance(frame, wire.Granted) and self.side.holding is not None:
-            self.side.holding.granted(frame.number, frame.epoch, frame.issuer, frame.grants, self.side.loop.now)
+            self.side.holding.apply_grants(frame.number, frame.epoch, frame.issuer, frame.grants, self.side.loop.now)
         elif isinstance(frame, wire.Offer):
             self.side.audit.offered(peer, Offer(*(getattr(frame, name) for name in Offer._fields)))
         elif isinstance(frame, wire.Piece):
             self.side.audit.piece(peer, frame.number, frame.offset, frame.data)
         elif isinstance(frame, wire.Right) and self.side.audit.right is not None:
-            self.side.audit.right.granted(frame.number, frame.epoch, frame.lease_ms, frame.forbidden)
+            self.side.audit.right.apply_grant(frame.number, frame.epoch, frame.lease_ms, frame.forbidden)
 
     def down(self, peer: Peer, why: str) -> None:
         self.peer = None
--- a/laddergw/planner/program.py
+++ b/laddergw/planner/program.py
@@ -13,13 +13,13 @@
 
 from laddergw.terms.house import signing_keys, take_planners, take_tls
 from laddergw.director.watching import logger
-from laddergw.fleet.issuing import Budget
+from laddergw.fleet.grant_issuer import Budget
 from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
 from laddergw.loop.tls import client_context, server_context
 from laddergw.planner.plan import Keys
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store, StoreError
+from laddergw.store.planner_store import Store, StoreError
 from laddergw.terms.reading import Faults, Reader, only_form, text_of
 from laddergw.terms.sexpr import Refused
 
--- a/laddergw/planner/rollouts.py
+++ b/laddergw/planner/rollouts.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from laddergw.fleet import answers, wanted
-from laddergw.fleet.bringing import PIECE_BYTES, SIZE_MOST, Offer
-from laddergw.fleet.telling import Part
-from laddergw.fleet.versions import CAN_BE_WANTED, HASH_DIGITS
+from laddergw.fleet.file_transfer import PIECE_BYTES, MAX_FILE_BYTES, Offer
+from laddergw.fleet.state_reports import Part
+from laddergw.fleet.versions import ROLLOUT_KINDS, HASH_DIGITS
 from laddergw.fleet.wanted import Answers, Rollout, Want
 from laddergw.planner import wire
 
@@ -52,7 +52,7 @@
         self.highest = max(self.highest, want.number)
 
     def write(self, rollout: Rollout, **more) -> bool:
-        return self.auditing.guarded(lambda: self.auditing.ledger.append([encode([rollout.kept() | more])]))
+        return self.auditing.guarded(lambda: self.auditing.ledger.append([encode([rollout.as_record() | more])]))
 
     # Time
 
@@ -61,9 +61,9 @@
         if not self.going or not self.auditing.keeps():
             return
         for kind, rollout in self.going.items():
-            before = rollout.kept()
+            before = rollout.as_record()
             base, now = self.base[kind], self.auditing.book.answers(kind, rollout.want.hash)
-            step = rollout.look(self.seats(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
+            step = rollout.update(self.seats(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
             if step.keep and not self.write(rollout):
                 self.back_to(rollout, before)
                 continue
@@ -75,8 +75,8 @@
         """What could not be written did not happen."""
         rollout.step, rollout.state, rollout.why, rollout.crashed = before["step"], before["state"], before["why"], set(before["crashed"])
 
-    def seats(self, rollout: Rollout) -> list[wanted.Seat]:
-        return self.auditing.book.seats(rollout.want.kind, rollout.want.number, self.loop.now)
+    def seats(self, rollout: Rollout) -> list[wanted.ProcessProgress]:
+        return self.auditing.book.progress(rollout.want.kind, rollout.want.number, self.loop.now)
 
     def offer(self, rollout: Rollout, names: set[str], peers) -> None:
         """To those whose turn it is, so many at a time."""
@@ -97,7 +97,7 @@
         self.highest = max(self.highest, part.came[0])
         if part.over:
             for rollout in self.going.values():
-                rollout.stopped(process.partition("-")[0])
+                rollout.process_stopped(process.partition("-")[0])
         if part.came[2]:
             self.hands.pop(process, None)
 
@@ -110,7 +110,7 @@
         data = self.content[hand.kind][frame.offset:frame.offset + PIECE_BYTES]
         self.hands[name] = hand._replace(asked_ms=self.loop.now)
         if frame.offset + len(data) == rollout.want.size:        # on the disk first: whoever crashes on it twice is not sent it a third time
-            rollout.whole_sent(name)
+            rollout.record_sent(name)
             if not self.write(rollout):
                 return
         peer.send(wire.Piece(frame.number, frame.offset, data))
@@ -121,8 +121,8 @@
         if not self.auditing.keeps():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, rest = frame.name.partition(" ")
-        if kind not in CAN_BE_WANTED:
-            return {"refused": f"{', '.join(CAN_BE_WANTED)} can be wanted, not {kind[:40]!r}"}
+        if kind not in ROLLOUT_KINDS:
+            return {"refused": f"{', '.join(ROLLOUT_KINDS)} can be wanted, not {kind[:40]!r}"}
         if frame.question == "want":
             why = self.want(kind, rest, frame)
         elif frame.question == "halt":
@@ -136,8 +136,8 @@
         before = self.going.get(kind)
         if before is not None and before.state == wanted.GOING:
             return f"the rollout of {before.want.hash[:8]} (number {before.want.number}) goes on: halt it first"
-        if not 0 < len(frame.data) <= SIZE_MOST or len(name) != HASH_DIGITS:
-            return f"a file of {len(frame.data)} bytes, 1 to {SIZE_MOST}, and its version's hash are needed"
+        if not 0 < len(frame.data) <= MAX_FILE_BYTES or len(name) != HASH_DIGITS:
+            return f"a file of {len(frame.data)} bytes, 1 to {MAX_FILE_BYTES}, and its version's hash are needed"
         if (kind, name) in self.auditing.floors.since:
             return f"{kind} {name[:8]} must not be used any more: allow it first"
         want = Want(kind, wanted.next_number(self.auditing.ledger.store.epoch, self.highest), name, hashlib.sha256(frame.data).hexdigest(), len(frame.data), max(0.0, frame.figures.get("soak_ms", wanted.SOAK_MS)),
@@ -152,7 +152,7 @@
         rollout = self.going.get(kind)
         if rollout is None or rollout.state == wanted.HALTED:
             return "nothing goes on"
-        before = rollout.kept()
+        before = rollout.as_record()
         rollout.state, rollout.why = wanted.HALTED, "an operator said so"
         if not self.write(rollout):
             self.back_to(rollout, before)
@@ -163,14 +163,14 @@
         """The rollout, and each director that is not on what is wanted, with its cause."""
         rollout, now, book = self.going.get(kind), self.loop.now, self.auditing.book
         if rollout is None:
-            return {"want": None, "behind": [], "not_known": answers.unknown(book, now)}
+            return {"want": None, "behind": [], "not_known": answers.list_unknown(book, now)}
         seats, behind = self.seats(rollout), []
         for seat in seats:
             if (cause := rollout.cause(seat, now)) is not None:
-                behind.append({"process": seat.process, "on": seat.on, "cause": cause[0], "detail": cause[1], "wants_an_eye": cause[0] in wanted.BEHIND})
-        not_known = answers.unknown(book, now)
+                behind.append({"process": seat.process, "on": seat.on, "cause": cause[0], "detail": cause[1], "wants_an_eye": cause[0] in wanted.CAUSES_FOR_OPERATOR})
+        not_known = answers.list_unknown(book, now)
         if self.highest > rollout.want.number:
             not_known.append(f"directors were offered number {self.highest}, here {rollout.want.number} is the last: this journal was set back; want it anew")
-        return {"want": rollout.want._asdict(), "step": rollout.step + 1, "steps": len(wanted.SHARES), "state": rollout.state, "why": rollout.why,
+        return {"want": rollout.want._asdict(), "step": rollout.step + 1, "steps": len(wanted.STEP_SHARES), "state": rollout.state, "why": rollout.why,
                 "on_it": sum(seat.on == rollout.want.hash and seat.heard for seat in seats), "directors": len(seats), "behind": behind, "not_known": not_known}
 
--- a/laddergw/planner/server.py
+++ b/laddergw/planner/server.py
@@ -18,7 +18,7 @@
 from laddergw.planner.plan import Keys, Plan
 from laddergw.planner.sketch import Hot, Sketch
 from laddergw.planner.standby import LEADS, Standing
-from laddergw.store.keeper import Fenced, Store, StoreError
+from laddergw.store.planner_store import FencedError, Store, StoreError
 from laddergw.work.scheduler import IDLE, NORMAL, URGENT, Scheduler
 
 PLAN_MS = 400.0            # between plans
@@ -84,7 +84,7 @@
         for fault in found.faults:
             self.watch("store fault", fault=fault)
         if found.faults:
-            self.store.cut_after(found.number)
+            self.store.truncate_after(found.number)
         for data in ([found.state] if found.state else []) + found.records:
             try:
                 kept = msgspec.msgpack.decode(data, type=Kept)
@@ -120,7 +120,7 @@
         try:
             write()
             return True
-        except Fenced as error:
+        except FencedError as error:
             self.standing.fenced(self.loop.now)
             self.watch("fenced", error=str(error))
         except StoreError as error:
--- a/laddergw/planner/wire.py
+++ b/laddergw/planner/wire.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from laddergw.fleet.grants import Grant, Row
-from laddergw.fleet.telling import Part, Senseless
+from laddergw.fleet.state_reports import Part, InvalidReport
 from laddergw.planner.digests import Digest
 from laddergw.planner.sketch import Hot
 
--- a/laddergw/store/ledger.py
+++ b/laddergw/store/ledger.py
@@ -7,7 +7,7 @@
 from hashlib import sha256
 from typing import Callable, Iterable, Iterator, NamedTuple
 
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 
 RECORDS_MOST = 20_000      # past it the older half becomes one record: under a minute's writes of 230 directors at their worst
 BYTES_MOST = 33_554_432    # of records: half of the store's own bound
@@ -33,9 +33,9 @@
 class Ledger:
     """See the module. Raises StoreError and its kinds as the store does; what raised was not written."""
 
-    def __init__(self, store: Store, records_most: int = RECORDS_MOST, bytes_most: int = BYTES_MOST):
-        self.store, self.records_most, self.bytes_most = store, records_most, bytes_most
-        self.store.guarded(self.open)
+    def __init__(self, store: Store, max_records: int = RECORDS_MOST, max_bytes: int = BYTES_MOST):
+        self.store, self.max_records, self.max_bytes = store, max_records, max_bytes
+        self.store.write_fenced(self.open)
         self.load()
 
     def open(self) -> None:
@@ -62,13 +62,13 @@
             self.store.db.executemany("INSERT INTO ledger VALUES (?, ?, ?)", rows)
             self.store.db.execute("UPDATE ledger_ends SET number = ?, link = ? WHERE name = 'last'", (number, head))
         if rows:
-            self.store.guarded(write)
+            self.store.write_fenced(write)
             self.number, self.head = number, head
             self.count, self.size = self.count + len(rows), self.size + sum(len(row[1]) for row in rows)
         return number
 
-    def crowded(self) -> bool:
-        return self.count > self.records_most or self.size > self.bytes_most
+    def needs_compaction(self) -> bool:
+        return self.count > self.max_records or self.size > self.max_bytes
 
     def compact(self, fold: Callable[[Iterator[bytes]], bytes]) -> None:
         """The older half becomes one record, as `fold` makes it of them. It takes the place of the last of them, and the links after it are
@@ -89,7 +89,7 @@
             self.store.db.executemany("INSERT OR REPLACE INTO ledger VALUES (?, ?, ?)", rows)
             self.store.db.execute("UPDATE ledger_ends SET number = ? WHERE name = 'first'", (cut - 1,))
             self.store.db.execute("UPDATE ledger_ends SET number = ?, link = ? WHERE name = 'last'", (rows[-1][0], head))
-        self.store.guarded(write)
+        self.store.write_fenced(write)
         self.load()
 
     def records(self) -> Iterator[bytes]:
--- a/laddergw/store/keeper.py
+++ b/laddergw/store/planner_store.py
@@ -25,11 +25,11 @@
     """The store cannot be used; the text says why."""
 
 
-class Fenced(StoreError):
+class FencedError(StoreError):
     """Another planner has opened the store since: this one must not write any more."""
 
 
-class Full(StoreError):
+class StoreFullError(StoreError):
     """No room is left, on the disk or under the store's own bound: nothing of the write was kept."""
 
 
@@ -44,16 +44,16 @@
 class Store:
     """See the module. Raises StoreError where the file is of a newer format or no store at all."""
 
-    def __init__(self, path: str, most_bytes: int = 67_108_864, vfs: str | None = None):
+    def __init__(self, path: str, max_bytes: int = 67_108_864, vfs: str | None = None):
         self.path = path
         try:
             self.db = apsw.Connection(path, vfs=vfs)
             self.db.set_busy_timeout(BUSY_MS)
-            for pragma in (f"page_size = {PAGE_BYTES}", "journal_mode = DELETE", "synchronous = FULL", f"max_page_count = {most_bytes // PAGE_BYTES}"):
+            for pragma in (f"page_size = {PAGE_BYTES}", "journal_mode = DELETE", "synchronous = FULL", f"max_page_count = {max_bytes // PAGE_BYTES}"):
                 self.db.execute(f"PRAGMA {pragma}").fetchall()
             self.transact(self.open)
         except apsw.Error as error:
-            raise as_ours(error, path) from None
+            raise to_store_error(error, path) from None
         self.number = self.last_number()
 
     def open(self) -> None:
@@ -75,7 +75,7 @@
         row = self.db.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
         return None if row is None else row[0]
 
-    def ours(self) -> bool:
+    def is_current(self) -> bool:
         """Whether no other planner has opened the store since."""
         try:
             return self.fact("epoch") == self.epoch
@@ -101,21 +101,21 @@
                 self.db.execute("ROLLBACK")
             raise
 
-    def guarded(self, write) -> None:
+    def write_fenced(self, write) -> None:
         """One transaction under our epoch."""
         def fenced() -> None:
             if self.fact("epoch") != self.epoch:
-                raise Fenced(f"{self.path}: epoch {self.fact('epoch')} has been taken, ours is {self.epoch}")
+                raise FencedError(f"{self.path}: epoch {self.fact('epoch')} has been taken, ours is {self.epoch}")
             write()
         try:
             self.transact(fenced)
         except apsw.Error as error:
-            raise as_ours(error, self.path) from None
+            raise to_store_error(error, self.path) from None
 
     def append(self, records: Iterable[bytes]) -> int:
         """Adds records to the history, all or none; the number of the last."""
         rows = [(self.number + place, record, crc32(record)) for place, record in enumerate(records, 1)]
-        self.guarded(lambda: self.db.executemany("INSERT INTO history VALUES (?, ?, ?)", rows))
+        self.write_fenced(lambda: self.db.executemany("INSERT INTO history VALUES (?, ?, ?)", rows))
         self.number += len(rows)
         return self.number
 
@@ -126,7 +126,7 @@
             kept = self.db.execute("SELECT number FROM snapshots ORDER BY number DESC LIMIT ?", (SNAPSHOTS_KEPT,)).fetchall()
             self.db.execute("DELETE FROM snapshots WHERE number < ?", kept[-1])
             self.db.execute("DELETE FROM history WHERE number <= ?", kept[-1])
-        self.guarded(write)
+        self.write_fenced(write)
 
     def take_epoch(self, least: int) -> int:
         """Takes the next epoch, of at least this: whoever had the store is fenced out."""
@@ -140,7 +140,7 @@
             self.transact(take)
             self.epoch, self.number = taken, self.last_number()
         except apsw.Error as error:
-            raise as_ours(error, self.path) from None
+            raise to_store_error(error, self.path) from None
         return taken
 
     # Reading
@@ -162,12 +162,12 @@
                 records.append(record)
                 expected += 1
         except apsw.Error as error:
-            raise as_ours(error, self.path) from None
+            raise to_store_error(error, self.path) from None
         return Recovered(state, records, base + len(records), faults)
 
-    def cut_after(self, number: int) -> None:
+    def truncate_after(self, number: int) -> None:
         """Drops what follows a sound record: the next record takes its place."""
-        self.guarded(lambda: (self.db.execute("DELETE FROM history WHERE number > ?", (number,)), self.db.execute("DELETE FROM snapshots WHERE number > ?", (number,))))
+        self.write_fenced(lambda: (self.db.execute("DELETE FROM history WHERE number > ?", (number,)), self.db.execute("DELETE FROM snapshots WHERE number > ?", (number,))))
         self.number = number
 
     def bytes(self) -> int:
@@ -187,6 +187,6 @@
             db.executemany(f"UPDATE {table} SET sum = ? WHERE number = ?", [(crc32(value), number) for number, value in rows])
 
 
-def as_ours(error: apsw.Error, path: str) -> StoreError:
-    kind = Full if isinstance(error, apsw.FullError) else StoreError
+def to_store_error(error: apsw.Error, path: str) -> StoreError:
+    kind = StoreFullError if isinstance(error, apsw.FullError) else StoreError
     return kind(f"{path}: {error}")
--- a/tests/broken_budgets.py
+++ b/tests/broken_budgets.py
@@ -1,24 +1,24 @@
 """Directors and planners with one mistake each in how they keep a fleet's budget."""
-from laddergw.fleet import grants, issuing
-from laddergw.fleet.grants import Held, Holding
-from laddergw.fleet.issuing import Charge, Issuer, Sent
+from laddergw.fleet import grant_issuer, grants
+from laddergw.fleet.grants import HeldGrant, GrantHolder
+from laddergw.fleet.grant_issuer import Charge, GrantIssuer, Sent
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.lab.budget_parts import Rules
 
 
 def holding(mistake=None, **of_held):
     """A director whose budgets have other functions; `mistake(holding)` after each grant, with how the budget stood before."""
-    made = type("BrokenHeld", (Held,), of_held)
+    made = type("BrokenHeld", (HeldGrant,), of_held)
 
-    class Broken(Holding):
-        def set(self, windows):
-            super().set(windows)
+    class Broken(GrantHolder):
+        def configure(self, windows):
+            super().configure(windows)
             for name, held in self.held.items():
                 held.__class__ = made
 
-        def granted(self, number, epoch, issuer, told, now):
+        def apply_grants(self, number, epoch, issuer, told, now):
             before = {name: dict(vars(held)) for name, held in self.held.items()}
-            super().granted(number, epoch, issuer, told, now)
+            super().apply_grants(number, epoch, issuer, told, now)
             if mistake is not None:
                 for name, held in self.held.items():
                     mistake(self, held, before[name], number, epoch, told[0])
@@ -26,18 +26,18 @@
 
 
 def issuer(fenced=True, **of_issuer):
-    return Rules(issuer=type("BrokenIssuer", (Issuer,), of_issuer), fenced=fenced)
+    return Rules(issuer=type("BrokenIssuer", (GrantIssuer,), of_issuer), fenced=fenced)
 
 
 def charging(**of_charge):
     """A planner that charges in another way."""
     made = type("BrokenCharge", (Charge,), of_charge)
 
-    class Broken(Issuer):
-        def told(self, process, number, row, now):
+    class Broken(GrantIssuer):
+        def handle_request(self, process, number, row, now):
             charge = self.charges.setdefault(process, Charge())
             charge.__class__ = made
-            return super().told(process, number, row, now)
+            return super().handle_request(process, number, row, now)
     return Rules(issuer=Broken)
 
 
@@ -48,7 +48,7 @@
 def right_from_the_answer(held, now):
     if getattr(held, "answered", False):         # it looks at the clock after the answer
         held.answered, held.until = False, now + LEASE_MS
-    return Held.right(held, now)
+    return HeldGrant.right(held, now)
 
 
 def floor_from_the_answer(holding, held, before, number, epoch, grant):
@@ -71,23 +71,23 @@
 
 
 def tells(**changes):
-    return holding(row=lambda held, name, now, stopping: Held.row(held, name, now, stopping)._replace(**{key: value(held, now) for key, value in changes.items()}))
+    return holding(row=lambda held, name, now, stopping: HeldGrant.row(held, name, now, stopping)._replace(**{key: value(held, now) for key, value in changes.items()}))
 
 
 def only_the_latest(self, process, number, row, now):
-    taken = Issuer.told(self, process, number, row, now)
+    taken = GrantIssuer.handle_request(self, process, number, row, now)
     self.charges[process].sent = dict(list(self.charges[process].sent.items())[-1:])
     return taken
 
 
 def past_forgotten(self, process, number, row, now):
-    return Issuer.told(self, process, number, row._replace(used=0), now)
+    return GrantIssuer.handle_request(self, process, number, row._replace(used=0), now)
 
 
 def grants_over(self, process, now):
-    grant = Issuer.grant(self, process, now)
+    grant = GrantIssuer.grant(self, process, now)
     charge = self.charges.get(process)
-    if grant is None or not self.settled(LEASE_MS, now):
+    if grant is None or not self.is_settled(LEASE_MS, now):
         return grant
     amount = max(grant.amount, min(charge.want, self.targets.get(process, 0)))
     charge.sent[charge.number] = Sent(amount, grant.floor, now)
@@ -95,7 +95,7 @@
 
 
 def grants_before_it_charges(self, process, now):
-    grant = Issuer.grant(self, process, now)
+    grant = GrantIssuer.grant(self, process, now)
     charge = self.charges.get(process)
     if grant is not None:
         charge.sent.pop(charge.number)
@@ -103,12 +103,12 @@
 
 
 def whole_to_each(self, process, now):
-    grant = Issuer.grant(self, process, now)
+    grant = GrantIssuer.grant(self, process, now)
     return grant and grant._replace(amount=min(self.charges[process].want, grant.whole))
 
 
 def floor_lent_twice(self, process, now):
-    grant = Issuer.grant(self, process, now)
+    grant = GrantIssuer.grant(self, process, now)
     return grant and grant._replace(floor=min(grant.amount, self.reserve()))
 
 
@@ -119,7 +119,7 @@
 def made_good_again(self, now, window_ms):
     """What has ended counts again once another is sent: found by the checker in the first version."""
     last = max((one.at_ms for one in self.sent.values()), default=self.before.at_ms)
-    return max(self.used, self.before.amount, *(one.amount for one in self.sent.values()), 0) if now < last + issuing.lasts(LEASE_MS, window_ms) else self.floor(now, window_ms)
+    return max(self.used, self.before.amount, *(one.amount for one in self.sent.values()), 0) if now < last + grant_issuer.charge_duration_ms(LEASE_MS, window_ms) else self.floor(now, window_ms)
 
 
 BROKEN = {
@@ -127,12 +127,12 @@
     "a grant never ends": holding(right=lambda held, now: held.amount), "a floor never ends": holding(right=lambda held, now: held.amount if now < held.until else held.floor),
     "older grants are obeyed, too": holding(older_too), "a smaller grant is not obeyed": holding(keeps_the_larger), "a grant makes its past forgotten": holding(forgets_its_past),
     "it tells that it spent nothing": tells(used=lambda held, now: 0), "it tells what has ended as if it held": tells(amount=lambda held, now: held.amount),
-    "it tells a grant as obeyed that is not": tells(number=lambda held, now: held.rank[1] + 2), "it spends one more": holding(may=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
-    "no waiting after a takeover": issuer(settled=lambda self, lease, now: True),
-    "waiting out leases without windows": issuer(settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
-    "only the latest grant is charged": issuer(told=only_the_latest), "a share moves and its past is forgotten": issuer(told=past_forgotten),
+    "it tells a grant as obeyed that is not": tells(number=lambda held, now: held.rank[1] + 2), "it spends one more": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
+    "no waiting after a takeover": issuer(is_settled=lambda self, lease, now: True),
+    "waiting out leases without windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
+    "only the latest grant is charged": issuer(handle_request=only_the_latest), "a share moves and its past is forgotten": issuer(handle_request=past_forgotten),
     "more than is left": issuer(grant=grants_over),
     "granted, and not charged": issuer(grant=grants_before_it_charges), "the whole to each": issuer(grant=whole_to_each), "the floor lent twice": issuer(grant=floor_lent_twice),
-    "unknown floors are not counted": issuer(unknown=lambda self, now: 0), "a charge ends with the lease": charging(amount=until_the_lease), "an ended charge counts again": charging(amount=made_good_again),
+    "unknown floors are not counted": issuer(unknown_floors=lambda self, now: 0), "a charge ends with the lease": charging(amount=until_the_lease), "an ended charge counts again": charging(amount=made_good_again),
     "floors are charged no longer than leases": charging(floor=lambda self, now, window: 0),
 }
--- a/tests/fleet_town.py
+++ b/tests/fleet_cluster.py
@@ -9,7 +9,7 @@
 from laddergw.planner import wire
 from laddergw.planner.edge_side import EdgeSide
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from tests.town import Town
 
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,9 +1,9 @@
 """Fleet budgets: what directors and planners decide, drawn schedules of all that goes wrong, and mistakes that the checker of spends must see."""
 import unittest
 
-from laddergw.fleet.dividing import Need, max_min, targets
-from laddergw.fleet.grants import FLOOR_LEASE_MS, Grant, Holding, Row
-from laddergw.fleet.issuing import Budget, Issuer, lasts
+from laddergw.fleet.fair_share import Need, max_min_shares, target_shares
+from laddergw.fleet.grants import FLOOR_LEASE_MS, Grant, GrantHolder, Row
+from laddergw.fleet.grant_issuer import Budget, GrantIssuer, charge_duration_ms
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.lab.budget_days import long_cut, split, stand_stills
 from laddergw.lab.budget_parts import STORE, Kind, most_within
@@ -27,42 +27,42 @@
 class Divided(unittest.TestCase):
     def test_max_min(self):
         wants = [("a", 2, 1.0), ("b", 50, 1.0), ("c", 50, 1.0), ("d", 0, 1.0)]
-        self.assertEqual(max_min(30, wants, 1), {"a": 2, "b": 14, "c": 14, "d": 0})
-        self.assertEqual(max_min(200, wants, 1), {"a": 2, "b": 50, "c": 50, "d": 0})
-        self.assertEqual(max_min(32, [("a", 90, 3.0), ("b", 90, 1.0)], 1), {"a": 24, "b": 8})
-        self.assertEqual(sum(max_min(31, wants, 1).values()), 31)
+        self.assertEqual(max_min_shares(30, wants, 1), {"a": 2, "b": 14, "c": 14, "d": 0})
+        self.assertEqual(max_min_shares(200, wants, 1), {"a": 2, "b": 50, "c": 50, "d": 0})
+        self.assertEqual(max_min_shares(32, [("a", 90, 3.0), ("b", 90, 1.0)], 1), {"a": 24, "b": 8})
+        self.assertEqual(sum(max_min_shares(31, wants, 1).values()), 31)
 
     def test_too_little_goes_round(self):
-        had = [name for turn in range(2_000) for name, share in max_min(3, [(f"d{n}", 1, 1.0) for n in range(230)], turn).items() if share]
+        had = [name for turn in range(2_000) for name, share in max_min_shares(3, [(f"d{n}", 1, 1.0) for n in range(230)], turn).items() if share]
         self.assertEqual((len(had), len(set(had))), (6_000, 230))
 
     def test_need_before_what_is_kept_in_hand_and_shares_do_not_dance(self):
-        self.assertEqual(targets(10, [Need("a", 8, 0, 8), Need("b", 8, 0, 0)], 1), {"a": 8, "b": 2})
-        self.assertEqual(targets(10, [Need("a", 6, 6, 6), Need("b", 6, 4, 6)], 1), {"a": 6, "b": 5})      # a little over what is fair
-        self.assertEqual(targets(10, [Need("a", 9, 10, 9), Need("b", 9, 0, 9)], 1), {"a": 5, "b": 5})
+        self.assertEqual(target_shares(10, [Need("a", 8, 0, 8), Need("b", 8, 0, 0)], 1), {"a": 8, "b": 2})
+        self.assertEqual(target_shares(10, [Need("a", 6, 6, 6), Need("b", 6, 4, 6)], 1), {"a": 6, "b": 5})      # a little over what is fair
+        self.assertEqual(target_shares(10, [Need("a", 9, 10, 9), Need("b", 9, 0, 9)], 1), {"a": 5, "b": 5})
 
 
 class Decided(unittest.TestCase):
     def test_a_grant_lasts_from_the_asking_and_its_floor_longer(self):
-        holding = Holding(STORE)
-        holding.set({"b": 1_000.0})
-        holding.asks(4, 1_000.0)
-        holding.granted(4, 2, "another store", [Grant("b", 10, 5, 1, 1_000.0)], 1_000.0)
+        holding = GrantHolder(STORE)
+        holding.configure({"b": 1_000.0})
+        holding.build_rows(4, 1_000.0)
+        holding.apply_grants(4, 2, "another store", [Grant("b", 10, 5, 1, 1_000.0)], 1_000.0)
         self.assertFalse(holding.spend("b", 1_000.0))
-        holding.granted(4, 2, STORE, [Grant("b", 10, 5, 1, 1_000.0)], 1_000.0)
+        holding.apply_grants(4, 2, STORE, [Grant("b", 10, 5, 1, 1_000.0)], 1_000.0)
         self.assertEqual([holding.held["b"].right(at) for at in (1_000.0, 1_000.0 + LEASE_MS, 1_000.0 + FLOOR_LEASE_MS)], [5, 1, 0])
         for number, epoch, grant in ((4, 2, Grant("b", 10, 9, 1, 1_000.0)), (4, 1, Grant("b", 10, 9, 1, 1_000.0)), (9, 2, Grant("b", 10, 9, 1, 1_000.0)), (5, 2, Grant("b", 10, 11, 1, 1_000.0)), (5, 2, Grant("b", 10, 1, 2, 1_000.0))):
             holding.asked[5] = 1_000.0
-            holding.granted(number, epoch, STORE, [grant], 1_000.0)
+            holding.apply_grants(number, epoch, STORE, [grant], 1_000.0)
             self.assertEqual(holding.held["b"].amount, 5, grant)
         self.assertEqual(sum(holding.spend("b", 1_200.0 + n) for n in range(20)), 5)
         self.assertTrue(holding.spend("b", 2_400.0))
 
     def test_a_share_moves_once_its_past_is_out_of_the_window(self):
-        issuer, now = Issuer(Budget("b", 10, 1_000.0), 1, -1e9), 0.0
+        issuer, now = GrantIssuer(Budget("b", 10, 1_000.0), 1, -1e9), 0.0
 
         def ask(name, number, amount, granted, used, want):
-            issuer.told(name, number, Row("b", 1_000.0, 1, granted, amount, 0, used, want, want), now)
+            issuer.handle_request(name, number, Row("b", 1_000.0, 1, granted, amount, 0, used, want, want), now)
             return issuer.grant(name, now).amount
         ask("a", 1, 0, 0, 0, 10)
         now = 300.0
@@ -81,12 +81,12 @@
         self.assertEqual(ask("b", 3, 1, 2, 0, 10), 10)
 
     def test_a_planner_that_takes_over_grants_nobody_more_until_all_before_is_over(self):
-        issuer, now, amounts = Issuer(Budget("b", 10, 1_000.0), 7, 0.0), 0.0, []
+        issuer, now, amounts = GrantIssuer(Budget("b", 10, 1_000.0), 7, 0.0), 0.0, []
         for number in range(1, 40):
             now = 250.0 * number
-            issuer.told("a", number, Row("b", 1_000.0, 6 if number < 3 else 7, number - 1, 4 if number < 20 else amounts[-1][1], 0, 0, 9, 10), now)
+            issuer.handle_request("a", number, Row("b", 1_000.0, 6 if number < 3 else 7, number - 1, 4 if number < 20 else amounts[-1][1], 0, 0, 9, 10), now)
             amounts.append((now, issuer.grant("a", now).amount))
-        self.assertEqual({amount for at, amount in amounts if at < lasts(LEASE_MS, 1_000.0)}, {4})
+        self.assertEqual({amount for at, amount in amounts if at < charge_duration_ms(LEASE_MS, 1_000.0)}, {4})
         self.assertEqual(amounts[-1][1], 5)                              # what may be out as floors is not to be had yet
 
 
--- a/tests/test_budgets_town.py
+++ b/tests/test_budgets_cluster.py
@@ -3,17 +3,17 @@
 import unittest
 
 from laddergw.fleet.grants import FLOOR_LEASE_MS
-from laddergw.fleet.issuing import Budget, lasts
+from laddergw.fleet.grant_issuer import Budget, charge_duration_ms
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.lab.budget_parts import most_within
 from laddergw.planner import wire
 from laddergw.planner.budgeting import identity
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from laddergw.terms.loading import load
 from laddergw.terms.sexpr import Refused
 from laddergw.terms import limits as files
 from laddergw.terms.loading import usual
-from tests.fleet_town import FleetTown
+from tests.fleet_cluster import FleetTown
 
 NAME, WINDOW_MS, WHOLE = "tenant basin", 2_000.0, 12
 TEXT = b'(limits (defaults (attempts 3)) (tenant "basin" (budget (free 5) (window-ms %d) (scope fleet))) (route "/" (tenant "basin")))'
@@ -30,7 +30,7 @@
         for number in self.town.directors:
             self.begin(number)
         self.planner.auditing.budgeting.set((Budget(NAME, WHOLE, WINDOW_MS),))
-        self.town.run(lasts(LEASE_MS, WINDOW_MS) + 1_000)
+        self.town.run(charge_duration_ms(LEASE_MS, WINDOW_MS) + 1_000)
 
     def join(self, number):
         director = self.town.directors[number]
--- a/tests/test_fleet_ledger.py
+++ b/tests/test_fleet_ledger.py
@@ -6,7 +6,7 @@
 import apsw
 
 from laddergw.store import ledger as ledgers
-from laddergw.store.keeper import Fenced, Store
+from laddergw.store.planner_store import FencedError, Store
 from laddergw.store.ledger import Ledger
 
 
@@ -28,7 +28,7 @@
         self.assertEqual((first.append([b"a", b"b"]), first.append([]), first.append([b"c"])), (2, 2, 3))
         second = self.open()
         self.assertEqual((list(second.records()), second.number, second.verify()), ([b"a", b"b", b"c"], 3, ledgers.Verdict(3, 3, ())))
-        self.assertRaises(Fenced, first.append, [b"late"])              # its planner was fenced out: nothing of it is written
+        self.assertRaises(FencedError, first.append, [b"late"])              # its planner was fenced out: nothing of it is written
         second.append([b"d"])
         self.assertEqual(second.verify(), ledgers.Verdict(4, 4, ()))
 
@@ -48,13 +48,13 @@
                 self.assertIn(told, "; ".join(journal.verify().faults))
 
     def test_compaction_says_the_same_under_a_bound(self):
-        journal = self.open(records_most=10)
+        journal = self.open(max_records=10)
 
         def fold(records):
             return b"%d" % sum(int(record) for record in records)
         for n in range(200):
             journal.append([b"%d" % n])
-            if journal.crowded():
+            if journal.needs_compaction():
                 journal.compact(fold)
         self.assertLessEqual(journal.count, 11)
         self.assertEqual((sum(int(record) for record in journal.records()), journal.verify().faults, journal.number), (sum(range(200)), (), 200))
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -9,10 +9,10 @@
 from unittest import mock
 
 from laddergw.fleet import answers, versions
-from laddergw.fleet.book import Book
+from laddergw.fleet.fleet_log import FleetLog
 from laddergw.fleet.rights import Right
-from laddergw.fleet.stamps import LET_IN, Key, Stamps
-from laddergw.fleet.telling import Part, Told
+from laddergw.fleet.action_counts import ADMITTED, Key, ActionCounts
+from laddergw.fleet.state_reports import Part, ReportedState
 from laddergw.fleet.wanted import Rollout
 from laddergw.edge.front import Front
 from laddergw.lab import fleet_stage
@@ -26,7 +26,7 @@
 from laddergw.planner.server import Planner
 from laddergw.programme import rules as programmes
 from laddergw.programme.rules import Programme
-from laddergw.store.keeper import Store, StoreError
+from laddergw.store.planner_store import Store, StoreError
 from laddergw.terms.loading import load
 from tests.test_fleet import STANDS
 from tests.test_programme import GOOD
@@ -36,24 +36,24 @@
 class AtThePlanner(unittest.TestCase):
     def test_a_part_on_a_digest_without_its_base(self):
         """Rehearsed: an older connection's end took the base away under the next one; the digest was asked for again, its part of the audit was lost."""
-        world, back, stamps = MemoryNetwork(3), [], Stamps()
+        world, back, stamps = MemoryNetwork(3), [], ActionCounts()
         planner = Planner(world.host("p0"), "p0.1", ("p0", 8300), None, (("lab", b"key of the planners"),), clock=lambda: world.now)
-        stamps.on(STANDS[0], world.now)
-        stamps.did("v", "safe", "", LET_IN, world.now)
+        stamps.set_in_force(STANDS[0], world.now)
+        stamps.record("v", "safe", "", ADMITTED, world.now)
         peer = Peer(world.host("d0"), wire.Hello(wire.VERSION, "d0-1", wire.EDGE, 0), lambda peer, frame: back.append(frame), lambda peer: None, lambda peer, why: None)
         world.hosts["d0"].dial(("p0", 8300), peer, 500.0)
         world.run(world.now + 50)
-        peer.send(wire.as_frame(Digest("d0-1", 9, world.now, {}, {}, (), {}, ()), wire.Base(8, {}), audit=Told().part(stamps)))
+        peer.send(wire.as_frame(Digest("d0-1", 9, world.now, {}, {}, (), {}, ()), wire.Base(8, {}), audit=ReportedState().next_part(stamps)))
         world.run(world.now + 50)
         self.assertIn(wire.Again(9), back)
-        self.assertEqual(answers.counted(planner.auditing.book), {("d0-1", STANDS[0].id, "safe", LET_IN): 1})
+        self.assertEqual(answers.total_counts(planner.auditing.book), {("d0-1", STANDS[0].id, "safe", ADMITTED): 1})
 
     def test_one_planner_at_a_time_keeps_the_journal(self):
         """Rehearsed: one that was fenced out was asked, and did not know what its successor had been told; and one that takes the store back must read it first."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = os.path.join(folder.name, "store")
-        keepers, stamps = [], Stamps()
+        keepers, stamps = [], ActionCounts()
 
         def keeper():
             made = auditing.Auditing(MemoryNetwork(1).host("p"), self.guarded)
@@ -62,20 +62,20 @@
             keepers.append(made)
             return made
         first = keeper()
-        stamps.on(STANDS[0], 1.0)
-        stamps.did("v", "safe", "", LET_IN, 2.0)
-        first.book.merge("d0-1", Told().part(stamps), 2.0, 2.0)
+        stamps.set_in_force(STANDS[0], 1.0)
+        stamps.record("v", "safe", "", ADMITTED, 2.0)
+        first.book.merge("d0-1", ReportedState().next_part(stamps), 2.0, 2.0)
         list(first.keep(()))
         second = keeper()
         self.assertEqual([one.keeps() for one in keepers], [False, True])
-        stamps.kept_by_planner(2)
-        stamps.did("w", "safe", "", LET_IN, 3.0)
-        stamps.on(STANDS[1], 4.0)
-        second.book.merge("d0-1", Told().part(stamps), 4.0, 4.0)
+        stamps.acknowledge(2)
+        stamps.record("w", "safe", "", ADMITTED, 3.0)
+        stamps.set_in_force(STANDS[1], 4.0)
+        second.book.merge("d0-1", ReportedState().next_part(stamps), 4.0, 4.0)
         list(second.keep(()))
-        stamps.kept_by_planner(second.book.acknowledged("d0-1"))
+        stamps.acknowledge(second.book.acknowledged("d0-1"))
         self.assertEqual(len(stamps.turns), 1)                           # what only the second was told, nobody tells again
-        first.book.merge("d0-1", Told().part(stamps), 5.0, 5.0)
+        first.book.merge("d0-1", ReportedState().next_part(stamps), 5.0, 5.0)
         self.assertFalse(json.loads(first.ask(wire.Ask("verify")))["kept"])
         self.assertTrue(json.loads(first.ask(wire.Ask("versions")))["not_known"])
         list(first.keep(()))                                             # fenced: nothing is written, nothing acknowledged
@@ -83,7 +83,7 @@
         first.opened(first.ledger.store)
         list(first.keep(()))
         self.assertEqual([one.keeps() for one in keepers], [True, False])
-        self.assertEqual(sum(answers.counted(first.book).values()), 2)
+        self.assertEqual(sum(answers.total_counts(first.book).values()), 2)
         self.assertEqual(first.ledger.verify().faults, ())
 
     def test_each_change_is_another_stand_and_the_way_back_the_same(self):
@@ -91,7 +91,7 @@
         town = Town(director_class=Front)
         edge = town.directors[0]
         audit = EdgeSide(edge, ()).audit
-        stands, rules = [audit.stamps.now_in_force], programmes.read(GOOD)
+        stands, rules = [audit.stamps.current_id], programmes.read(GOOD)
         limits, house = load(b"(limits (defaults (attempts 2)))", "own", edge.house).limits, edge.house
         usual = edge.limits
         for there, back in ((lambda: edge.change_programme(rules), lambda: edge.change_programme(Programme({}, ()))),
@@ -101,7 +101,7 @@
             for act in there, back:
                 act()
                 town.run(100)
-                stands.append(audit.stamps.now_in_force)
+                stands.append(audit.stamps.current_id)
         self.assertEqual(len(set(stands)), 5)
         self.assertEqual(set(stands[::2]), {stands[0]})
 
@@ -115,39 +115,39 @@
         """A restored backup: directors have dropped what the planner of before acknowledged."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        path, stamps = os.path.join(folder.name, "store"), Stamps()
-        keeper, told = self.keeper(path), Told()
+        path, stamps = os.path.join(folder.name, "store"), ActionCounts()
+        keeper, told = self.keeper(path), ReportedState()
         for n in range(6):
-            stamps.on(STANDS[n], float(n))
-            stamps.did("v", "safe", "", LET_IN, float(n))
-            keeper.book.merge("d0-1", told.part(stamps), float(n), float(n))
+            stamps.set_in_force(STANDS[n], float(n))
+            stamps.record("v", "safe", "", ADMITTED, float(n))
+            keeper.book.merge("d0-1", told.next_part(stamps), float(n), float(n))
             list(keeper.keep(()))
-            stamps.kept_by_planner(keeper.book.acknowledged("d0-1"))
+            stamps.acknowledge(keeper.book.acknowledged("d0-1"))
             if n == 2:
                 shutil.copy(path, path + ".backup")
-        self.assertEqual(answers.unknown(keeper.book, 6.0), [])
+        self.assertEqual(answers.list_unknown(keeper.book, 6.0), [])
         back = self.keeper(path + ".backup")
-        back.book.merge("d0-1", Told().part(stamps), 7.0, 7.0)
-        self.assertIn("its turns 4 to 5 are missing here", answers.unknown(back.book, 7.0)[0])
-        self.assertEqual(answers.counted(back.book)["d0-1", STANDS[5].id, "safe", LET_IN], 1)
+        back.book.merge("d0-1", ReportedState().next_part(stamps), 7.0, 7.0)
+        self.assertIn("its turns 4 to 5 are missing here", answers.list_unknown(back.book, 7.0)[0])
+        self.assertEqual(answers.total_counts(back.book)["d0-1", STANDS[5].id, "safe", ADMITTED], 1)
 
     def test_a_full_disk_acknowledges_nothing_and_loses_nothing(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        stamps, told = Stamps(), Told()
-        keeper = self.keeper(os.path.join(folder.name, "store"), most_bytes=65_536)
+        stamps, told = ActionCounts(), ReportedState()
+        keeper = self.keeper(os.path.join(folder.name, "store"), max_bytes=65_536)
         said, full = [], 0
         for n in range(120):
-            stamps.on(versions.stand([versions.version(versions.LIMITS, [f"limits {n}"] * 50, "an issuer with a long name " * 20)]), float(n))
-            stamps.did("v", "safe", "", LET_IN, float(n))
-            keeper.book.merge("d0-1", told.part(stamps), float(n), float(n))
+            stamps.set_in_force(versions.version_set([versions.version(versions.LIMITS, [f"limits {n}"] * 50, "an issuer with a long name " * 20)]), float(n))
+            stamps.record("v", "safe", "", ADMITTED, float(n))
+            keeper.book.merge("d0-1", told.next_part(stamps), float(n), float(n))
             list(keeper.keep([self.edge("d0-1", said)]))
             full += bool(keeper.book.changed)
             if said:
-                stamps.kept_by_planner(said[-1])
+                stamps.acknowledge(said[-1])
         self.assertGreater(full, 10)
         self.assertEqual(said, sorted(said))
-        on_disk = Book()
+        on_disk = FleetLog()
         for record in keeper.ledger.records():
             for one in auditing.read(record):
                 on_disk.restore(one)
@@ -156,7 +156,7 @@
         keeper.ledger.store.db.execute("PRAGMA max_page_count = 100000").fetchall()
         list(keeper.keep([self.edge("d0-1", said)]))
         self.assertEqual((said[-1], keeper.book.changed), (120, {}))
-        self.assertEqual(sum(answers.counted(keeper.book).values()), 120)
+        self.assertEqual(sum(answers.total_counts(keeper.book).values()), 120)
 
     def edge(self, name, said):
         return SimpleNamespace(other=wire.Hello(wire.VERSION, name, wire.EDGE, 0), send=lambda frame: said.append(frame.turn))
@@ -201,7 +201,7 @@
         self.assertLessEqual(stage.facts["turns kept"], 8)               # what planners keep, directors drop
 
     def test_mistakes_are_seen(self):
-        merge, part, keep = Book.merge, Told.part, auditing.Auditing.keep
+        merge, part, keep = FleetLog.merge, ReportedState.next_part, auditing.Auditing.keep
 
         def doubled(book, name, told, at, now):
             had = dict(book.processes[name].counts) if name in book.processes else {}
@@ -228,10 +228,10 @@
             if self.ledger is not None and self.ledger.number % 3 == 1:
                 self.ledger.store.db.execute("DELETE FROM ledger WHERE number = (SELECT max(number) FROM ledger)")
             yield from keep(self, peers)
-        for seed, target, name, mistake in ((3, Right, "why_shut", lambda right, stand, now: None), (2, Rollout, "why_halt", lambda *given: None)):
+        for seed, target, name, mistake in ((3, Right, "refusal_reason", lambda right, stand, now: None), (2, Rollout, "halt_reason", lambda *given: None)):
             with self.subTest(name), mock.patch.object(target, name, mistake):
                 self.assertNotEqual(self.play(seed, 36, 3).verdict, [])
-        for target, name, mistake in ((Book, "merge", doubled), (Told, "part", unheard), (auditing.Auditing, "keep", hasty), (auditing.Auditing, "keep", forgetful)):
+        for target, name, mistake in ((FleetLog, "merge", doubled), (ReportedState, "next_part", unheard), (auditing.Auditing, "keep", hasty), (auditing.Auditing, "keep", forgetful)):
             with self.subTest(mistake.__name__), mock.patch.object(target, name, mistake):
                 self.assertNotEqual(self.play().verdict, [])
 
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -2,10 +2,10 @@
 import unittest
 
 from laddergw.fleet import rights_check, versions
-from laddergw.fleet.rights import ASKED_KEPT, CLOSED, LEASE_MS, MARGIN_MS, OPEN, Floors, Right, Seen
+from laddergw.fleet.rights import MAX_PENDING_REQUESTS, CLOSED, LEASE_MS, MARGIN_MS, OPEN, Floors, Right, Seen
 from laddergw.fleet.rights_check import TICK_MS, Rules, check
 from laddergw.terms.loading import load
-from tests.fleet_town import FleetTown
+from tests.fleet_cluster import FleetTown
 
 V, W = ("limits", "v" * 16), ("limits", "w" * 16)
 
@@ -13,27 +13,27 @@
 class Rights(unittest.TestCase):
     def test_a_right_counts_from_when_it_was_asked_for(self):
         right = Right(CLOSED)
-        self.assertIn("no planner", right.why_shut(frozenset(), 0.0))
-        right.asks(1, 1_000.0)
-        self.assertTrue(right.granted(1, 1, LEASE_MS, []))               # whenever that comes
-        self.assertIsNone(right.why_shut(frozenset(), 1_000.0 + LEASE_MS - 1))
-        self.assertIsNotNone(right.why_shut(frozenset(), 1_000.0 + LEASE_MS))
-        right.asks(2, 7_000.0)
-        right.granted(2, 1, 100 * LEASE_MS, [])                          # no longer than the lease that the planner's sentence counts on
-        self.assertIsNotNone(right.why_shut(frozenset(), 7_000.0 + LEASE_MS))
+        self.assertIn("no planner", right.refusal_reason(frozenset(), 0.0))
+        right.record_request(1, 1_000.0)
+        self.assertTrue(right.apply_grant(1, 1, LEASE_MS, []))               # whenever that comes
+        self.assertIsNone(right.refusal_reason(frozenset(), 1_000.0 + LEASE_MS - 1))
+        self.assertIsNotNone(right.refusal_reason(frozenset(), 1_000.0 + LEASE_MS))
+        right.record_request(2, 7_000.0)
+        right.apply_grant(2, 1, 100 * LEASE_MS, [])                          # no longer than the lease that the planner's sentence counts on
+        self.assertIsNotNone(right.refusal_reason(frozenset(), 7_000.0 + LEASE_MS))
 
     def test_older_words_change_nothing(self):
         right = Right(OPEN)
         for number in range(1, 6):
-            right.asks(number, 100.0 * number)
-        self.assertEqual([right.granted(*given) for given in ((3, 2, LEASE_MS, [V]), (2, 2, LEASE_MS, []), (3, 2, LEASE_MS, []), (5, 1, LEASE_MS, []), (99, 2, LEASE_MS, []))],
+            right.record_request(number, 100.0 * number)
+        self.assertEqual([right.apply_grant(*given) for given in ((3, 2, LEASE_MS, [V]), (2, 2, LEASE_MS, []), (3, 2, LEASE_MS, []), (5, 1, LEASE_MS, []), (99, 2, LEASE_MS, []))],
                          [True, False, False, False, False])
-        self.assertIn("limits vvvvvvvv", right.why_shut(frozenset([V, W]), 0.0))
-        self.assertIsNone(right.why_shut(frozenset([W]), 1e9))           # open: it never shuts for the lack of a planner
-        self.assertTrue(right.granted(4, 3, LEASE_MS, []))
+        self.assertIn("limits vvvvvvvv", right.refusal_reason(frozenset([V, W]), 0.0))
+        self.assertIsNone(right.refusal_reason(frozenset([W]), 1e9))           # open: it never shuts for the lack of a planner
+        self.assertTrue(right.apply_grant(4, 3, LEASE_MS, []))
         for number in range(6, 500):
-            right.asks(number, 0.0)
-        self.assertEqual(len(right.asked), ASKED_KEPT)
+            right.record_request(number, 0.0)
+        self.assertEqual(len(right.asked), MAX_PENDING_REQUESTS)
 
     def test_guards(self):
         floors = Floors()
@@ -42,13 +42,13 @@
         self.assertIn("1 of 1", floors.forbid(V, seen(1, 0), 0.0, 5_000.0))
         self.assertIn("no director is heard", floors.forbid(V, seen(1, 3), 9_000.0, 5_000.0))
         self.assertIsNone(floors.forbid(V, seen(1, 3), 0.0, 5_000.0))
-        self.assertEqual([floors.nobody(V, seen(1, 3), at)[0] for at in (LEASE_MS, LEASE_MS + MARGIN_MS)], [False, True])
+        self.assertEqual([floors.check_unused(V, seen(1, 3), at)[0] for at in (LEASE_MS, LEASE_MS + MARGIN_MS)], [False, True])
         heard = [one._replace(heard_ms=20_000.0) for one in seen(1, 2, OPEN)]
-        self.assertEqual(floors.nobody(V, heard, 20_100.0), (False, ["d0"]))     # heard, but perhaps not hearing
-        self.assertEqual(floors.nobody(V, heard[1:], 20_100.0), (True, []))
-        self.assertEqual(floors.nobody(V, heard[1:], 20_000.0 + LEASE_MS), (False, ["d1", "d2"]))   # who is silent may go over to it
-        floors.taken_over([V], 50_000.0)
-        self.assertFalse(floors.nobody(V, [], 50_000.0 + LEASE_MS)[0])
+        self.assertEqual(floors.check_unused(V, heard, 20_100.0), (False, ["d0"]))     # heard, but perhaps not hearing
+        self.assertEqual(floors.check_unused(V, heard[1:], 20_100.0), (True, []))
+        self.assertEqual(floors.check_unused(V, heard[1:], 20_000.0 + LEASE_MS), (False, ["d1", "d2"]))   # who is silent may go over to it
+        floors.restore([V], 50_000.0)
+        self.assertFalse(floors.check_unused(V, [], 50_000.0 + LEASE_MS)[0])
         self.assertEqual((floors.allow(V), floors.allow(V)), (True, False))
 
     def test_no_break_in_the_states_looked_at(self):
@@ -56,12 +56,12 @@
 
     def test_mistakes_are_found(self):
         def from_the_answer(right, *given):
-            if found := Right.granted(right, *given):
+            if found := Right.apply_grant(right, *given):
                 right.until += 2 * TICK_MS
             return found
-        for name, rules in (("counted from the answer", Rules(granted=from_the_answer)), ("the door left open", Rules(why_shut=lambda right, stand, now: None if now < right.until else "")),
-                            ("a right that never ends", Rules(why_shut=lambda right, stand, now: "" if right.forbidden & stand else None)), ("a fenced planner grants", Rules(fenced=False)),
-                            ("said too early", Rules(nobody=lambda floors, version, seen, now: (now >= floors.since[version] + TICK_MS, [])))):
+        for name, rules in (("counted from the answer", Rules(apply_grant=from_the_answer)), ("the door left open", Rules(refusal_reason=lambda right, stand, now: None if now < right.until else "")),
+                            ("a right that never ends", Rules(refusal_reason=lambda right, stand, now: "" if right.forbidden & stand else None)), ("a fenced planner grants", Rules(fenced=False)),
+                            ("said too early", Rules(check_unused=lambda floors, version, seen, now: (now >= floors.since[version] + TICK_MS, [])))):
             with self.subTest(name):
                 self.assertIn("lets plays in under V", check(rules).broken)
 
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -6,13 +6,13 @@
 
 from laddergw.director.limits_file import replaced
 from laddergw.fleet import versions, wanted
-from laddergw.fleet.bringing import PIECE_BYTES
+from laddergw.fleet.file_transfer import PIECE_BYTES
 from laddergw.fleet.rights import LEASE_MS, MARGIN_MS
 from laddergw.fleet.wanted import Want
 from laddergw.planner import rollouts, wire
 from laddergw.planner.audit_side import limits_text
 from laddergw.terms.loading import load
-from tests.fleet_town import FleetTown
+from tests.fleet_cluster import FleetTown
 
 GOOD, OTHER, BAD = b"(limits (defaults (attempts 2)))", b"(limits (defaults (attempts 1)))", b"(limits (defaults (attempts 0)))"
 
@@ -155,7 +155,7 @@
                 self.town.loop_at = self.town.world.schedule(self.town.world.now + 1, lambda: (self.restart(number), fragile(number)))
             self.sides[number].audit.bring = bring
         first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.town.directors[0].house).limits)).hash, "", 1),
-                                   self.planner.auditing.book.seats("limits", 1, self.town.world.now))[0].director[1:])
+                                   self.planner.auditing.book.progress("limits", 1, self.town.world.now))[0].director[1:])
         fragile(first)
         self.want(GOOD)
         self.town.run(40_000)
--- a/tests/test_planner_hard.py
+++ b/tests/test_planner_hard.py
@@ -11,7 +11,7 @@
 from laddergw.planner.peer import Peer
 from laddergw.planner.server import PLAN_MS, Planner
 from laddergw.planner.standby import LEADS, STANDS_BY
-from laddergw.store.keeper import Full, Store
+from laddergw.store.planner_store import StoreFullError, Store
 
 KEYS = (("k", b"a key of planners and edges"),)
 
@@ -129,10 +129,10 @@
         self.assertEqual(planner.standing.state, LEADS)
 
     def test_a_store_without_room_stops_no_plan(self):
-        store = self.store(most_bytes=40_960)
+        store = self.store(max_bytes=40_960)
         planner = self.planner("p", store)
         for size in (3_000, 300, 30, 3):
-            with self.assertRaises(Full):
+            with self.assertRaises(StoreFullError):
                 for _ in range(1_000):
                     store.append([b"x" * size])
         edge = Edge(self.world, "e", (("p", 1),))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,7 +6,7 @@
 
 import apsw
 
-from laddergw.store.keeper import FORMAT, Fenced, Full, Store, StoreError
+from laddergw.store.planner_store import FORMAT, FencedError, StoreFullError, Store, StoreError
 
 
 class Power:
@@ -122,26 +122,26 @@
         first = Store(self.path)
         first.append([b"a"])
         second = Store(self.path)
-        with self.assertRaisesRegex(Fenced, "epoch 2 has been taken, ours is 1"):
+        with self.assertRaisesRegex(FencedError, "epoch 2 has been taken, ours is 1"):
             first.append([b"b"])
-        with self.assertRaises(Fenced):
+        with self.assertRaises(FencedError):
             first.snapshot(b"s")
         second.append([b"c"])
         self.assertEqual((second.take_epoch(9), first.take_epoch(1)), (9, 10))
-        with self.assertRaises(Fenced):
+        with self.assertRaises(FencedError):
             second.append([b"d"])
         first.append([b"e"])
         self.assertEqual((Store(self.path).epoch, first.recover().records), (11, [b"a", b"c", b"e"]))
 
     def test_no_room_keeps_what_was_and_goes_on_when_there_is(self):
-        store = Store(self.path, most_bytes=120_000)
+        store = Store(self.path, max_bytes=120_000)
         store.append([b"a" * 1_000])
-        with self.assertRaises(Full):
+        with self.assertRaises(StoreFullError):
             for _ in range(200):
                 store.append([b"b" * 4_000])
         kept = len(store.recover().records)
         self.assertGreater(kept, 5)
-        store.cut_after(1)
+        store.truncate_after(1)
         store.append([b"c"])
         self.assertEqual(store.recover().records, [b"a" * 1_000, b"c"])
 
