--- a/tests/fleet_town.py
+++ b/tests/fleet_cluster.py
@@ -9,7 +9,7 @@
 from laddergw.planner import wire
 from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from tests.in_memory_cluster import Cluster
 
 
