--- a/laddergw/planner/planner_client.py
+++ b/laddergw/planner/planner_client.py
@@ -21,7 +21,7 @@
 from laddergw.fleet.grants import GrantHolder
 from laddergw.fleet.state_reports import ReportedState
 from laddergw.planner.trust import Trust
-from laddergw.terms.generations import of_the_fleet
+from laddergw.terms.generations import fleet_budget_windows
 
 WHOLE_EACH = 40            # a whole one each ten seconds, whatever was sent before
 REDIAL_MS, DIAL_MS = 500.0, 1_000.0
@@ -43,7 +43,7 @@
         self.audit = AuditClient(self)
         self.grant_holder = GrantHolder(director.house.issuer) if director.house.issuer else None
         if self.grant_holder is not None:
-            self.grant_holder.configure(of_the_fleet(director.limits))
+            self.grant_holder.configure(fleet_budget_windows(director.limits))
             director.budgets.fleet_grants, self.watched, director.watch = self.grant_holder, director.watch, self.watch
             if director.tap is not None:
                 self.grant_holder.on_draw = lambda name, now: director.tap("budget drawn", now, {"budget": name})
@@ -73,7 +73,7 @@
 
     def watch(self, what: str, **facts) -> None:
         if what == "limits changed":
-            self.grant_holder.configure(of_the_fleet(self.director.limits))
+            self.grant_holder.configure(fleet_budget_windows(self.director.limits))
         self.watched(what, **facts)
 
     # Digests
