--- a/benchmarks/edge_cache.py
+++ b/benchmarks/edge_cache.py
@@ -6,7 +6,7 @@
 import time
 from collections import OrderedDict
 
-from laddergw.edge.cache import Bounds, Cache
+from laddergw.edge.cache import CacheLimits, Cache
 
 ASKS, TITLES, SIZE = 60_000, 5_000, 1_000
 
@@ -37,7 +37,7 @@
     for skew, once in ((0.8, 0.0), (0.8, 0.2), (1.0, 0.0), (1.0, 0.2)):
         asks = trace(skew, once)
         for room in (100, 500):
-            lru, ours = Lru(room), Cache(Bounds(bytes=room * SIZE, age_ms=1e12))
+            lru, ours = Lru(room), Cache(CacheLimits(max_bytes=room * SIZE, max_age_ms=1e12))
             began = time.perf_counter()
             for name in asks:
                 lru.ask(name)
--- a/benchmarks/playlists.py
+++ b/benchmarks/playlists.py
@@ -6,15 +6,15 @@
 
 import m3u8
 
-from laddergw.edge.composer import Composer, Era, Served, Title
+from laddergw.edge.composer import Composer, SegmentSource, AvailableItem, TitlePlaylists
 from laddergw.hls.reading import read
 from laddergw.hls.rendered import Rendered
 from laddergw.hls.stitching import Insertion, Item, stitch
 from laddergw.hls.values import Media, Segment
 from laddergw.hls.writing import write
 from laddergw.programme.rules import BEFORE, SKIP, Rule
-from laddergw.programme.schedule import Placed
-from laddergw.programme.sources import Chosen
+from laddergw.programme.schedule import PlacedItem
+from laddergw.programme.sources import ChosenSource
 
 SEGMENTS, ROUNDS = 1_000, 15
 RULE = Rule("r", ("notice",), BEFORE, (), None, frozenset(), (), 0, 1, 0, 0, 0.0, SKIP)
@@ -43,8 +43,8 @@
         plain = bytearray(text.encode())
         notices = [Insertion(0, item), Insertion(400, item)]
         assert rendered.stitched(notices) == write(stitch(whole, notices)).encode()
-        composer = Composer(Title((whole,)), [Placed(0, 0.0, "notice", RULE), Placed(400, 0.0, "notice", RULE)])
-        composer.extend(1e12, Era(1, 0, ""), lambda placed, lead: Chosen("notice", 1), lambda chosen: Served(item, ""))
+        composer = Composer(TitlePlaylists((whole,)), [PlacedItem(0, 0.0, "notice", RULE), PlacedItem(400, 0.0, "notice", RULE)])
+        composer.extend(1e12, SegmentSource(1, 0, ""), lambda placed, lead: ChosenSource("notice", 1), lambda chosen: AvailableItem(item, ""))
         assert [s.uri for s in read(composer.text()).segments] == [s.uri for s in read(rendered.stitched(notices)).segments]
         rows = {"a session's next reload, two items": composer.text, "copy of its bytes": lambda: bytes(plain), "pieces, nothing stitched": rendered.plain,
                 "pieces, two items": lambda: rendered.stitched(notices), "stitch and write": lambda: write(stitch(whole, notices)),
--- a/benchmarks/rule_index.py
+++ b/benchmarks/rule_index.py
@@ -5,7 +5,7 @@
 import random
 import time
 
-from laddergw.programme.index import RuleIndex, plain_find
+from laddergw.programme.index import RuleIndex, find_by_scan
 from laddergw.programme.rules import BEFORE, SKIP, Rule
 
 QUERIES, ROUNDS = 300, 5
@@ -26,11 +26,11 @@
         index = RuleIndex(rules)
         build = (time.perf_counter() - began) * 1000
         asks = [("/" + "/".join(str(draw.randrange(20)) for _ in range(4)), draw.choice("abcd"), draw.uniform(0, 1100)) for _ in range(QUERIES)]
-        assert all(index.find(*ask) == plain_find(rules, *ask) for ask in asks[:50])
+        assert all(index.find(*ask) == find_by_scan(rules, *ask) for ask in asks[:50])
         rows = []
         for _ in range(ROUNDS):
             row = []
-            for find in (lambda ask: plain_find(rules, *ask)), (lambda ask: index.find(*ask)):
+            for find in (lambda ask: find_by_scan(rules, *ask)), (lambda ask: index.find(*ask)):
                 began = time.perf_counter()
                 for ask in asks:
                     find(ask)
--- a/laddergw/cli/manifests.py
+++ b/laddergw/cli/manifests.py
@@ -95,8 +95,8 @@
         now = time_ms(at) if at else time.time() * 1000
         placed = schedule(source, RuleIndex(programme.rules).find(route, product, now), programme)
         items = {one.item: Item(one.item, load(rules.parent / programme.pieces[one.item].playlist)) for one in placed}
-        out = stitched(source, [Insertion(source.sequence + one.place, items[one.item], one.place < len(source.segments)
-                                          and source.segments[one.place].discontinuity) for one in placed])
+        out = stitched(source, [Insertion(source.sequence + one.before_segment, items[one.item], one.before_segment < len(source.segments)
+                                          and source.segments[one.before_segment].discontinuity) for one in placed])
     except (OSError, Refused, CannotStitch, ValueError) as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_BAD) from None
--- a/laddergw/edge/cache.py
+++ b/laddergw/edge/cache.py
@@ -12,11 +12,11 @@
 GHOSTS_FOR_EACH = 1        # remembered names for each entry in the main queue
 
 
-class Bounds(NamedTuple):
+class CacheLimits(NamedTuple):
     """Of one cache: bytes in all, bytes of one entry, age in ms."""
-    bytes: int = 67_108_864
-    entry: int = 16_777_216
-    age_ms: float = 60_000.0
+    max_bytes: int = 67_108_864
+    max_entry_bytes: int = 16_777_216
+    max_age_ms: float = 60_000.0
 
 
 class Entry:
@@ -30,8 +30,8 @@
 class Cache:
     """Entries by name. Times are ms, handed in."""
 
-    def __init__(self, bounds: Bounds = Bounds()):
-        self.bounds, self.entries = bounds, {}
+    def __init__(self, limits: CacheLimits = CacheLimits()):
+        self.limits, self.entries = limits, {}
         self.small, self.main = deque(), deque()
         self.ghosts: OrderedDict[str, None] = OrderedDict()
         self.bytes = self.small_bytes = self.found = self.missed = self.refused = 0
@@ -39,7 +39,7 @@
     def get(self, name: str, now: float) -> Any:
         """The value, or None where it is not held or too old."""
         entry = self.entries.get(name)
-        if entry is None or now - entry.since >= self.bounds.age_ms:
+        if entry is None or now - entry.since >= self.limits.max_age_ms:
             self.missed += 1
             return None
         entry.hits = min(HITS_MOST, entry.hits + 1)
@@ -49,11 +49,11 @@
     def old(self, name: str, now: float) -> bool:
         """Whether it is not held, or past half its age: time to fetch it anew."""
         entry = self.entries.get(name)
-        return entry is None or now - entry.since >= self.bounds.age_ms / 2
+        return entry is None or now - entry.since >= self.limits.max_age_ms / 2
 
     def put(self, name: str, value: Any, size: int, now: float) -> bool:
         """Keeps a value; False where it is over the bound for one entry."""
-        if size > self.bounds.entry or size > self.bounds.bytes:
+        if size > self.limits.max_entry_bytes or size > self.limits.max_bytes:
             self.refused += 1
             self.drop(name)
             return False
@@ -67,7 +67,7 @@
             entry = self.entries[name] = Entry(value, size, now, small)
             (self.small if small else self.main).append((name, entry))
             self.count(entry, size)
-        while self.bytes > self.bounds.bytes:
+        while self.bytes > self.limits.max_bytes:
             self.make_room()
         return True
 
@@ -76,7 +76,7 @@
         self.small_bytes += change if entry.small else 0
 
     def make_room(self) -> None:
-        if self.small and (self.small_bytes > SMALL_PART * self.bounds.bytes or not self.main):
+        if self.small and (self.small_bytes > SMALL_PART * self.limits.max_bytes or not self.main):
             name, entry = self.small.popleft()
             if self.entries.get(name) is not entry:
                 return
--- a/laddergw/edge/composer.py
+++ b/laddergw/edge/composer.py
@@ -13,17 +13,17 @@
 from laddergw.hls.stitching import MARK, NO_KEY, Item, Outline, Standing, enciphered, whole_ranges
 from laddergw.hls.values import Media, Segment, time_ms, time_text
 from laddergw.hls.writing import segment_text, write
-from laddergw.programme.schedule import Placed, starts
-from laddergw.programme.sources import SURE_MS, Chosen
+from laddergw.programme.schedule import PlacedItem, starts
+from laddergw.programme.sources import SURE_MS, ChosenSource
 
 AHEAD_MS = 12_000.0        # shown beyond what plays: two segments of six seconds, enough for a player to start and hold
 RESUME_MS = 1.0            # a viewer's sum of durations strays so far from ours
-PUT_OFF_MOST = 3           # an item is put off so often, then left out
+MAX_POSTPONEMENTS = 3           # an item is put off so often, then left out
 SEGMENT, BESIDE = "seg-", "by-"    # names of what a session shows: a segment's bytes; its section and keys
 ENDLIST = b"#EXT-X-ENDLIST\n"
 
 
-class Era(NamedTuple):
+class SegmentSource(NamedTuple):
     """Where segments come from for now. `base` goes before their addresses."""
     node: int
     rung: int
@@ -44,7 +44,7 @@
         return urljoin(base, self.uri if beside is None else self.beside[beside])
 
 
-class Served(NamedTuple):
+class AvailableItem(NamedTuple):
     """An item that can be had: the item, what goes before its addresses, and its node."""
     item: Item
     base: str
@@ -59,7 +59,7 @@
     why: str
 
 
-class Title:
+class TitlePlaylists:
     """A title's media playlists by rung, their segments alike in number and length; one for all its sessions."""
 
     def __init__(self, rungs: tuple[Media, ...]):
@@ -86,17 +86,17 @@
     """One session. `name`, where given, makes the address of what is shown, such as seg-4; else it is the node's own. `target_ms`
     must hold for every item that may come: a playlist's target duration never changes. `first`: programme segment to begin with."""
 
-    def __init__(self, title: Title, placed: list[Placed], name: Callable[[str], str] | None = None, target_ms: float = 0.0,
+    def __init__(self, title: TitlePlaylists, placed: list[PlacedItem], name: Callable[[str], str] | None = None, target_ms: float = 0.0,
                  first: int = 0):
         self.rungs, self.outlines, self.starts = title.rungs, title.outlines, title.starts
-        self.placed = sorted(placed, key=lambda one: one.place)
+        self.placed = sorted(placed, key=lambda one: one.before_segment)
         self.next = first                      # programme segment that comes next
         self.shown_ms = 0.0                    # of the session's own time, items included
         self.zero = self.outlines[0].clocks[first]
         self.name, self.origins = name, []
         self.body = bytearray()
         self.left = Standing()                 # what holds on behind the last segment shown
-        self.last: Era | None = None           # era of the last programme segment, None behind an item
+        self.last: SegmentSource | None = None           # era of the last programme segment, None behind an item
         self.target = max(title.target, target_ms)
         self.head = title.head(self.target)
         self.put_off: dict[str, int] = {}
@@ -105,12 +105,12 @@
 
     # Growing
 
-    def extend(self, played_ms: float, era: Era, choose: Callable[[Placed, float], Chosen], serve: Callable[[Chosen], Served | None]) -> int:
+    def extend(self, played_ms: float, era: SegmentSource, choose: Callable[[PlacedItem, float], ChosenSource], serve: Callable[[ChosenSource], AvailableItem | None]) -> int:
         """Shows what belongs within AHEAD_MS of what is played (session time, ms). `choose(placed, lead_ms)` decides an item whose
         splice comes in lead_ms; `serve` gives what was chosen. Returns how many segments came."""
         before = len(self.origins)
         while not self.ended and self.shown_ms < played_ms + AHEAD_MS:
-            if self.placed and self.placed[0].place <= self.next:
+            if self.placed and self.placed[0].before_segment <= self.next:
                 if not self.item(self.placed[0], max(SURE_MS, self.shown_ms - played_ms), choose, serve):
                     break
             elif self.next < len(self.rungs[0].segments):
@@ -119,7 +119,7 @@
                 self.ended = True
         return len(self.origins) - before
 
-    def item(self, placed: Placed, lead_ms: float, choose, serve) -> bool:
+    def item(self, placed: PlacedItem, lead_ms: float, choose, serve) -> bool:
         """Shows, puts off or leaves out the item that comes next; False: it must be waited for."""
         chosen = choose(placed, lead_ms)
         if chosen.wait:
@@ -128,7 +128,7 @@
         self.settle(placed, chosen, serve)
         return True
 
-    def settle(self, placed: Placed, chosen: Chosen, serve) -> None:
+    def settle(self, placed: PlacedItem, chosen: ChosenSource, serve) -> None:
         if chosen.later_ms is not None:
             return self.postpone(placed, chosen)
         served = serve(chosen) if chosen.item is not None else None
@@ -145,16 +145,16 @@
         self.last = None
         return self.decided(placed, served.item.name, "shown", chosen.why)
 
-    def postpone(self, placed: Placed, chosen: Chosen) -> None:
+    def postpone(self, placed: PlacedItem, chosen: ChosenSource) -> None:
         times = self.put_off[placed.rule.name] = self.put_off.get(placed.rule.name, 0) + 1
-        at = self.starts[min(placed.place, len(self.starts) - 1)] + chosen.later_ms
+        at = self.starts[min(placed.before_segment, len(self.starts) - 1)] + chosen.later_ms
         place = next((k for k, start in enumerate(self.starts) if start >= at), None)
-        if times > PUT_OFF_MOST or place is None or place >= len(self.starts) - 1:
+        if times > MAX_POSTPONEMENTS or place is None or place >= len(self.starts) - 1:
             return self.decided(placed, placed.item, "left out", chosen.why)
-        self.placed = sorted(self.placed + [placed._replace(place=place, at_ms=self.starts[place])], key=lambda one: one.place)
+        self.placed = sorted(self.placed + [placed._replace(before_segment=place, at_ms=self.starts[place])], key=lambda one: one.before_segment)
         return self.decided(placed, placed.item, "later", chosen.why)
 
-    def decided(self, placed: Placed, item: str, done: str, why: str) -> None:
+    def decided(self, placed: PlacedItem, item: str, done: str, why: str) -> None:
         self.decisions.append(Decision(placed.at_ms, item, done, why))
 
     def can_stand(self, item: Item) -> bool:
@@ -163,7 +163,7 @@
         own = item.media.segments[0].map if item.media.segments else None
         return bool(item.media.segments) and item.media.ended and (section is None) == (own is None) and longest(item.media) <= self.target
 
-    def programme(self, era: Era) -> None:
+    def programme(self, era: SegmentSource) -> None:
         segment, outline = self.rungs[era.rung].segments[self.next], self.outlines[era.rung]
         fresh = self.last is None or self.last.rung != era.rung
         shift = 0.0 if self.zero is None else self.now() - (outline.clocks[self.next] if outline.clocks[self.next] is not None else self.now())
--- a/laddergw/edge/fetching.py
+++ b/laddergw/edge/fetching.py
@@ -2,7 +2,7 @@
 from collections import deque
 from typing import Any, Callable, NamedTuple
 
-from laddergw.edge.cache import Bounds, Cache
+from laddergw.edge.cache import CacheLimits, Cache
 from laddergw.hls.reading import BadPlaylist, read
 from laddergw.hls.values import Media
 from laddergw.http.client import Call, Pool
@@ -74,8 +74,8 @@
 class Fetcher:
     """Playlists by path. `got(media)` or `got(None)` is called once for each ask, never within the ask."""
 
-    def __init__(self, loop, bounds: Bounds = Bounds()):
-        self.loop, self.cache = loop, Cache(bounds)
+    def __init__(self, loop, limits: CacheLimits = CacheLimits()):
+        self.loop, self.cache = loop, Cache(limits)
         self.pools: dict[tuple, Pool] = {}
         self.asking: dict[str, list[Callable[[Media | None], None]]] = {}
         self.fetches = self.failures = self.copies = 0
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -15,7 +15,7 @@
 from laddergw.director.link import Link
 from laddergw.director.tries import Try
 from laddergw.edge import addresses
-from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, Served, Title, longest
+from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, AvailableItem, TitlePlaylists, longest
 from laddergw.edge.fetching import Copies, Fetcher
 from laddergw.edge.sessions import OVER, PLAYS, SEEKS, Session, Stand
 from laddergw.edge.watching import ENDED, LEFT, Playing
@@ -25,8 +25,8 @@
 from laddergw.programme.index import RuleIndex
 from laddergw.programme.load import ItemLoad
 from laddergw.programme.rules import Piece, Programme
-from laddergw.programme.schedule import Placed, resumed, schedule
-from laddergw.programme.sources import Chosen, Holder, choose, fetch_from, is_cold, not_here, readers, share
+from laddergw.programme.schedule import PlacedItem, resumed, schedule
+from laddergw.programme.sources import ChosenSource, SourceNode, choose, fetch_from, is_cold, decide_unfetched, readers, share
 
 LOOK_MS = 500.0            # pace of looking over players: a leaving is seen within this
 ADDRESS_MS = 6 * 3_600_000.0   # a session's addresses hold so long: a long evening
@@ -39,7 +39,7 @@
 KIND = "application/vnd.apple.mpegurl"
 
 
-class Front(Director):
+class EdgeFront(Director):
     """A director with sessions. `programme`: the rules in force for new sessions."""
 
     def __init__(self, loop, house, programme: Programme = Programme({}, ()), **more):
@@ -49,7 +49,7 @@
         self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.failed: dict[int, float] = {}
         self.item_load = ItemLoad(house.deployment.directors)
-        self.titles: dict[int, Title] = {}
+        self.titles: dict[int, TitlePlaylists] = {}
         self.session_numbers = 0
         super().__init__(loop, house, **more)
         self.pages["POST", "/v1/sessions"] = self.open_session
@@ -116,7 +116,7 @@
         from_ms, cut = session.frame["resume"]
         first = title.place(from_ms) if from_ms else 0
         placed = resumed(placed, first, cut)
-        missing = {one.item for one in placed if one.place <= first and not self.here(self.programme, one.item)}
+        missing = {one.item for one in placed if one.before_segment <= first and not self.here(self.programme, one.item)}
 
         def got(item: str) -> None:
             missing.discard(item)
@@ -127,7 +127,7 @@
         if not missing:
             self.begin_session(session, answer, title, placed, first)
 
-    def begin_session(self, session: Session, answer: dict, title: Title, placed: list[Placed], first: int) -> None:
+    def begin_session(self, session: Session, answer: dict, title: TitlePlaylists, placed: list[PlacedItem], first: int) -> None:
         if session.state == OVER:
             return
         session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
@@ -151,16 +151,16 @@
         session.exchange.answer(502, frames.not_playing(face.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
         self.end(session, "failed")
 
-    def title(self, number: int, rungs: tuple[Media, ...]) -> Title:
+    def title(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
         """What sessions of a title share; made anew when its playlists were."""
         known = self.titles.get(number)
         if known is None or any(ours is not theirs for ours, theirs in zip(known.rungs, rungs)):
             while len(self.titles) >= TITLES_MOST:
                 self.titles.pop(next(iter(self.titles)))
-            known = self.titles[number] = Title(rungs)
+            known = self.titles[number] = TitlePlaylists(rungs)
         return known
 
-    def target(self, placed: list[Placed]) -> float:
+    def target(self, placed: list[PlacedItem]) -> float:
         """The target duration that all items of a session need that are known by now, shorter ones included, ms."""
         pieces = [self.programme.pieces[one.item] for one in placed]
         names = {piece.name for piece in pieces} | {piece.shorter for piece in pieces if piece.shorter is not None}
@@ -280,7 +280,7 @@
         playing.reloaded(now)
         return composer.text()
 
-    def choose(self, session: Session, placed: Placed, lead_ms: float) -> Chosen:
+    def choose(self, session: Session, placed: PlacedItem, lead_ms: float) -> ChosenSource:
         """Decided beside us; an item whose playlist is not here yet is fetched now."""
         now = self.loop.now
         piece = session.programme.pieces[placed.item]
@@ -289,10 +289,10 @@
         chosen = choose(placed.rule, placed.item, session.programme, self.holders(nodes, span), session.era.node, now, now + lead_ms)
         if chosen.item is not None and chosen.node is not None and not self.here(session.programme, chosen.item):
             self.prefetch(session.programme, chosen.item)
-            return not_here(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
+            return decide_unfetched(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
         return chosen
 
-    def served(self, session: Session, chosen: Chosen) -> Served | None:
+    def served(self, session: Session, chosen: ChosenSource) -> AvailableItem | None:
         media = self.fetcher.cache.get(item_path(session.programme, chosen.item), self.loop.now)
         link = self.fleet.links.get(chosen.node)
         if media is None or link is None:
@@ -300,7 +300,7 @@
         piece, since = session.programme.pieces[chosen.item], self.loop.now + session.buffered_ms()
         if chosen.node != session.era.node:
             self.item_load.take(chosen.node, self.item_rate(piece), since, since + piece.length_ms)
-        return Served(Item(chosen.item, media), item_base(link.address), chosen.node)
+        return AvailableItem(Item(chosen.item, media), item_base(link.address), chosen.node)
 
     def here(self, programme: Programme, item: str) -> bool:
         return self.fetcher.cache.get(item_path(programme, item), self.loop.now) is not None
@@ -320,7 +320,7 @@
         self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.watch("rules changed", rules=len(programme.rules), items=len(programme.pieces))
 
-    def holders(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, Holder]:
+    def holders(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
         """What is known of some nodes as sources of items: readiness, warmth, what our plays take of their links, and our items then."""
         found, now, deployment = {}, self.loop.now, self.house.deployment
         for node in nodes:
@@ -329,7 +329,7 @@
                 continue
             width = entry.weight * deployment.link_unit
             plays = sum(self.rate(ply) for ply in self.on_node.get(node, {}).values() if ply.allocation is not None)
-            found[node] = Holder(
+            found[node] = SourceNode(
                 node, entry.state == face.READY and link is not None and link.session.up,
                 is_cold(self.fleet.started[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
                 share(plays * deployment.directors, width), share(self.item_load.rate(node, *span), width))
--- a/laddergw/edge/program.py
+++ b/laddergw/edge/program.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from laddergw.director import program
-from laddergw.edge.front import Front
+from laddergw.edge.front import EdgeFront
 from laddergw.programme import rules as programmes
 from laddergw.programme.rules import Programme
 from laddergw.terms.reading import text_of
@@ -25,7 +25,7 @@
         print(error, file=sys.stderr)
         return program.EXIT_FILE
 
-    def set_up(front: Front, log) -> None:
+    def set_up(front: EdgeFront, log) -> None:
         def again() -> None:
             try:
                 front.change_programme(read_rules(rules))
@@ -37,4 +37,4 @@
             if rules:
                 again()
         front.loop.on_signal(signal.SIGHUP, both)
-    return program.run(path, level, tap_file, source, partial(Front, programme=programme), set_up, limits)
+    return program.run(path, level, tap_file, source, partial(EdgeFront, programme=programme), set_up, limits)
--- a/laddergw/edge/sessions.py
+++ b/laddergw/edge/sessions.py
@@ -6,7 +6,7 @@
 """
 import msgspec
 
-from laddergw.edge.composer import Composer, Era
+from laddergw.edge.composer import Composer, SegmentSource
 from laddergw.edge.watching import Playing
 from laddergw.http.server import Exchange
 
@@ -56,7 +56,7 @@
         self.front, self.name, self.exchange, self.frame = front, name, exchange, frame
         self.state, self.token = WAITING, None
         self.stand: Stand | None = None
-        self.era: Era | None = None
+        self.era: SegmentSource | None = None
         self.composer: Composer | None = None
         self.playing: Playing | None = None
         self.player, self.path = "", ""
@@ -71,7 +71,7 @@
             return
         host, port = answer["address"]
         self.token = answer["token"]
-        self.era = Era(answer["node"], answer["rung"], f"http://{host}:{port}/v1/media/{self.frame['title']}/")
+        self.era = SegmentSource(answer["node"], answer["rung"], f"http://{host}:{port}/v1/media/{self.frame['title']}/")
         if self.state == WAITING:
             self.front.began(self, answer)
         self.state = PLAYS
--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -5,7 +5,7 @@
 """
 from collections import deque
 
-from laddergw.edge.front import Front
+from laddergw.edge.front import EdgeFront
 from laddergw.lab.continuity_audit import Judge
 from laddergw.lab.media_stand_in import ITEM_KB, ITEM_MS
 from laddergw.lab.node_stand_in import ITEMS_MS
@@ -57,7 +57,7 @@
     def __init__(self, the_plant: Plant, the_script: list[Trouble], sessions: int):
         programme = rules.read(programme_text([node.node for node in the_plant.nodes]))
 
-        class Fronts(Front):
+        class Fronts(EdgeFront):
             def __init__(self, *args, **more):
                 super().__init__(*args, programme=programme, **more)
         super().__init__(the_plant, the_script, Fronts)
--- a/laddergw/programme/index.py
+++ b/laddergw/programme/index.py
@@ -88,7 +88,7 @@
         return [found[number] for number in sorted(found)]
 
 
-def plain_find(rules: tuple[Rule, ...], route: str, product: str, when: float) -> list[Rule]:
+def find_by_scan(rules: tuple[Rule, ...], route: str, product: str, when: float) -> list[Rule]:
     """The same by walking all rules: what the index is measured and tested against."""
     asked = parts(route)
     return [rule for rule in rules if rule.since <= when < rule.until and (not rule.products or product in rule.products)
--- a/laddergw/programme/schedule.py
+++ b/laddergw/programme/schedule.py
@@ -13,9 +13,9 @@
 MOST_ITEMS = 200           # of one session: an evening of three hours with one a minute
 
 
-class Placed(NamedTuple):
-    """An item of a session. `place`: the programme segment that it stands before; `at_ms`: programme time there."""
-    place: int
+class PlacedItem(NamedTuple):
+    """An item of a session. `before_segment`: the programme segment that it stands before; `at_ms`: programme time there."""
+    before_segment: int
     at_ms: float
     item: str
     rule: Rule
@@ -30,9 +30,9 @@
     rule: Rule
 
 
-def resumed(placed: list[Placed], first: int, cut: bool) -> list[Placed]:
+def resumed(placed: list[PlacedItem], first: int, cut: bool) -> list[PlacedItem]:
     """What is left for a viewer that goes on at a segment: an item that stood right before it was seen, unless it was cut short."""
-    return placed if not first and not cut else [one for one in placed if one.place > first or cut and one.place == first]
+    return placed if not first and not cut else [one for one in placed if one.before_segment > first or cut and one.before_segment == first]
 
 
 def starts(source: Media) -> list[float]:
@@ -77,11 +77,11 @@
     return sorted(found, key=lambda wish: (wish.at_ms, wish.rank, wish.order))
 
 
-def schedule(source: Media, rules: list[Rule], programme: Programme, left_ms: float = math.inf) -> list[Placed]:
+def schedule(source: Media, rules: list[Rule], programme: Programme, left_ms: float = math.inf) -> list[PlacedItem]:
     """The session's items, in order of their places. `left_ms`: what the viewer is still expected to watch; an item
     longer than what remains of that is left out, as is one too near to the item before it."""
     outline, times = Outline(source), starts(source)
-    found: list[Placed] = []
+    found: list[PlacedItem] = []
     seen: dict[tuple, int] = {}
     last = -math.inf
     for wish in wishes(source, outline, rules):
@@ -89,12 +89,12 @@
         at, piece = times[place], programme.pieces[wish.item]
         if len(found) >= MOST_ITEMS or at + piece.length_ms > left_ms:
             continue
-        same_place = bool(found) and found[-1].place == place
+        same_place = bool(found) and found[-1].before_segment == place
         if found and not same_place and at - last < wish.rule.gap_ms:
             continue
         if same_place and (wish.rule.gap_ms > 0 or seen.get((place, wish.item))):
             continue                             # it wants programme before it, or stands here already
         seen[place, wish.item] = 1
-        found.append(Placed(place, at, wish.item, wish.rule))
+        found.append(PlacedItem(place, at, wish.item, wish.rule))
         last = at
     return found
--- a/laddergw/programme/sources.py
+++ b/laddergw/programme/sources.py
@@ -14,7 +14,7 @@
 LATER_MS = 20_000.0        # an item put off stands so much later, or at the next splice point behind that
 
 
-class Holder(NamedTuple):
+class SourceNode(NamedTuple):
     """A node as a source of items. `asked`: of its link, as last told; `items`: of its link, for items now."""
     node: int
     ready: bool
@@ -41,7 +41,7 @@
     return rate_kb / link_kb if link_kb > 0 else 1.0
 
 
-class Chosen(NamedTuple):
+class ChosenSource(NamedTuple):
     """What is done about one item: fetched from a node; or put off to a time; or left out."""
     item: str | None
     node: int | None = None
@@ -50,11 +50,11 @@
     wait: bool = False         # nothing more is shown for now: there is time to ask again
 
 
-def fit(holder: Holder, now: float) -> bool:
+def fit(holder: SourceNode, now: float) -> bool:
     return holder.ready and now >= holder.failed_until and holder.items < PART_MOST and holder.asked + holder.items < 1.0
 
 
-def source(piece: Piece, holders: dict[int, Holder], own: int | None, now: float) -> int | None:
+def source(piece: Piece, holders: dict[int, SourceNode], own: int | None, now: float) -> int | None:
     """The node to fetch an item from: the play's own first, then warm ones, the least asked first; draining and failed ones never."""
     known = [holders[node] for node in piece.nodes if node in holders and fit(holders[node], now)]
     if not known:
@@ -62,7 +62,7 @@
     return min(known, key=lambda holder: (holder.node != own, holder.cold, holder.asked + holder.items, holder.node)).node
 
 
-def fetch_from(piece: Piece, holders: dict[int, Holder], shown_from: int, now: float) -> int:
+def fetch_from(piece: Piece, holders: dict[int, SourceNode], shown_from: int, now: float) -> int:
     """The node for one segment of an item that was shown: an item stands whole, so the node it was chosen from goes on as long
     as it can; else another holder, full or not; where none is left, the first one still."""
     def can(node: int) -> bool:
@@ -73,31 +73,31 @@
     return min(others, key=lambda holder: (holder.cold, holder.asked + holder.items, holder.node)).node if others else shown_from
 
 
-def choose(rule: Rule, item: str, programme: Programme, holders: dict[int, Holder], own: int | None, now: float,
-           splice_at: float) -> Chosen:
+def choose(rule: Rule, item: str, programme: Programme, holders: dict[int, SourceNode], own: int | None, now: float,
+           splice_at: float) -> ChosenSource:
     """For an item whose splice is at `splice_at` (our clock): whole from some node, a shorter one, later, or not at all. Never in part."""
     piece = programme.pieces[item]
     if splice_at - now < SURE_MS:
         return instead(rule, piece, programme, {}, own, now, "no time is left to fetch it")
     node = source(piece, holders, own, now)
     if node is not None:
-        return Chosen(item, node)
+        return ChosenSource(item, node)
     return instead(rule, piece, programme, holders, own, now, "no node that holds it can serve it")
 
 
-def not_here(rule: Rule, item: str, lead_ms: float, why: str) -> Chosen:
+def decide_unfetched(rule: Rule, item: str, lead_ms: float, why: str) -> ChosenSource:
     """For an item that can be had but whose playlist is not here yet: the splice waits while there is time."""
     if lead_ms >= SURE_MS + WAIT_MS:
-        return Chosen(item, why=why, wait=True)
-    return Chosen(item, later_ms=LATER_MS, why=why) if rule.otherwise == LATER else Chosen(None, why=why)
+        return ChosenSource(item, why=why, wait=True)
+    return ChosenSource(item, later_ms=LATER_MS, why=why) if rule.otherwise == LATER else ChosenSource(None, why=why)
 
 
-def instead(rule: Rule, piece: Piece, programme: Programme, holders: dict[int, Holder], own: int | None, now: float, why: str) -> Chosen:
+def instead(rule: Rule, piece: Piece, programme: Programme, holders: dict[int, SourceNode], own: int | None, now: float, why: str) -> ChosenSource:
     if rule.otherwise == SHORTER and piece.shorter is not None:
         shorter = programme.pieces[piece.shorter]
         node = source(shorter, holders, own, now)
         if node is not None:
-            return Chosen(shorter.name, node, why=why)
+            return ChosenSource(shorter.name, node, why=why)
     if rule.otherwise == LATER:
-        return Chosen(piece.name, later_ms=LATER_MS, why=why)
-    return Chosen(None, why=why)
+        return ChosenSource(piece.name, later_ms=LATER_MS, why=why)
+    return ChosenSource(None, why=why)
--- a/tests/test_cache.py
+++ b/tests/test_cache.py
@@ -3,14 +3,14 @@
 
 from hypothesis import given, settings, strategies as st
 
-from laddergw.edge.cache import Bounds, Cache
+from laddergw.edge.cache import CacheLimits, Cache
 
 
 class Kept(unittest.TestCase):
     @settings(max_examples=200)
     @given(st.lists(st.tuples(st.integers(0, 12), st.integers(0, 60), st.floats(0, 400), st.booleans()), max_size=80))
     def test_bounds_and_values(self, steps):
-        cache, now, told = Cache(Bounds(100, 50, 1_000.0)), 0.0, {}
+        cache, now, told = Cache(CacheLimits(100, 50, 1_000.0)), 0.0, {}
         for name, size, later, ask in steps:
             now += later
             if ask:
@@ -28,7 +28,7 @@
             self.assertEqual(cache.small_bytes, sum(e.size for e in cache.entries.values() if e.small))
 
     def test_a_wave_of_titles_asked_for_once_leaves_the_wanted_ones(self):
-        cache = Cache(Bounds(20, 5, 1e9))
+        cache = Cache(CacheLimits(20, 5, 1e9))
         for _ in range(3):
             for name in "abcdefgh":
                 if cache.get(name, 0.0) is None:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -4,15 +4,15 @@
 from hypothesis import given, settings, strategies as st
 
 from laddergw.edge import addresses, watching
-from laddergw.edge.composer import PUT_OFF_MOST, Composer, Era, Served, Title
+from laddergw.edge.composer import MAX_POSTPONEMENTS, Composer, SegmentSource, AvailableItem, TitlePlaylists
 from laddergw.hls.attributes import read as pairs
 from laddergw.hls.reading import read
 from laddergw.hls.stitching import Item
 from laddergw.hls.values import Media, Segment
 from laddergw.lab.continuity_audit import Judge
 from laddergw.programme.rules import BEFORE, LATER, SKIP, Rule
-from laddergw.programme.schedule import Placed
-from laddergw.programme.sources import Chosen
+from laddergw.programme.schedule import PlacedItem
+from laddergw.programme.sources import ChosenSource
 
 ZERO = 1_796_200_000_000.0
 KEYS = (("k2", b"second-key-of-the-edge"), ("k1", b"first-key-of-the-edge"))
@@ -27,7 +27,7 @@
 
 
 def titled(*args, **more):
-    return Title(rungs(*args, **more))
+    return TitlePlaylists(rungs(*args, **more))
 
 
 def notice(name="n", count=2, sections=False, target=4_000.0, ms=3_000.0):
@@ -40,7 +40,7 @@
 
 
 def placed(place, item="n", otherwise=SKIP):
-    return Placed(place, 0.0, item, rule(otherwise))
+    return PlacedItem(place, 0.0, item, rule(otherwise))
 
 
 class Growing(unittest.TestCase):
@@ -49,8 +49,8 @@
         names = {name: tuple(f"items/{s.uri}" for s in item.media.segments) for name, item in items.items()}
         judge = Judge(names)
         for played, era in steps:
-            composer.extend(played, era, chosen or (lambda p, lead: Chosen(p.item, 1)),
-                            lambda c: Served(items[c.item], "items/") if c.item in items else None)
+            composer.extend(played, era, chosen or (lambda p, lead: ChosenSource(p.item, 1)),
+                            lambda c: AvailableItem(items[c.item], "items/") if c.item in items else None)
             text = composer.text()
             media = read(text)
             self.assertEqual(judge.reload(media), [])
@@ -69,7 +69,7 @@
         played, walk = 0.0, []
         for more, rung, node in steps + [(4e6, 0, 0)]:
             played += more
-            walk.append((played, Era(node, rung, f"http://n{node}/")))
+            walk.append((played, SegmentSource(node, rung, f"http://n{node}/")))
         self.play(composer, walk, items)
         self.assertTrue(composer.ended)
         shown = [s.uri.rpartition("/")[2] for s in composer.media().segments if not s.uri.startswith("items/")]
@@ -79,7 +79,7 @@
 
     def test_a_move_in_the_middle_of_an_insertion_and_a_rung_at_the_splice(self):
         composer = Composer(titled(6), [placed(1)])
-        self.play(composer, [(0, Era(1, 0, "http://a/")), (5_000, Era(2, 0, "http://b/")), (9_000, Era(2, 2, "http://b/")), (1e6, Era(2, 2, "http://b/"))],
+        self.play(composer, [(0, SegmentSource(1, 0, "http://a/")), (5_000, SegmentSource(2, 0, "http://b/")), (9_000, SegmentSource(2, 2, "http://b/")), (1e6, SegmentSource(2, 2, "http://b/"))],
                   {"n": notice()})
         uris = [s.uri for s in composer.media().segments]
         self.assertEqual(uris[:4], ["http://a/r0/p0.ts", "items/n0.ts", "items/n1.ts", "http://a/r0/p1.ts"])
@@ -89,18 +89,18 @@
 
     def test_an_item_put_off_then_left_out(self):
         composer = Composer(titled(60), [placed(1, otherwise=LATER)])
-        self.play(composer, [(k * 4_000.0, Era(1, 0, "a/")) for k in range(80)], {"n": notice()}, lambda p, lead: Chosen(p.item, later_ms=20_000.0))
-        self.assertEqual([d.done for d in composer.decisions], ["later"] * PUT_OFF_MOST + ["left out"])
+        self.play(composer, [(k * 4_000.0, SegmentSource(1, 0, "a/")) for k in range(80)], {"n": notice()}, lambda p, lead: ChosenSource(p.item, later_ms=20_000.0))
+        self.assertEqual([d.done for d in composer.decisions], ["later"] * MAX_POSTPONEMENTS + ["left out"])
         again = Composer(titled(60), [placed(1, otherwise=LATER)])
-        tries = iter([Chosen("n", later_ms=20_000.0), Chosen("n", 1)])
-        self.play(again, [(k * 4_000.0, Era(1, 0, "a/")) for k in range(80)], {"n": notice()}, lambda p, lead: next(tries))
+        tries = iter([ChosenSource("n", later_ms=20_000.0), ChosenSource("n", 1)])
+        self.play(again, [(k * 4_000.0, SegmentSource(1, 0, "a/")) for k in range(80)], {"n": notice()}, lambda p, lead: next(tries))
         self.assertEqual([d.done for d in again.decisions], ["later", "shown"])
 
     def test_an_item_that_cannot_be_had_or_cannot_stand_is_left_out_without_a_gap(self):
         for items, sections in (({}, False), ({"n": notice(sections=True)}, False), ({"n": notice()}, True),
                                 ({"n": Item("n", notice().media._replace(ended=False))}, False)):
             composer = Composer(titled(5, sections=sections), [placed(2)])
-            self.play(composer, [(1e6, Era(1, 0, "a/"))], items)
+            self.play(composer, [(1e6, SegmentSource(1, 0, "a/"))], items)
             self.assertEqual(len(composer.origins), 5)
             self.assertEqual([d.done for d in composer.decisions], ["left out"])
 
@@ -108,7 +108,7 @@
         """A playlist's target duration never changes: what was not reckoned with is left out, whole."""
         for target, done in (0.0, "left out"), (8_000.0, "shown"):
             composer = Composer(titled(6), [placed(2)], target_ms=target)
-            self.play(composer, [(0, Era(1, 0, "a/")), (1e6, Era(1, 0, "a/"))], {"n": notice(target=8_000.0, ms=7_600.0)})
+            self.play(composer, [(0, SegmentSource(1, 0, "a/")), (1e6, SegmentSource(1, 0, "a/"))], {"n": notice(target=8_000.0, ms=7_600.0)})
             self.assertEqual([d.done for d in composer.decisions], [done])
 
     def test_sections_keys_and_ranges_stand_by_themselves(self):
@@ -116,9 +116,9 @@
         key = pairs('METHOD=AES-128,URI="k.bin"')
         segments = tuple(Segment("all.mp4", 4_000.0, byte_range="100@50" if k == 0 else "100", keys=(key,) if k == 0 else (),
                                  map=pairs('URI="i.mp4",BYTERANGE="50@0"') if k == 0 else None) for k in range(4))
-        title = Title((Media(segments, 4_000.0, ended=True),) * 3)
+        title = TitlePlaylists((Media(segments, 4_000.0, ended=True),) * 3)
         composer = Composer(title, [], lambda what: f"/s/{what}", first=2)
-        composer.extend(0.0, Era(1, 0, "http://n1/t/"), lambda *_: None, lambda _: None)
+        composer.extend(0.0, SegmentSource(1, 0, "http://n1/t/"), lambda *_: None, lambda _: None)
         first, second = composer.media().segments
         self.assertEqual((first.uri, first.byte_range, second.byte_range), ("/s/seg-0", "100@250", "100@350"))
         self.assertEqual((first.keys[0].get("URI"), first.map.get("URI"), first.map.get("BYTERANGE")), ("/s/by-0-0", "/s/by-0-1", "50@0"))
@@ -130,8 +130,8 @@
 
     def test_a_splice_waits_for_its_item_while_there_is_time(self):
         composer = Composer(titled(20), [placed(2)])
-        answers = iter([Chosen("n", wait=True), Chosen("n", wait=True), Chosen("n", 1)])
-        self.play(composer, [(0, Era(1, 0, "a/")), (2_000, Era(1, 0, "a/")), (4_000, Era(1, 0, "a/"))], {"n": notice()}, lambda p, lead: next(answers))
+        answers = iter([ChosenSource("n", wait=True), ChosenSource("n", wait=True), ChosenSource("n", 1)])
+        self.play(composer, [(0, SegmentSource(1, 0, "a/")), (2_000, SegmentSource(1, 0, "a/")), (4_000, SegmentSource(1, 0, "a/"))], {"n": notice()}, lambda p, lead: next(answers))
         self.assertEqual([o.item for o in composer.origins[:4]], [None, None, "n", "n"])
 
     @settings(max_examples=60)
@@ -141,7 +141,7 @@
         title = titled(count, (4_004.0, 2_000.0), sections, (0,))
         first = title.place(float(from_ms))
         composer = Composer(title, [placed(p) for p in range(first + 1, count)], first=first)
-        self.play(composer, [(k * 5_000.0, Era(1, 1, "http://a/")) for k in range(40)], {"n": notice(sections=sections)})
+        self.play(composer, [(k * 5_000.0, SegmentSource(1, 1, "http://a/")) for k in range(40)], {"n": notice(sections=sections)})
         shown = [s.uri.rpartition("/")[2] for s in composer.media().segments if not s.uri.startswith("items/")]
         self.assertEqual(shown, [f"p{k}.ts" for k in range(first, count)])
         self.assertEqual(composer.media().segments[0].keys[0].get("METHOD"), "AES-128")
@@ -149,7 +149,7 @@
 
     def test_rungs_that_do_not_match_are_refused(self):
         with self.assertRaisesRegex(ValueError, "differ"):
-            Title((rungs(5)[0], rungs(6)[1]))
+            TitlePlaylists((rungs(5)[0], rungs(6)[1]))
 
 
 class Addresses(unittest.TestCase):
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -14,7 +14,7 @@
 from laddergw.fleet.stamps import LET_IN, Key, Stamps
 from laddergw.fleet.telling import Part, Told
 from laddergw.fleet.wanted import Rollout
-from laddergw.edge.front import Front
+from laddergw.edge.front import EdgeFront
 from laddergw.lab import fleet_stage
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
@@ -88,7 +88,7 @@
 
     def test_each_change_is_another_stand_and_the_way_back_the_same(self):
         """Reviewed: an edge whose programme rules were read again told nobody, and went on under the stand of before."""
-        town = Town(director_class=Front)
+        town = Town(director_class=EdgeFront)
         edge = town.directors[0]
         audit = EdgeSide(edge, ()).audit
         stands, rules = [audit.stamps.now_in_force], programmes.read(GOOD)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -3,7 +3,7 @@
 import logging
 import unittest
 
-from laddergw.edge.front import Front
+from laddergw.edge.front import EdgeFront
 from laddergw.http.client import Pool
 from laddergw.lab.continuity_audit import Judge
 from laddergw.lab.player_stand_in import Player, Wire
@@ -25,7 +25,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         programme = rules.read(RULES)
 
-        class WithRules(Front):
+        class WithRules(EdgeFront):
             def __init__(self, *args, **more):
                 super().__init__(*args, programme=programme, **more)
         self.town = Town(nodes=3, director_class=WithRules)
--- a/tests/test_programme.py
+++ b/tests/test_programme.py
@@ -6,10 +6,10 @@
 from laddergw.hls.attributes import read as pairs
 from laddergw.hls.values import Media, Segment, time_text
 from laddergw.programme import rules
-from laddergw.programme.index import RuleIndex, plain_find
+from laddergw.programme.index import RuleIndex, find_by_scan
 from laddergw.programme.rules import Rule
 from laddergw.programme.schedule import schedule
-from laddergw.programme.sources import Holder, choose, fetch_from, not_here
+from laddergw.programme.sources import SourceNode, choose, fetch_from, decide_unfetched
 from laddergw.terms.sexpr import Refused
 from tests.helpers import TraceTest
 
@@ -66,7 +66,7 @@
     @settings(max_examples=200)
     @given(st.lists(RULES, max_size=25), st.sampled_from(("/", "/a", "/a/b/c/d", "/ab/c", "/b/", "/c")), st.sampled_from("xyz"), st.integers(-1, 90))
     def test_the_index_finds_what_a_walk_finds(self, drawn, route, product, when):
-        self.assertEqual(RuleIndex(drawn).find(route, product, when), plain_find(tuple(drawn), route, product, when))
+        self.assertEqual(RuleIndex(drawn).find(route, product, when), find_by_scan(tuple(drawn), route, product, when))
 
 
 class Drive:
@@ -79,7 +79,7 @@
         found = self.index.find(route, product, now)
         self.lines.append("rules: " + (", ".join(rule.name for rule in found) or "none"))
         for p in schedule(source, found, self.programme, left):
-            self.lines.append(f"  {p.at_ms / 1000:7.1f} s before segment {p.place}: {p.item} by {p.rule.name}")
+            self.lines.append(f"  {p.at_ms / 1000:7.1f} s before segment {p.before_segment}: {p.item} by {p.rule.name}")
 
     def source(self, what, item, rule, holders, own=None, lead=5_000.0):
         found = next(r for r in self.programme.rules if r.name == rule)
@@ -97,7 +97,7 @@
         d.say("two cues at one instant, one at 0, one inside a segment, one at the end, one behind it", film(60, (0, 0, 20, 20, 60, 90)), "hearing", "/b")
         d.say("a viewer with 40 s left: what does not fit is left out", film(), left=40_000.0)
         d.say("a film shorter than its notice still has it before", film(6))
-        h = lambda node, ready=True, cold=False, failed=0.0, asked=0.3, items=0.0: Holder(node, ready, cold, failed, asked, items)
+        h = lambda node, ready=True, cold=False, failed=0.0, asked=0.3, items=0.0: SourceNode(node, ready, cold, failed, asked, items)
         d.lines.append("# where an item comes from")
         d.source("the play's own node holds it", "tide", "shore", [h(3, asked=0.1), h(7, asked=0.6)], own=7)
         d.source("else the least asked", "tide", "shore", [h(3, asked=0.1), h(7)], own=5)
@@ -117,7 +117,7 @@
             d.lines.append(f"{what}: node {fetch_from(piece, {x.node: x for x in holders}, 3, 1_000.0)}")
         d.lines.append("# its playlist is not here yet")
         for lead, rule in ((9_000.0, "hourly"), (2_000.0, "hourly"), (2_000.0, "cued")):
-            c = not_here(next(r for r in d.programme.rules if r.name == rule), "news", lead, "")
+            c = decide_unfetched(next(r for r in d.programme.rules if r.name == rule), "news", lead, "")
             d.lines.append(f"{lead / 1000:g} s before its splice, by {rule}: " + ("wait" if c.wait else f"{c.later_ms / 1000:g} s later" if c.later_ms else "left out"))
         self.assert_trace("programme", d)
 
@@ -127,9 +127,9 @@
         d = Drive()
         source = film(seconds, sorted(cue_times))
         found = schedule(source, list(d.programme.rules), d.programme, left)
-        self.assertEqual([p.place for p in found], sorted(p.place for p in found))
-        self.assertTrue(all(0 <= p.place <= len(source.segments) for p in found))
-        self.assertEqual(len({(p.place, p.item) for p in found}), len(found))
+        self.assertEqual([p.before_segment for p in found], sorted(p.before_segment for p in found))
+        self.assertTrue(all(0 <= p.before_segment <= len(source.segments) for p in found))
+        self.assertEqual(len({(p.before_segment, p.item) for p in found}), len(found))
         self.assertTrue(all(p.at_ms + d.programme.pieces[p.item].length_ms <= left for p in found))
 
 
