--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -14,7 +14,7 @@
 from laddergw.fleet.action_counts import ADMITTED, Key, ActionCounts
 from laddergw.fleet.state_reports import Part, ReportedState
 from laddergw.fleet.wanted import Rollout
-from laddergw.edge.front import Front
+from laddergw.edge.front import EdgeFront
 from laddergw.lab import fleet_stage
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
@@ -88,7 +88,7 @@
 
     def test_each_change_is_another_stand_and_the_way_back_the_same(self):
         """Reviewed: an edge whose programme rules were read again told nobody, and went on under the stand of before."""
-        town = Cluster(director_class=Front)
+        town = Cluster(director_class=EdgeFront)
         edge = town.directors[0]
         audit = PlannerClient(edge, ()).audit
         stands, rules = [audit.action_counts.current_id], programmes.read(GOOD)
