--- a/benchmarks/director_cost.py
+++ b/benchmarks/director_cost.py
@@ -36,7 +36,7 @@
                 spent["module"] += clock() - began
         return original(self, run, *args)
     director.Director.feed = timed
-    for owner in server.Peer, client.Connection:
+    for owner in server.ServerConnection, client.Connection:
         def reading(self, stream, data, got=owner.data_received):
             began, before = clock(), spent["module"]
             got(self, stream, data)
--- a/benchmarks/playlists.py
+++ b/benchmarks/playlists.py
@@ -8,7 +8,7 @@
 
 from laddergw.edge.composer import Composer, Era, Served, Title
 from laddergw.hls.reading import read
-from laddergw.hls.rendered import Rendered
+from laddergw.hls.rendered import RenderedPlaylist
 from laddergw.hls.stitching import Insertion, Item, stitch
 from laddergw.hls.values import Media, Segment
 from laddergw.hls.writing import write
@@ -39,7 +39,7 @@
     item = Item("notice", Media(tuple(Segment(f"notice/{n}.ts", 3_000.0) for n in range(5)), 4_000.0, ended=True))
     for timed in False, True:
         whole = source(timed)
-        rendered, text = Rendered(whole), write(whole)
+        rendered, text = RenderedPlaylist(whole), write(whole)
         plain = bytearray(text.encode())
         notices = [Insertion(0, item), Insertion(400, item)]
         assert rendered.stitched(notices) == write(stitch(whole, notices)).encode()
--- a/laddergw/cli/manifests.py
+++ b/laddergw/cli/manifests.py
@@ -10,12 +10,12 @@
 
 
 def load(file: Path):
-    from laddergw.hls.reading import BadPlaylist, read
+    from laddergw.hls.reading import InvalidPlaylist, read
     try:
         return read(file.read_bytes())
     except OSError as error:
         typer.echo(f"{file}: {error.strerror}", err=True)
-    except BadPlaylist as error:
+    except InvalidPlaylist as error:
         for line, reason in error.faults:
             typer.echo(f"{file}:{line}: {reason}", err=True)
     raise typer.Exit(EXIT_BAD)
@@ -24,18 +24,18 @@
 @app.command()
 def show(file: File) -> None:
     """What a playlist holds, a line a segment with its number, time and cuts."""
-    from laddergw.hls.stitching import Outline, marks
+    from laddergw.hls.stitching import Outline, item_marks
     from laddergw.hls.values import Media, time_text
     playlist = load(file)
     if not isinstance(playlist, Media):
         for variant in playlist.variants:
             typer.echo(f"{variant.bandwidth / 1000:10.0f} kbit/s  {variant.uri}")
         return
-    items = {place: found.get("NAME") for place, found in marks(playlist)}
+    items = {place: found.get("NAME") for place, found in item_marks(playlist)}
     typer.echo(f"{len(playlist.segments)} segments from {playlist.sequence}, {sum(s.duration_ms for s in playlist.segments) / 1000:.3f} s, "
                f"target {playlist.target_ms / 1000:g} s, {'ended' if playlist.ended else 'grows'}")
     at = 0.0
-    for place, (segment, clock) in enumerate(zip(playlist.segments, Outline(playlist).clocks)):
+    for place, (segment, clock) in enumerate(zip(playlist.segments, Outline(playlist).programme_times)):
         told = ["cut"] * segment.discontinuity + ([f"item {items[place]}"] if place in items else []) + ["keys"] * bool(segment.keys) + ["map"] * bool(segment.map)
         typer.echo(f"{playlist.sequence + place:6} {at / 1000:10.3f} {time_text(clock) if clock is not None else '-':24} "
                    f"{segment.duration_ms / 1000:8.3f} {segment.uri[:60]} {', '.join(told)}".rstrip())
@@ -79,7 +79,7 @@
     """Writes the playlist that a session would get, and on standard error which rule put what where."""
     import time
 
-    from laddergw.hls.stitching import CannotStitch, Insertion, Item, stitch as stitched
+    from laddergw.hls.stitching import Insertion, Item, StitchingError, stitch as stitched
     from laddergw.hls.values import Media, time_ms
     from laddergw.hls.writing import write
     from laddergw.programme.index import RuleIndex
@@ -97,7 +97,7 @@
         items = {one.item: Item(one.item, load(rules.parent / programme.pieces[one.item].playlist)) for one in placed}
         out = stitched(source, [Insertion(source.sequence + one.place, items[one.item], one.place < len(source.segments)
                                           and source.segments[one.place].discontinuity) for one in placed])
-    except (OSError, Refused, CannotStitch, ValueError) as error:
+    except (OSError, Refused, StitchingError, ValueError) as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_BAD) from None
     for one in placed:
--- a/laddergw/director/carrying.py
+++ b/laddergw/director/carrying.py
@@ -109,8 +109,8 @@
         a = ply.allocation
         if step.drop_call and ply.call is not None:
             call, ply.call = ply.call, None
-            if not call.take_back():
-                call.cut("given up")
+            if not call.withdraw():
+                call.abort("given up")
         link = self.fleet.links.get(a.node)
         if step.release:
             if link is not None:
@@ -150,7 +150,7 @@
             ply.lease_timer = None
         if ply.call is not None:
             call, ply.call = ply.call, None
-            call.cut("the allocation is over")
+            call.abort("the allocation is over")
         self.watch("ended", play=ply.id, node=a.node, outcome=outcome, number=a.number)
         ply.life.allocation_ended(outcome)
         if self.observer is not None:
@@ -182,7 +182,7 @@
 
     def probe_ended(self, node: int, asked_at: float, call: Call) -> None:
         outcome, report = face.TIMED_OUT if call.status is None else PROBE_OUTCOMES.get(call.status, face.ERROR), ()
-        if call.refused:
+        if call.connection_refused:
             outcome = face.UNREACHABLE
         if outcome == face.SERVED:
             try:
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -60,7 +60,7 @@
         self.observer, self.shut = None, lambda: None    # of admissions, ends and notes: a planner's edge side; why nothing is let in at all
         self.read_again: Callable[[], None] = lambda: None    # what SIGHUP does
         self.fleet = Fleet(loop, house.lists, str(house.number), self.make_link, self.list_changed, self.list_failed, tap)
-        self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.max_connections), tap)
+        self.server = Server(loop, house.listen, self.serve, PeerLimits(max_connections=self.bounds.max_connections), tap)
         self.address = self.server.address
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.arrive,
                                                                              ("POST", "/v1/mail"): self.mail_came}
@@ -156,7 +156,7 @@
         generation, repeat = self.generations.take(), self.house.deployment.products[product].repeat
         margin = self.bounds.answer_margin_ms if self.limits.margin is None else self.limits.margin.value
         effective = self.limits.find(request.route, request.product)
-        life = PlayState(effective.terms, repeat, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
+        life = PlayState(effective.terms, repeat, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.stall_ms, margin), margin)
         self.numbers += 1
         ply = Try(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.rows, self.limits),
                   self.house.deployment)
@@ -167,7 +167,7 @@
                   or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.shut())
         self.tries[ply.id] = ply
         self.waiting += 1
-        exchange.on_gone = lambda: self.viewer_left(ply)
+        exchange.on_disconnect = lambda: self.viewer_left(ply)
         if turned is not None:
             return self.finish(ply, face.FAILED if turned.failed else face.DECLINED, turned.retry_after_ms, turned.reason)
         ply.timer = self.loop.call_at(life.answer_deadline, lambda: self.overdue(ply))
@@ -244,7 +244,7 @@
             extra = "" if retry_ms is None else f"Retry-After: {-int(-retry_ms // 1000)}\r\n"
             self.watch("answer", play=ply.id, answer=answer, product=ply.request.product, tries=ply.earlier.tries,
                        own_ms=self.loop.read_clock() - ply.asked_at - ply.node_ms, first_ms=None, reason=reason)
-            ply.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra=extra)
+            ply.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra_headers=extra)
         if ply.allocation is None:
             self.forget(ply)
         elif ply.allocation.state in (alloc.WAITING, alloc.OUT):
@@ -295,7 +295,7 @@
             call, a = ply.call, ply.allocation
             if a.state == alloc.WAITING and (call is None or not call.written):
                 ply.call = None
-                if call is None or call.take_back():
+                if call is None or call.withdraw():
                     self.apply(ply, a.withdrawn())
                 else:
                     ply.call = call
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -7,7 +7,7 @@
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
 
-LIST_LIMITS = PoolLimits(connections=1, waiting=2, connect_ms=500.0, answer_bytes=16_777_216)   # a whole list of 100 k nodes
+LIST_LIMITS = PoolLimits(max_connections=1, max_waiting=2, connect_ms=500.0, max_answer_bytes=16_777_216)   # a whole list of 100 k nodes
 REDIAL_MS = 500.0          # pause before the list is asked for again: it may be out of reach for long
 SILENT_MS = 15_000.0       # no frame, not even that it lives: asked for anew
 
@@ -41,7 +41,7 @@
         if self.stream is None or self.closed:
             return
         if self.loop.now >= self.heard_at + SILENT_MS:       # the very sum that the timer was set to
-            return self.stream.cut("the list is silent")
+            return self.stream.abort("the list is silent")
         self.loop.call_at(self.heard_at + SILENT_MS, self.check_silence)
 
     def broke(self, call: Call) -> None:
@@ -61,7 +61,7 @@
         except frames.Malformed as error:        # the last good list stands; a whole one is asked for
             self.bad_frames += 1
             self.last_fault = str(error)
-            return self.stream.cut(str(error))
+            return self.stream.abort(str(error))
         if form == frames.ALIVE:
             return
         self.version = version
@@ -105,7 +105,7 @@
     def close(self) -> None:
         self.closed = True
         if self.stream is not None:
-            self.stream.cut("closed")
+            self.stream.abort("closed")
         if self.timer is not None:
             self.timer.cancel()
         for link in self.links.values():
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -9,7 +9,7 @@
 KEEP_LIMIT_MS = 1_000.0    # a keep without an answer is sent again on a new connection
 PROBE_LIMIT_MS = 250.0     # a probe without an answer by then has failed
 OPEN_LIMIT_MS = 1_500.0    # the long answer's first line
-ONE = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
+ONE = PoolLimits(max_connections=1, max_waiting=4, idle_ms=60_000.0)
 SET_UPS = PoolLimits()
 
 
@@ -55,7 +55,7 @@
 
     def open_late(self) -> None:
         if self.stream is not None and not self.session.up:
-            self.stream.cut("no first line in time")
+            self.stream.abort("no first line in time")
 
     def line(self, line: bytes | None) -> None:
         if line is None:
@@ -63,7 +63,7 @@
         try:
             read = frames.read_notes(line)
         except frames.Malformed as error:
-            return self.stream.cut(str(error))
+            return self.stream.abort(str(error))
         was_up = self.session.up
         if read.clock is not None:
             self.session.ticked(self.loop.now, read.clock, read.session)
@@ -94,7 +94,7 @@
             self.forget()
             pause = 0.0
             self.dying = self.loop.call_at(lease_ends, lambda: self.over("its lease is over"))
-        if call.refused:
+        if call.connection_refused:
             self.over("no process there")
         if not self.closed and self.timer is None:
             self.timer = self.loop.call_later(pause, self.open)
@@ -111,7 +111,7 @@
         self.rungs.clear()
         if self.keeping is not None:
             keeping, self.keeping = self.keeping, None
-            keeping.cut("session lost")
+            keeping.abort("session lost")
 
     # Keeps
 
@@ -120,7 +120,7 @@
         if self.closed or not self.session.up:
             return
         if self.session.over(self.loop.now):
-            return self.stream.cut("the node is silent and its lease is over") if self.stream is not None else None
+            return self.stream.abort("the node is silent and its lease is over") if self.stream is not None else None
         if self.session.due(self.loop.now):
             self.keep()
         self.loop.call_later(KEEP_MS / 4, self.watch)
@@ -139,7 +139,7 @@
         body = frames.keep(session.name, session.until(now, LEASE_MS), *self.sent)
         session.keeping(now)
         self.keeping = call = self.control.call("POST", "/v1/keep", body, self.kept)
-        self.loop.call_later(KEEP_LIMIT_MS, lambda: call.cut("no answer to a keep in time"))
+        self.loop.call_later(KEEP_LIMIT_MS, lambda: call.abort("no answer to a keep in time"))
 
     def kept(self, call: Call) -> None:
         if self.keeping is not call:
@@ -148,7 +148,7 @@
         self.told.dirty[self] = None
         if call.status != 200:                   # told again with the next keep: all of it may be told twice
             if call.status == 409 and self.stream is not None:
-                self.stream.cut("the node does not know the session")
+                self.stream.abort("the node does not know the session")
             return
         self.session.kept()
         confirms, releases, rungs = self.sent
@@ -191,7 +191,7 @@
     def probe(self, done: Callable[[Call], None]) -> None:
         """Asks the node for its load."""
         call = self.probes.call("GET", "/v1/report", b"", done)
-        self.loop.call_later(PROBE_LIMIT_MS, lambda: call.cut("no answer to a probe in time"))
+        self.loop.call_later(PROBE_LIMIT_MS, lambda: call.abort("no answer to a probe in time"))
 
     def when_up(self, call: Callable[[], None]) -> None:
         self.held_up.append(call)
@@ -201,7 +201,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.stream is not None:
-            self.stream.cut("link closed")
+            self.stream.abort("link closed")
         self.forget()
         for pool in self.notes, self.control, self.set_ups, self.probes:
             pool.close()
--- a/laddergw/director/post.py
+++ b/laddergw/director/post.py
@@ -14,7 +14,7 @@
 HEAD = struct.Struct("<Hd")
 STALE_MS = 5_000.0         # a message older than this, or so far ahead, is a replay or a stray clock: loads change in seconds
 LIMIT_MS = 500.0           # a peer that does not answer by then has lost the message: the next one is on its way
-ONE = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
+ONE = PoolLimits(max_connections=1, max_waiting=4, idle_ms=60_000.0)
 
 
 class Post:
@@ -44,7 +44,7 @@
 
     def send_one(self, pool: Pool, body: bytes) -> None:
         call = pool.call("POST", "/v1/mail", body, lambda call: None)
-        self.loop.call_later(LIMIT_MS, lambda: call.cut("no answer to mail in time"))
+        self.loop.call_later(LIMIT_MS, lambda: call.abort("no answer to mail in time"))
 
     def read(self, body: bytes) -> tuple[int, list, list]:
         """(sender, loads, shares). Raises peer_messages.MalformedMessage for what is not signed by a key of ours, stale or makes no sense."""
--- a/laddergw/edge/composer.py
+++ b/laddergw/edge/composer.py
@@ -10,7 +10,7 @@
 
 from laddergw.hls.attributes import Attributes
 from laddergw.hls.reading import read
-from laddergw.hls.stitching import MARK, NO_KEY, Item, Outline, Standing, enciphered, whole_ranges
+from laddergw.hls.stitching import ITEM_MARK, NO_KEY, ActiveTags, Item, Outline, is_encrypted, with_explicit_byte_ranges
 from laddergw.hls.values import Media, Segment, time_ms, time_text
 from laddergw.hls.writing import segment_text, write
 from laddergw.programme.schedule import Placed, starts
@@ -63,7 +63,7 @@
     """A title's media playlists by rung, their segments alike in number and length; one for all its sessions."""
 
     def __init__(self, rungs: tuple[Media, ...]):
-        self.rungs = rungs = tuple(whole_ranges(media) for media in rungs)
+        self.rungs = rungs = tuple(with_explicit_byte_ranges(media) for media in rungs)
         self.outlines = tuple(Outline(media) for media in rungs)
         if len({tuple(round(s.duration_ms) for s in media.segments) for media in rungs}) != 1:
             raise ValueError("the rungs' segments differ in number or length")
@@ -72,10 +72,10 @@
         self.starts = starts(rungs[0])
         self.target = max(media.target_ms for media in rungs)
         self.version = max((media.version for media in rungs if media.version is not None), default=None)
-        self.independent = all(media.independent for media in rungs)
+        self.independent = all(media.independent_segments for media in rungs)
 
     def head(self, target_ms: float) -> bytes:
-        return write(Media((), target_ms, kind="EVENT", version=self.version, independent=self.independent)).encode()
+        return write(Media((), target_ms, playlist_type="EVENT", version=self.version, independent_segments=self.independent)).encode()
 
     def place(self, from_ms: float) -> int:
         """The segment with which a viewer goes on that has seen the programme up to a time, ms."""
@@ -92,10 +92,10 @@
         self.placed = sorted(placed, key=lambda one: one.place)
         self.next = first                      # programme segment that comes next
         self.shown_ms = 0.0                    # of the session's own time, items included
-        self.zero = self.outlines[0].clocks[first]
+        self.zero = self.outlines[0].programme_times[first]
         self.name, self.origins = name, []
         self.body = bytearray()
-        self.left = Standing()                 # what holds on behind the last segment shown
+        self.left = ActiveTags()               # what holds on behind the last segment shown
         self.last: Era | None = None           # era of the last programme segment, None behind an item
         self.target = max(title.target, target_ms)
         self.head = title.head(self.target)
@@ -134,13 +134,13 @@
         served = serve(chosen) if chosen.item is not None else None
         if served is None or not self.can_stand(served.item):
             return self.decided(placed, placed.item, "left out", chosen.why or "it cannot be had or cannot stand here")
-        segments = whole_ranges(served.item.media).segments
+        segments = with_explicit_byte_ranges(served.item.media).segments
         for place, segment in enumerate(segments):
             if place == 0:
-                segment = self.entering(segment, Standing())
-                note = f'{MARK}NAME="{served.item.name}",SEGMENTS={len(segments)}'
-                segment = segment._replace(others=(note,) + segment.others)
-            self.show(segment._replace(ranges=(), time_ms=self.now() if place == 0 else None, time_text=""), served.base,
+                segment = self.entering(segment, ActiveTags())
+                note = f'{ITEM_MARK}NAME="{served.item.name}",SEGMENTS={len(segments)}'
+                segment = segment._replace(unknown_lines=(note,) + segment.unknown_lines)
+            self.show(segment._replace(date_ranges=(), time_ms=self.now() if place == 0 else None, time_text=""), served.base,
                       served.node, served.item.name)
         self.last = None
         return self.decided(placed, served.item.name, "shown", chosen.why)
@@ -159,26 +159,26 @@
 
     def can_stand(self, item: Item) -> bool:
         """Whole or not at all: it ends, no segment is over the target, and both or neither have initialisation sections."""
-        section = self.outlines[0].states[min(self.next, len(self.outlines[0].states) - 2) + 1].map
+        section = self.outlines[0].active_tags[min(self.next, len(self.outlines[0].active_tags) - 2) + 1].map
         own = item.media.segments[0].map if item.media.segments else None
         return bool(item.media.segments) and item.media.ended and (section is None) == (own is None) and longest(item.media) <= self.target
 
     def programme(self, era: Era) -> None:
         segment, outline = self.rungs[era.rung].segments[self.next], self.outlines[era.rung]
         fresh = self.last is None or self.last.rung != era.rung
-        shift = 0.0 if self.zero is None else self.now() - (outline.clocks[self.next] if outline.clocks[self.next] is not None else self.now())
+        shift = 0.0 if self.zero is None else self.now() - (outline.programme_times[self.next] if outline.programme_times[self.next] is not None else self.now())
         if fresh and (self.origins or self.next):
-            segment = self.entering(segment, outline.states[self.next])._replace(time_ms=self.now(), time_text="")
+            segment = self.entering(segment, outline.active_tags[self.next])._replace(time_ms=self.now(), time_text="")
         elif segment.time_ms is not None:
             segment = segment._replace(time_ms=self.now(), time_text="")
-        if shift and segment.ranges:
-            segment = segment._replace(ranges=tuple(later(found, shift) for found in segment.ranges))
+        if shift and segment.date_ranges:
+            segment = segment._replace(date_ranges=tuple(later(found, shift) for found in segment.date_ranges))
         self.show(segment, era.base, era.node)
         self.last, self.next = era, self.next + 1
 
-    def entering(self, segment: Segment, state: Standing) -> Segment:
+    def entering(self, segment: Segment, state: ActiveTags) -> Segment:
         """A segment behind a cut: what held on in its own playlist is stated anew, what held on here is ended."""
-        keys = segment.keys or state.keys or ((NO_KEY,) if enciphered(self.left.keys) else ())
+        keys = segment.keys or state.keys or ((NO_KEY,) if is_encrypted(self.left.keys) else ())
         return segment._replace(discontinuity=bool(self.origins), keys=keys, map=segment.map or state.map)
 
     def now(self) -> float | None:
@@ -192,8 +192,8 @@
             if uri is None:
                 return found
             beside.append(uri)
-            return found.with_("URI", urljoin(base, uri) if self.name is None else self.name(f"{BESIDE}{number}-{len(beside) - 1}"))
-        self.left = Standing(segment.keys or self.left.keys, segment.map or self.left.map)
+            return found.with_value("URI", urljoin(base, uri) if self.name is None else self.name(f"{BESIDE}{number}-{len(beside) - 1}"))
+        self.left = ActiveTags(segment.keys or self.left.keys, segment.map or self.left.map)
         uri = segment.uri
         segment = segment._replace(
             uri=urljoin(base, uri) if self.name is None else self.name(f"{SEGMENT}{number}"), keys=tuple(map(named, segment.keys)),
@@ -220,6 +220,6 @@
 
 def later(found: Attributes, shift: float) -> Attributes:
     try:
-        return found.with_("START-DATE", time_text(time_ms(found.get("START-DATE") or "") + shift))
+        return found.with_value("START-DATE", time_text(time_ms(found.get("START-DATE") or "") + shift))
     except ValueError:
         return found
--- a/laddergw/edge/fetching.py
+++ b/laddergw/edge/fetching.py
@@ -3,13 +3,13 @@
 from typing import Any, Callable, NamedTuple
 
 from laddergw.edge.cache import Bounds, Cache
-from laddergw.hls.reading import BadPlaylist, read
+from laddergw.hls.reading import InvalidPlaylist, read
 from laddergw.hls.values import Media
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
 
 LIMIT_MS = 800.0           # one fetch; then the next source is tried
-LIMITS = PoolLimits(connections=8, waiting=256, answer_bytes=16_777_216)
+LIMITS = PoolLimits(max_connections=8, max_waiting=256, max_answer_bytes=16_777_216)
 
 
 class Copies(NamedTuple):
@@ -37,7 +37,7 @@
         self.fetcher.fetches += 1
         call = pool.call("GET", self.path, b"", self.ended)
         self.calls.append(call)
-        loop.call_later(LIMIT_MS, lambda: call.cut("no playlist in time"))
+        loop.call_later(LIMIT_MS, lambda: call.abort("no playlist in time"))
         if self.extra and self.rest:
             loop.call_later(self.copies.after_ms, lambda: self.copy(call))
 
@@ -55,7 +55,7 @@
         if call.status == 200:
             try:
                 media = read(call.body)
-            except BadPlaylist:
+            except InvalidPlaylist:
                 media = None
         if isinstance(media, Media):
             self.fetcher.cache.put(self.path, media, len(call.body), self.fetcher.loop.now)
@@ -67,7 +67,7 @@
         if not self.over:
             self.over = True
             for call in self.calls:
-                call.cut("another copy was quicker")
+                call.abort("another copy was quicker")
             self.done(value)
 
 
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -74,10 +74,10 @@
         self.session_numbers += 1
         name = f"{self.name}-{self.session_numbers}"
         session = self.sessions[name] = Session(self, name, exchange, frame)
-        exchange.on_gone = lambda: self.end(session, LEFT)
+        exchange.on_disconnect = lambda: self.end(session, LEFT)
         margin = self.bounds.answer_margin_ms
-        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.late, margin) + margin / 2, lambda: self.too_late(session))
-        self.ask(session, exchange.body, exchange.read_at, exchange.late)
+        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.stall_ms, margin) + margin / 2, lambda: self.too_late(session))
+        self.ask(session, exchange.body, exchange.read_at, exchange.stall_ms)
 
     def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
         session.tries += 1
@@ -135,8 +135,8 @@
         session.composer = Composer(title, placed, lambda what: session.path + what, self.target(placed), first)
         session.playing = Playing(self.loop.now, session.composer.target, session.terms.first_segment_ms)
         told = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
-        session.exchange.answer(200, frames.encode(told), extra=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
-        session.exchange.on_gone = None
+        session.exchange.answer(200, frames.encode(told), extra_headers=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
+        session.exchange.on_disconnect = None
 
     def too_late(self, session: Session) -> None:
         """The viewer's limit comes before its playlists do."""
@@ -168,7 +168,7 @@
         return max((longest(media) for media in known if media is not None and media.segments), default=0.0)
 
     def turned_away(self, session: Session, status: int, body: bytes, extra: str) -> None:
-        session.exchange.answer(status, body, extra=extra)
+        session.exchange.answer(status, body, extra_headers=extra)
         self.end(session, "turned away")
 
     # A play is lost under way: it is asked for again, at our own door
@@ -217,7 +217,7 @@
         """Whoever is told that a session is over asks for another, here or elsewhere: not before its allocation is let go."""
         ending = self.ending.get(exchange.path.split("/")[2])
         if ending is not None and not ending.stand.settled:
-            return exchange.answer(503, frames.problem("the session ends"), extra="Retry-After: 1\r\n") and None
+            return exchange.answer(503, frames.problem("the session ends"), extra_headers="Retry-After: 1\r\n") and None
         exchange.answer(error.status, frames.problem(str(error)))
         return None
 
@@ -238,7 +238,7 @@
             if session.playing.stalls(self.loop.now, number):
                 self.stalled(session, origin)
         if origin.item is None and session.era is None:
-            exchange.answer(503, frames.problem("the play is being moved"), extra="Retry-After: 1\r\n")
+            exchange.answer(503, frames.problem("the play is being moved"), extra_headers="Retry-After: 1\r\n")
             return
         base = session.era.base if origin.item is None else self.item_from(session, origin)
         exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, beside)}\r\n")
@@ -382,8 +382,8 @@
         stand = session.stand
         if stand is not None and not stand.settled:
             self.ending[session.name] = session
-        if stand is not None and stand.on_gone is not None and not stand.ended:
-            stand.on_gone()
+        if stand is not None and stand.on_disconnect is not None and not stand.ended:
+            stand.on_disconnect()
 
     def close_door(self) -> None:
         """Players of what still plays come in by new connections: the door turns new sessions away by itself."""
--- a/laddergw/edge/sessions.py
+++ b/laddergw/edge/sessions.py
@@ -17,28 +17,28 @@
     """Stands for an open exchange: what a Director does to one is told to the session."""
 
     def __init__(self, session: "Session", body: bytes, now: float, late: float = 0.0):
-        self.session, self.body, self.read_at, self.late = session, body, now, late
+        self.session, self.body, self.read_at, self.stall_ms = session, body, now, late
         self.method, self.path, self.headers, self.query = "POST", "/v1/plays", {}, ""
-        self.on_gone = None
+        self.on_disconnect = None
         self.begun = self.ended = False
         self.settled = False                   # no allocation of it is out any more
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return self.session.state == OVER
 
-    def answer(self, status: int, body: bytes = b"", kind: str = "application/json", extra: str = "") -> bool:
+    def answer(self, status: int, body: bytes = b"", content_type: str = "application/json", extra_headers: str = "") -> bool:
         if self.begun:
             return False
         self.begun = self.ended = True
-        self.session.not_playing(self, status, body, extra)
+        self.session.not_playing(self, status, body, extra_headers)
         return True
 
-    def begin(self, status: int, first: bytes = b"", kind: str = "application/json") -> bool:
-        if self.begun or self.gone:
+    def begin(self, status: int, first_chunk: bytes = b"", content_type: str = "application/json") -> bool:
+        if self.begun or self.disconnected:
             return False
         self.begun = True
-        self.session.plays(self, msgspec.json.decode(first))
+        self.session.plays(self, msgspec.json.decode(first_chunk))
         return True
 
     def push(self, data: bytes) -> bool:
--- a/laddergw/hls/attributes.py
+++ b/laddergw/hls/attributes.py
@@ -7,7 +7,7 @@
 MOST_PAIRS = 64            # of one tag: the standard's longest has under thirty
 
 
-class BadAttributes(ValueError):
+class InvalidAttributes(ValueError):
     """An attribute list that breaks the grammar; the text says where."""
 
 
@@ -22,7 +22,7 @@
                 return value[1:-1] if value[:1] == '"' else value
         return None
 
-    def with_(self, name: str, value: str, quoted: bool = True) -> "Attributes":
+    def with_value(self, name: str, value: str, quoted: bool = True) -> "Attributes":
         """The same list with one value set, in its place or at the end."""
         text = f'"{value}"' if quoted else value
         if any(key == name for key, _ in self.pairs):
@@ -34,24 +34,24 @@
 
 
 def read(text: str) -> Attributes:
-    """Raises BadAttributes with the column (from 1, within the list)."""
+    """Raises InvalidAttributes with the column (from 1, within the list)."""
     pairs, at, names = [], 0, set()
     while at < len(text):
         found = PAIR.match(text, at)
         if found is None:
-            raise BadAttributes(f"attribute at column {at + 1} is not NAME=value")
+            raise InvalidAttributes(f"attribute at column {at + 1} is not NAME=value")
         name, value, comma = found.groups()
         if not NAME.match(name):
-            raise BadAttributes(f"attribute name {name[:20]!r} at column {at + 1}")
+            raise InvalidAttributes(f"attribute name {name[:20]!r} at column {at + 1}")
         if name in names:
-            raise BadAttributes(f"attribute {name} stands twice")
+            raise InvalidAttributes(f"attribute {name} stands twice")
         if len(pairs) >= MOST_PAIRS:
-            raise BadAttributes(f"more than {MOST_PAIRS} attributes")
+            raise InvalidAttributes(f"more than {MOST_PAIRS} attributes")
         names.add(name)
         pairs.append((name, value.rstrip()))
         at = found.end()
         if comma and at == len(text):
-            raise BadAttributes("a comma at the end")
+            raise InvalidAttributes("a comma at the end")
     if not pairs:
-        raise BadAttributes("no attributes")
+        raise InvalidAttributes("no attributes")
     return Attributes(tuple(pairs))
--- a/laddergw/hls/reading.py
+++ b/laddergw/hls/reading.py
@@ -17,16 +17,16 @@
 CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f\x85\u2028\u2029]")
 
 
-class Fault(NamedTuple):
+class PlaylistFault(NamedTuple):
     """What is wrong, and at which line (from 1)."""
     line: int
     reason: str
 
 
-class BadPlaylist(ValueError):
+class InvalidPlaylist(ValueError):
     """A text that is no playlist; `faults` in order of lines."""
 
-    def __init__(self, faults: list[Fault]):
+    def __init__(self, faults: list[PlaylistFault]):
         super().__init__("; ".join(f"line {line}: {reason}" for line, reason in faults))
         self.faults = faults
 
@@ -35,7 +35,7 @@
     """Goes through the lines once. `head` and `pending` hold what was read for the playlist and for the next segment."""
 
     def __init__(self):
-        self.faults: list[Fault] = []
+        self.faults: list[PlaylistFault] = []
         self.number = 0
         self.segments: list[Segment] = []
         self.variants: list[Variant] = []
@@ -48,7 +48,7 @@
 
     def fault(self, reason: str) -> None:
         if len(self.faults) < MOST_FAULTS:
-            self.faults.append(Fault(self.number, reason))
+            self.faults.append(PlaylistFault(self.number, reason))
 
     def line(self, line: str) -> None:
         if not line:
@@ -69,7 +69,7 @@
         elif "duration_ms" in self.pending:
             if "ended" in self.head:
                 self.fault("a segment behind EXT-X-ENDLIST")
-            self.segments.append(Segment(uri, others=tuple(self.others), **self.pending))
+            self.segments.append(Segment(uri, unknown_lines=tuple(self.others), **self.pending))
         else:
             self.fault("an address without EXTINF or EXT-X-STREAM-INF before it")
         self.pending, self.others = {}, []
@@ -88,7 +88,7 @@
     def pairs(self, tag: str, text: str) -> Attributes | None:
         try:
             return attributes.read(text)
-        except attributes.BadAttributes as error:
+        except attributes.InvalidAttributes as error:
             return self.fault(f"{tag}: {error}")
 
     # Tags of a media playlist
@@ -160,7 +160,7 @@
         self.keep(self.head, "version", tag, self.whole(tag, text))
 
     def independent(self, tag: str, text: str) -> None:
-        self.keep(self.head, "independent", tag, self.flag(tag, text))
+        self.keep(self.head, "independent_segments", tag, self.flag(tag, text))
 
     def variant(self, tag: str, text: str) -> None:
         self.of_multivariant = True
@@ -188,7 +188,7 @@
         if self.of_multivariant:
             if not self.variants:
                 self.fault("no variant")
-            found = Multivariant(tuple(self.variants), tuple(self.listed), head.get("version"), "independent" in head, tail)
+            found = Multivariant(tuple(self.variants), tuple(self.listed), head.get("version"), "independent_segments" in head, tail)
         else:
             target = head.get("target_ms")
             if target is None:
@@ -196,19 +196,19 @@
             over = [s for s in self.segments if target is not None and int(s.duration_ms / 1000 + 0.5) * 1000 > target]
             for segment in over:
                 self.fault(f"{segment.uri[:60]}: {segment.duration_ms:g} ms is over the target duration")
-            found = Media(tuple(self.segments), **{"target_ms": 0.0} | head, tail=tail)
+            found = Media(tuple(self.segments), **{"target_ms": 0.0} | head, trailing_lines=tail)
         if self.faults:
-            raise BadPlaylist(self.faults)
+            raise InvalidPlaylist(self.faults)
         return found
 
     TAGS = {
         "EXT-X-VERSION": version, "EXT-X-INDEPENDENT-SEGMENTS": independent, "EXTINF": extinf, "EXT-X-PROGRAM-DATE-TIME": time,
         "EXT-X-TARGETDURATION": of_head("target_ms", seconds), "EXT-X-MEDIA-SEQUENCE": of_head("sequence", whole),
-        "EXT-X-DISCONTINUITY-SEQUENCE": of_head("discontinuities", whole), "EXT-X-PLAYLIST-TYPE": of_head("kind", kind),
-        "EXT-X-ENDLIST": of_head("ended", flag), "EXT-X-SERVER-CONTROL": of_head("control", pairs),
+        "EXT-X-DISCONTINUITY-SEQUENCE": of_head("discontinuity_sequence", whole), "EXT-X-PLAYLIST-TYPE": of_head("playlist_type", kind),
+        "EXT-X-ENDLIST": of_head("ended", flag), "EXT-X-SERVER-CONTROL": of_head("server_control", pairs),
         "EXT-X-DISCONTINUITY": of_segment("discontinuity", flag), "EXT-X-GAP": of_segment("gap", flag),
         "EXT-X-BYTERANGE": of_segment("byte_range", span), "EXT-X-MAP": of_segment("map", pairs),
-        "EXT-X-KEY": several("keys", pairs), "EXT-X-DATERANGE": several("ranges", date_range),
+        "EXT-X-KEY": several("keys", pairs), "EXT-X-DATERANGE": several("date_ranges", date_range),
         "EXT-X-STREAM-INF": variant, "EXT-X-MEDIA": rendition, "EXT-X-I-FRAME-STREAM-INF": rendition,
         "EXT-X-SESSION-DATA": rendition, "EXT-X-SESSION-KEY": rendition}
 
@@ -217,17 +217,17 @@
 
 
 def read(data: bytes | str) -> Playlist:
-    """The playlist in a text. Raises BadPlaylist with its faults, each with its line."""
+    """The playlist in a text. Raises InvalidPlaylist with its faults, each with its line."""
     if len(data) > MOST_BYTES:
-        raise BadPlaylist([Fault(1, f"{len(data)} bytes, {MOST_BYTES} at most")])
+        raise InvalidPlaylist([PlaylistFault(1, f"{len(data)} bytes, {MOST_BYTES} at most")])
     try:
         text = data.decode("utf-8") if isinstance(data, bytes) else data
     except UnicodeDecodeError as error:
-        raise BadPlaylist([Fault(data[:error.start].count(b"\n") + 1, "not UTF-8")]) from None
+        raise InvalidPlaylist([PlaylistFault(data[:error.start].count(b"\n") + 1, "not UTF-8")]) from None
     reader = Reader()
     lines = text.split("\n")
     if lines[0].rstrip("\r") != "#EXTM3U":
-        raise BadPlaylist([Fault(1, "does not begin with #EXTM3U")])
+        raise InvalidPlaylist([PlaylistFault(1, "does not begin with #EXTM3U")])
     for reader.number, line in enumerate(lines[1:], 2):
         if line.endswith("\r"):
             line = line[:-1]
--- a/laddergw/hls/rendered.py
+++ b/laddergw/hls/rendered.py
@@ -24,7 +24,7 @@
         return self.text[self.starts[low]:self.starts[high]]
 
 
-class Rendered:
+class RenderedPlaylist:
     """One source playlist in two runs: as it stands, and as it stands behind items, where times that follow are left out."""
 
     def __init__(self, source: Media):
@@ -35,7 +35,7 @@
             segment._replace(time_ms=None, time_text="") if outline.restated[place] else segment
             for place, segment in enumerate(source.segments))
         self.anew = [place for place, segment in enumerate(source.segments)
-                     if segment.ranges or segment.time_ms is not None and not outline.restated[place]]
+                     if segment.date_ranges or segment.time_ms is not None and not outline.restated[place]]
         self.head = head(source)
         self.foot = foot(source)
 
@@ -50,7 +50,7 @@
         return b"".join((self.head, self.plain_run.text, self.foot))
 
     def stitched(self, insertions: Iterable[Insertion]) -> bytes:
-        """The session's playlist. Raises CannotStitch as stitch() does."""
+        """The session's playlist. Raises StitchingError as stitch() does."""
         plan = Plan(self.outline, insertions)
         if not plan.shown and not plan.gone_ms:
             return b"".join((head(plan.head), self.plain_run.text, self.foot))
@@ -76,8 +76,8 @@
 
 
 def head(media: Media) -> bytes:
-    return write(media._replace(segments=(), tail=(), ended=False)).encode()
+    return write(media._replace(segments=(), trailing_lines=(), ended=False)).encode()
 
 
 def foot(media: Media) -> bytes:
-    return "".join(line + "\n" for line in media.tail).encode() + (b"#EXT-X-ENDLIST\n" if media.ended else b"")
+    return "".join(line + "\n" for line in media.trailing_lines).encode() + (b"#EXT-X-ENDLIST\n" if media.ended else b"")
--- a/laddergw/hls/stitching.py
+++ b/laddergw/hls/stitching.py
@@ -10,12 +10,12 @@
 from laddergw.hls.attributes import Attributes
 from laddergw.hls.values import Media, Segment, time_ms, time_text
 
-MARK = "#X-LADDERGW-ITEM:"     # a comment to players; unstitch() reads it
+ITEM_MARK = "#X-LADDERGW-ITEM:"     # a comment to players; unstitch() reads it
 RESTATED_MS = 0.5              # a time this near to what follows from the ones before says nothing new
 NO_KEY = Attributes((("METHOD", "NONE"),))
 
 
-class CannotStitch(ValueError):
+class StitchingError(ValueError):
     """An item that cannot stand there; the text says why."""
 
 
@@ -35,34 +35,34 @@
 
 
 class Insertion(NamedTuple):
-    """An item before a programme segment. `cut_there`: that segment has a discontinuity of its own, which counts itself."""
-    at: int
+    """An item before a programme segment. `has_own_discontinuity`: that segment has a discontinuity of its own, which counts itself."""
+    sequence_number: int
     item: Item
-    cut_there: bool = False
+    has_own_discontinuity: bool = False
 
 
-class Standing(NamedTuple):
+class ActiveTags(NamedTuple):
     """What holds on at a segment because it was stated earlier."""
     keys: tuple[Attributes, ...] = ()
     map: Attributes | None = None
 
 
 def usable(item: Item) -> None:
-    """Raises CannotStitch for an item that could never stand anywhere whole."""
+    """Raises StitchingError for an item that could never stand anywhere whole."""
     if not item.media.segments:
-        raise CannotStitch(f"item {item.name}: no segment")
+        raise StitchingError(f"item {item.name}: no segment")
     if not item.media.ended:
-        raise CannotStitch(f"item {item.name}: its playlist still grows")
+        raise StitchingError(f"item {item.name}: its playlist still grows")
     if '"' in item.name or not item.name:
-        raise CannotStitch(f"item {item.name!r}: not a name")
+        raise StitchingError(f"item {item.name!r}: not a name")
 
 
-def standing(segments: Iterable[Segment], before: Standing = Standing()) -> Standing:
+def standing(segments: Iterable[Segment], before: ActiveTags = ActiveTags()) -> ActiveTags:
     """What holds on behind these segments."""
     keys, section = before
     for segment in segments:
         keys, section = segment.keys or keys, segment.map or section
-    return Standing(keys, section)
+    return ActiveTags(keys, section)
 
 
 class Outline:
@@ -70,22 +70,22 @@
 
     def __init__(self, source: Media):
         self.source = source
-        self.states, self.clocks, self.restated = [], [], []
-        state, clock = Standing(), None
+        self.active_tags, self.programme_times, self.restated = [], [], []
+        state, clock = ActiveTags(), None
         for segment in source.segments:
             self.restated.append(clock is not None and segment.time_ms is not None and abs(segment.time_ms - clock) <= RESTATED_MS)
             clock = segment.time_ms if segment.time_ms is not None else clock
-            self.states.append(state)
-            self.clocks.append(clock)
-            state = Standing(segment.keys or state.keys, segment.map or state.map)
+            self.active_tags.append(state)
+            self.programme_times.append(clock)
+            state = ActiveTags(segment.keys or state.keys, segment.map or state.map)
             clock = None if clock is None else clock + segment.duration_ms
-        self.states.append(state)
-        self.clocks.append(clock)
+        self.active_tags.append(state)
+        self.programme_times.append(clock)
 
     def place_at(self, when: float) -> int | None:
         """The last segment that begins at or before a time, from the start of the playlist."""
         found = None
-        for place, clock in enumerate(self.clocks[:-1]):
+        for place, clock in enumerate(self.programme_times[:-1]):
             if clock is not None and clock <= when:
                 found = place
         return found
@@ -100,7 +100,7 @@
         places: dict[int, list[Insertion]] = {}
         for insertion in insertions:
             usable(insertion.item)
-            places.setdefault(insertion.at - self.first, []).append(insertion)
+            places.setdefault(insertion.sequence_number - self.first, []).append(insertion)
         self.shown = {place: here for place, here in sorted(places.items())
                       if 0 <= place < self.count or place == self.count and source.ended}
         gone = [here for place, here in places.items() if place < 0]
@@ -112,9 +112,9 @@
         seen = [one.item.media for here in self.shown.values() for one in here]
         self.head = source._replace(
             sequence=source.sequence + sum(len(one.item.media.segments) for here in gone for one in here),
-            discontinuities=source.discontinuities + sum(sum(one.item.cuts for one in here) + (not here[0].cut_there) for here in gone),
+            discontinuity_sequence=source.discontinuity_sequence + sum(sum(one.item.cuts for one in here) + (not here[0].has_own_discontinuity) for here in gone),
             target_ms=max([source.target_ms] + [one.item.media.target_ms for here in places.values() for one in here]),
-            independent=source.independent and all(media.independent for media in seen),
+            independent_segments=source.independent_segments and all(media.independent_segments for media in seen),
             version=max((v for v in [source.version] + [media.version for media in seen] if v is not None), default=None))
 
     def shift(self, place: int) -> float:
@@ -129,7 +129,7 @@
     def splice(self, place: int) -> tuple[list[Segment], Segment | None]:
         """The items at a place, and the programme's segment behind them (None at the end)."""
         here, outline = self.shown[place], self.outline
-        state, clock = outline.states[place], outline.clocks[place]
+        state, clock = outline.active_tags[place], outline.programme_times[place]
         at_ms = None if clock is None else clock + self.shift(place) - sum(one.item.length_ms for one in here)
         back, added = None, []
         if place < self.count:
@@ -148,8 +148,8 @@
                 segment = segment._replace(time_ms=None, time_text="")
             else:
                 segment = segment._replace(time_ms=segment.time_ms + shift, time_text="")
-        if segment.ranges:
-            segment = segment._replace(ranges=tuple(map(self.moved, segment.ranges)))
+        if segment.date_ranges:
+            segment = segment._replace(date_ranges=tuple(map(self.moved, segment.date_ranges)))
         return segment
 
     def moved(self, found: Attributes) -> Attributes:
@@ -160,11 +160,11 @@
             return found
         place = self.outline.place_at(when)
         shift = self.shift(place) if place is not None else 0.0
-        return found.with_("START-DATE", time_text(when + shift)) if shift else found
+        return found.with_value("START-DATE", time_text(when + shift)) if shift else found
 
 
 def stitch(source: Media, insertions: Iterable[Insertion]) -> Media:
-    """The playlist with its items. Raises CannotStitch; insertions whose place has left the window only count."""
+    """The playlist with its items. Raises StitchingError; insertions whose place has left the window only count."""
     plan, out = Plan(Outline(source), insertions), []
     for place, segment in enumerate(source.segments):
         if place in plan.shown:
@@ -177,42 +177,42 @@
     return plan.head._replace(segments=tuple(out))
 
 
-def placed(here: list[Insertion], state: Standing, at_ms: float | None, added: list[str]) -> list[Segment]:
+def placed(here: list[Insertion], state: ActiveTags, at_ms: float | None, added: list[str]) -> list[Segment]:
     """The segments of the items at one place, in order."""
     out = []
     for index, insertion in enumerate(here):
         item, now = insertion.item, at_ms
         begins = standing(item.media.segments[:1])
         if state.map is not None and begins.map is None:
-            raise CannotStitch(f"item {item.name}: it has no initialisation section and what stands before it has one")
+            raise StitchingError(f"item {item.name}: it has no initialisation section and what stands before it has one")
         for place, segment in enumerate(item.media.segments):
-            segment = segment._replace(ranges=(), time_ms=None, time_text="")
+            segment = segment._replace(date_ranges=(), time_ms=None, time_text="")
             if place == 0:
-                keys = segment.keys or ((NO_KEY,) if enciphered(state.keys) else ())
-                note = f'{MARK}NAME="{item.name}",SEGMENTS={len(item.media.segments)},ADDED="{" ".join(added) if index == len(here) - 1 else ""}"'
-                segment = segment._replace(discontinuity=True, keys=keys, others=(note,) + segment.others,
+                keys = segment.keys or ((NO_KEY,) if is_encrypted(state.keys) else ())
+                note = f'{ITEM_MARK}NAME="{item.name}",SEGMENTS={len(item.media.segments)},ADDED="{" ".join(added) if index == len(here) - 1 else ""}"'
+                segment = segment._replace(discontinuity=True, keys=keys, unknown_lines=(note,) + segment.unknown_lines,
                                            time_ms=now, byte_range=explicit(item.media.segments, 0))
             out.append(segment)
             now = None if now is None else now + segment.duration_ms
         at_ms = now
-        state = standing(item.media.segments, Standing((), state.map))
+        state = standing(item.media.segments, ActiveTags((), state.map))
     return out
 
 
-def enciphered(keys: tuple[Attributes, ...]) -> bool:
+def is_encrypted(keys: tuple[Attributes, ...]) -> bool:
     return any(key.get("METHOD") != "NONE" for key in keys)
 
 
-def back_to(segment: Segment, segments: tuple, offset: int, state: Standing, item: Item, clock: float | None) -> tuple[Segment, list[str]]:
+def back_to(segment: Segment, segments: tuple, offset: int, state: ActiveTags, item: Item, clock: float | None) -> tuple[Segment, list[str]]:
     """The programme's first segment behind items, with what must be stated anew there, and the names of what was."""
     added, left = [], standing(item.media.segments)
     if not segment.discontinuity:
         segment, added = segment._replace(discontinuity=True), added + ["cut"]
-    if not segment.keys and (state.keys or enciphered(left.keys)):
+    if not segment.keys and (state.keys or is_encrypted(left.keys)):
         segment, added = segment._replace(keys=state.keys or (NO_KEY,)), added + ["keys"]
     if segment.map is None and left.map is not None:
         if state.map is None:
-            raise CannotStitch(f"item {item.name}: it has an initialisation section and the programme has none")
+            raise StitchingError(f"item {item.name}: it has an initialisation section and the programme has none")
         segment, added = segment._replace(map=state.map), added + ["map"]
     if (full := explicit(segments, offset)) != segment.byte_range:
         segment, added = segment._replace(byte_range=full), added + ["range"]
@@ -236,7 +236,7 @@
     return found
 
 
-def whole_ranges(media: Media) -> Media:
+def with_explicit_byte_ranges(media: Media) -> Media:
     """The playlist with a start in each byte range, so that a segment can stand without those before it."""
     out, last = [], None
     for segment in media.segments:
@@ -252,13 +252,13 @@
     return media._replace(segments=tuple(out))
 
 
-def marks(media: Media) -> list[tuple[int, Attributes]]:
+def item_marks(media: Media) -> list[tuple[int, Attributes]]:
     """(place in the playlist, mark) of each item that stands in it."""
     found = []
     for place, segment in enumerate(media.segments):
-        for line in segment.others:
-            if line.startswith(MARK):
-                found.append((place, attributes.read(line[len(MARK):])))
+        for line in segment.unknown_lines:
+            if line.startswith(ITEM_MARK):
+                found.append((place, attributes.read(line[len(ITEM_MARK):])))
     return found
 
 
@@ -266,7 +266,7 @@
     """The programme of a stitched playlist, by its marks. `source` gives the head's values, and programme time as told."""
     times = {number: segment for number, segment in enumerate(source.segments)}
     out, skip, added = [], 0, None
-    found = dict(marks(media))
+    found = dict(item_marks(media))
     for place, segment in enumerate(media.segments):
         if place in found:
             skip, added = int(found[place].get("SEGMENTS")), (found[place].get("ADDED") or "").split()
@@ -277,7 +277,7 @@
         if added:
             segment = without(segment, added, told)
         added = None
-        out.append(segment._replace(time_ms=told.time_ms, time_text=told.time_text, ranges=told.ranges))
+        out.append(segment._replace(time_ms=told.time_ms, time_text=told.time_text, date_ranges=told.date_ranges))
     return source._replace(segments=tuple(out))
 
 
--- a/laddergw/hls/values.py
+++ b/laddergw/hls/values.py
@@ -23,8 +23,8 @@
     keys: tuple[Attributes, ...] = ()       # EXT-X-KEY stated here; they hold on until stated anew
     map: Attributes | None = None           # EXT-X-MAP stated here; holds on
     gap: bool = False
-    ranges: tuple[Attributes, ...] = ()     # EXT-X-DATERANGE
-    others: tuple[str, ...] = ()            # lines that we do not know, in order
+    date_ranges: tuple[Attributes, ...] = ()     # EXT-X-DATERANGE
+    unknown_lines: tuple[str, ...] = ()            # lines that we do not know, in order
     duration_text: str = ""
 
 
@@ -33,20 +33,20 @@
     segments: tuple[Segment, ...]
     target_ms: float
     sequence: int = 0
-    discontinuities: int = 0                # EXT-X-DISCONTINUITY-SEQUENCE
+    discontinuity_sequence: int = 0                # EXT-X-DISCONTINUITY-SEQUENCE
     version: int | None = None
-    kind: str | None = None                 # EXT-X-PLAYLIST-TYPE
+    playlist_type: str | None = None                 # EXT-X-PLAYLIST-TYPE
     ended: bool = False
-    independent: bool = False
-    control: Attributes | None = None       # EXT-X-SERVER-CONTROL
-    tail: tuple[str, ...] = ()              # unknown lines behind the last segment
+    independent_segments: bool = False
+    server_control: Attributes | None = None       # EXT-X-SERVER-CONTROL
+    trailing_lines: tuple[str, ...] = ()              # unknown lines behind the last segment
 
 
 class Variant(NamedTuple):
     """EXT-X-STREAM-INF and its address."""
     uri: str
     attributes: Attributes
-    others: tuple[str, ...] = ()
+    unknown_lines: tuple[str, ...] = ()
 
     @property
     def bandwidth(self) -> int:
@@ -54,12 +54,12 @@
 
 
 class Multivariant(NamedTuple):
-    """A multivariant playlist. `media`: EXT-X-MEDIA and other listed tags of the head, as (tag, attributes)."""
+    """A multivariant playlist. `head_tags`: EXT-X-MEDIA and other listed tags of the head, as (tag, attributes)."""
     variants: tuple[Variant, ...]
-    media: tuple[tuple[str, Attributes], ...] = ()
+    head_tags: tuple[tuple[str, Attributes], ...] = ()
     version: int | None = None
-    independent: bool = False
-    tail: tuple[str, ...] = ()
+    independent_segments: bool = False
+    trailing_lines: tuple[str, ...] = ()
 
 
 Playlist = Union[Media, Multivariant]
--- a/laddergw/hls/writing.py
+++ b/laddergw/hls/writing.py
@@ -9,18 +9,18 @@
     lines = ["#EXTM3U"]
     if playlist.version is not None:
         lines.append(f"#EXT-X-VERSION:{playlist.version}")
-    if playlist.independent:
+    if playlist.independent_segments:
         lines.append("#EXT-X-INDEPENDENT-SEGMENTS")
     if isinstance(playlist, Media):
         media_head(playlist, lines)
         for segment in playlist.segments:
             lines.append(segment_text(segment))
-        lines.extend(playlist.tail)
+        lines.extend(playlist.trailing_lines)
         if playlist.ended:
             lines.append("#EXT-X-ENDLIST")
     else:
         multivariant(playlist, lines)
-        lines.extend(playlist.tail)
+        lines.extend(playlist.trailing_lines)
     lines.append("")
     return "\n".join(lines)
 
@@ -29,17 +29,17 @@
     lines.append(f"#EXT-X-TARGETDURATION:{math.ceil(media.target_ms / 1000)}")
     if media.sequence:
         lines.append(f"#EXT-X-MEDIA-SEQUENCE:{media.sequence}")
-    if media.discontinuities:
-        lines.append(f"#EXT-X-DISCONTINUITY-SEQUENCE:{media.discontinuities}")
-    if media.kind is not None:
-        lines.append(f"#EXT-X-PLAYLIST-TYPE:{media.kind}")
-    if media.control is not None:
-        lines.append(f"#EXT-X-SERVER-CONTROL:{media.control.write()}")
+    if media.discontinuity_sequence:
+        lines.append(f"#EXT-X-DISCONTINUITY-SEQUENCE:{media.discontinuity_sequence}")
+    if media.playlist_type is not None:
+        lines.append(f"#EXT-X-PLAYLIST-TYPE:{media.playlist_type}")
+    if media.server_control is not None:
+        lines.append(f"#EXT-X-SERVER-CONTROL:{media.server_control.write()}")
 
 
 def segment_text(segment: Segment) -> str:
     """The lines of one segment, its address last; no line feed at the end."""
-    lines = list(segment.others)
+    lines = list(segment.unknown_lines)
     if segment.discontinuity:
         lines.append("#EXT-X-DISCONTINUITY")
     lines.extend(f"#EXT-X-KEY:{key.write()}" for key in segment.keys)
@@ -47,7 +47,7 @@
         lines.append(f"#EXT-X-MAP:{segment.map.write()}")
     if segment.time_ms is not None:
         lines.append(f"#EXT-X-PROGRAM-DATE-TIME:{segment.time_text or time_text(segment.time_ms)}")
-    lines.extend(f"#EXT-X-DATERANGE:{found.write()}" for found in segment.ranges)
+    lines.extend(f"#EXT-X-DATERANGE:{found.write()}" for found in segment.date_ranges)
     if segment.gap:
         lines.append("#EXT-X-GAP")
     if segment.byte_range is not None:
@@ -58,8 +58,8 @@
 
 
 def multivariant(playlist: Multivariant, lines: list[str]) -> None:
-    lines.extend(f"#{tag}:{found.write()}" for tag, found in playlist.media)
+    lines.extend(f"#{tag}:{found.write()}" for tag, found in playlist.head_tags)
     for variant in playlist.variants:
-        lines.extend(variant.others)
+        lines.extend(variant.unknown_lines)
         lines.append(f"#EXT-X-STREAM-INF:{variant.attributes.write()}")
         lines.append(variant.uri)
--- a/laddergw/http/client.py
+++ b/laddergw/http/client.py
@@ -15,23 +15,23 @@
 class Call:
     """One request to a peer. `done(call)` is called once, when it has ended in whatever way.
 
-    After that: `status` (None where no whole answer came), `body`, `why` (text where it failed). At any time:
+    After that: `status` (None where no whole answer came), `body`, `failure` (text where it failed). At any time:
     `written` of `size` bytes given to the kernel, `first_byte_at` and `last_byte_at` in ms, None before.
     """
-    __slots__ = ("pool", "data", "size", "done", "line", "connection", "status", "body", "why", "base", "over",
-                 "first_byte_at", "last_byte_at", "asked_at", "label", "answered_at", "headers")
+    __slots__ = ("pool", "data", "size", "done", "line", "connection", "status", "body", "failure", "base", "over",
+                 "first_byte_at", "last_byte_at", "requested_at", "label", "answered_at", "headers")
 
     def __init__(self, pool: "Pool", data: bytes, done: Callable[["Call"], None], line: Callable | None, label):
         self.pool, self.data, self.size, self.done, self.line, self.label = pool, data, len(data), done, line, label
-        self.connection, self.status, self.body, self.why = None, None, b"", None
+        self.connection, self.status, self.body, self.failure = None, None, b"", None
         self.base, self.over = None, False
         self.first_byte_at = self.last_byte_at = self.answered_at = None
-        self.asked_at, self.headers = pool.loop.now, {}      # headers: of the answer, names in lower case
+        self.requested_at, self.headers = pool.loop.now, {}      # headers: of the answer, names in lower case
 
     @property
-    def refused(self) -> bool:
+    def connection_refused(self) -> bool:
         """Whether no process listens there, which is more than that no connection came."""
-        return self.why is not None and self.why.endswith(CONNECTION_REFUSED)
+        return self.failure is not None and self.failure.endswith(CONNECTION_REFUSED)
 
     @property
     def written(self) -> int:
@@ -43,12 +43,12 @@
 
     def end(self, why: str | None) -> None:
         if not self.over:
-            self.over, self.why = True, why
+            self.over, self.failure = True, why
             self.answered_at = self.pool.loop.now
             self.pool.tapped("ended", self)
             self.done(self)
 
-    def take_back(self) -> bool:
+    def withdraw(self) -> bool:
         """Gives the call up if none of its bytes left this process; False where some did."""
         if self.over or self.written:
             return False
@@ -56,7 +56,7 @@
         self.end("taken back")
         return True
 
-    def cut(self, why: str) -> None:
+    def abort(self, why: str) -> None:
         """Gives the call up wherever it is, with its connection."""
         if self.over:
             return
@@ -108,7 +108,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
             if self.call is not None:
-                self.call.cut(f"answer is not HTTP/1.1: {error.__context__ or error}")
+                self.call.abort(f"answer is not HTTP/1.1: {error.__context__ or error}")
             else:
                 stream.abort()
             return
@@ -120,7 +120,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.answers += len(name) + len(value)
-        if self.answers > self.pool.limits.head_bytes:
+        if self.answers > self.pool.limits.max_head_bytes:
             raise ValueError("its head is too long")
         if self.call is not None:
             self.call.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
@@ -141,11 +141,11 @@
             for line in lines:
                 if line and self.call is call:
                     call.line(line)
-            if len(self.rest) > self.pool.limits.answer_bytes:
+            if len(self.rest) > self.pool.limits.max_answer_bytes:
                 raise ValueError("a line is too long")
             return
         call.body += data
-        if len(call.body) > self.pool.limits.answer_bytes:
+        if len(call.body) > self.pool.limits.max_answer_bytes:
             raise ValueError("its body is too long")
 
     def on_message_complete(self) -> None:
@@ -198,7 +198,7 @@
             if connection.up and connection.stream is not None:
                 connection.start(call)
                 return call
-        if len(self.waiting) >= self.limits.waiting:
+        if len(self.waiting) >= self.limits.max_waiting:
             self.loop.call_soon(lambda: call.end("too many calls wait for this peer"))
             return call
         self.waiting.append(call)
@@ -206,7 +206,7 @@
         return call
 
     def grow(self) -> None:
-        if self.opening < len(self.waiting) and len(self.all) < self.limits.connections:
+        if self.opening < len(self.waiting) and len(self.all) < self.limits.max_connections:
             self.opening += 1
             self.all[Connection(self)] = None
 
@@ -255,9 +255,9 @@
         if call in self.waiting:
             self.waiting.remove(call)
 
-    def take_back(self) -> list[Call]:
+    def withdraw_waiting(self) -> list[Call]:
         """All calls of which no byte has left, given up."""
-        return [call for call in list(self.waiting) if call.take_back()]
+        return [call for call in list(self.waiting) if call.withdraw()]
 
     def close(self) -> None:
         for connection in list(self.all):
--- a/laddergw/http/server.py
+++ b/laddergw/http/server.py
@@ -10,64 +10,64 @@
 class Exchange:
     """One request and its answer. `answer` or `begin`...`finish` may be called at any later moment, once.
 
-    `read_at` is the loop's time at which the request's last byte was read, `late` how long it may have waited before
-    that because the process stood still. `on_gone`, where set, is called when the peer leaves before the end.
+    `read_at` is the loop's time at which the request's last byte was read, `stall_ms` how long it may have waited before
+    that because the process stood still. `on_disconnect`, where set, is called when the peer leaves before the end.
     """
-    __slots__ = ("peer", "method", "path", "query", "headers", "body", "read_at", "late", "on_gone", "begun", "ended",
+    __slots__ = ("connection", "method", "path", "query", "headers", "body", "read_at", "stall_ms", "on_disconnect", "begun", "ended",
                  "keep")
 
-    def __init__(self, peer: "Peer"):
-        self.peer, self.method, self.path, self.query, self.headers, self.body = peer, "", "", "", {}, b""
-        self.read_at = self.late = 0.0
-        self.on_gone: Callable[[], None] | None = None
+    def __init__(self, connection: "ServerConnection"):
+        self.connection, self.method, self.path, self.query, self.headers, self.body = connection, "", "", "", {}, b""
+        self.read_at = self.stall_ms = 0.0
+        self.on_disconnect: Callable[[], None] | None = None
         self.begun = self.ended = False
         self.keep = True
 
     @property
-    def gone(self) -> bool:
-        return self.peer.stream is None
+    def disconnected(self) -> bool:
+        return self.connection.stream is None
 
-    def answer(self, status: int, body: bytes = b"", kind: str = "application/json", extra: str = "") -> bool:
+    def answer(self, status: int, body: bytes = b"", content_type: str = "application/json", extra_headers: str = "") -> bool:
         """The whole answer. False, and nothing sent, where one was given before or the peer has left."""
-        if self.begun or self.gone:
+        if self.begun or self.disconnected:
             return False
         self.begun = True
-        self.peer.send(b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n%s%s\r\n" % (
-            status, REASONS.get(status, "Status").encode(), kind.encode(), len(body), extra.encode(),
+        self.connection.send(b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n%s%s\r\n" % (
+            status, REASONS.get(status, "Status").encode(), content_type.encode(), len(body), extra_headers.encode(),
             b"" if self.keep else b"Connection: close\r\n") + body)
         self.close()
         return True
 
-    def begin(self, status: int, first: bytes = b"", kind: str = "application/json") -> bool:
+    def begin(self, status: int, first_chunk: bytes = b"", content_type: str = "application/json") -> bool:
         """Starts an answer of chunks that stays open until finish()."""
-        if self.begun or self.gone:
+        if self.begun or self.disconnected:
             return False
         self.begun = True
-        self.peer.send(b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nTransfer-Encoding: chunked\r\n\r\n%s" % (
-            status, REASONS.get(status, "Status").encode(), kind.encode(), chunk(first)))
+        self.connection.send(b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nTransfer-Encoding: chunked\r\n\r\n%s" % (
+            status, REASONS.get(status, "Status").encode(), content_type.encode(), chunk(first_chunk)))
         return True
 
     def push(self, data: bytes) -> bool:
-        if not self.begun or self.ended or self.gone:
+        if not self.begun or self.ended or self.disconnected:
             return False
-        self.peer.send(chunk(data))
+        self.connection.send(chunk(data))
         return True
 
     def finish(self) -> None:
-        if self.begun and not self.ended and not self.gone:
-            self.peer.send(b"0\r\n\r\n")
+        if self.begun and not self.ended and not self.disconnected:
+            self.connection.send(b"0\r\n\r\n")
             self.close()
 
     def close(self) -> None:
         self.ended = True
-        self.peer.done(self)
+        self.connection.done(self)
 
 
 def chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
-class Peer:
+class ServerConnection:
     """One connection to us: reads requests, hands over one at a time, keeps the peer within its limits."""
 
     def __init__(self, server: "Server", stream):
@@ -115,22 +115,22 @@
         if self.reading is None and self.current is None:
             self.limit(self.limits.head_ms, "head")
         self.seen += len(data)
-        if not self.in_body and self.seen > self.limits.head_bytes + self.limits.body_bytes:
-            return self.refuse(431, f"a head of more than {self.limits.head_bytes} bytes")
+        if not self.in_body and self.seen > self.limits.max_head_bytes + self.limits.max_body_bytes:
+            return self.refuse(431, f"a head of more than {self.limits.max_head_bytes} bytes")
         try:
             self.parser.feed_data(data)
-        except TooMuch as error:
+        except RequestTooLarge as error:
             return self.refuse(error.status, str(error))
         except httptools.HttpParserUpgrade:
             return self.refuse(400, "upgrades are not served here")
         except httptools.HttpParserError as error:
             cause = error.__context__
-            if isinstance(cause, TooMuch):
+            if isinstance(cause, RequestTooLarge):
                 return self.refuse(cause.status, str(cause))
             return self.refuse(400, f"not a request of HTTP/1.1: {error}")
-        if not self.in_body and self.reading is not None and self.seen > self.limits.head_bytes:
-            return self.refuse(431, f"a head of more than {self.limits.head_bytes} bytes")
-        if len(self.waiting) >= self.limits.pipelined and self.stream is not None:
+        if not self.in_body and self.reading is not None and self.seen > self.limits.max_head_bytes:
+            return self.refuse(431, f"a head of more than {self.limits.max_head_bytes} bytes")
+        if len(self.waiting) >= self.limits.max_pipelined and self.stream is not None:
             self.stream.pause_reading()
 
     def write_buffer_drained(self, stream) -> None:
@@ -154,10 +154,10 @@
         self.stream = None
         if self.timer is not None:
             self.timer.cancel()
-        self.server.peers.pop(self, None)
+        self.server.connections.pop(self, None)
         for exchange in filter(None, (self.current, *self.waiting)):
-            if exchange.on_gone is not None and not exchange.ended:
-                stream.loop.run_guarded(exchange.on_gone)
+            if exchange.on_disconnect is not None and not exchange.ended:
+                stream.loop.run_guarded(exchange.on_disconnect)
         self.current, self.reading = None, None
         self.waiting.clear()
 
@@ -177,8 +177,8 @@
     def on_headers_complete(self) -> None:
         exchange, self.in_body = self.reading, True
         size = exchange.headers.get("content-length", "0")
-        if not size.isdigit() or int(size) > self.limits.body_bytes:
-            raise TooMuch(413, f"a body of {size} bytes, {self.limits.body_bytes} at most")
+        if not size.isdigit() or int(size) > self.limits.max_body_bytes:
+            raise RequestTooLarge(413, f"a body of {size} bytes, {self.limits.max_body_bytes} at most")
         exchange.method = self.parser.get_method().decode("latin-1")
         exchange.keep = self.parser.should_keep_alive()
         path, _, exchange.query = self.url.decode("latin-1").partition("?")
@@ -188,12 +188,12 @@
 
     def on_body(self, data: bytes) -> None:
         self.reading.body += data
-        if len(self.reading.body) > self.limits.body_bytes:
-            raise TooMuch(413, f"a body of more than {self.limits.body_bytes} bytes")
+        if len(self.reading.body) > self.limits.max_body_bytes:
+            raise RequestTooLarge(413, f"a body of more than {self.limits.max_body_bytes} bytes")
 
     def on_message_complete(self) -> None:
         exchange, self.reading, self.seen, self.in_body = self.reading, None, 0, False
-        exchange.read_at, exchange.late = self.stream.loop.now, self.stream.loop.stall_ms
+        exchange.read_at, exchange.stall_ms = self.stream.loop.now, self.stream.loop.stall_ms
         if self.current is None:
             self.start(exchange)
         else:
@@ -212,7 +212,7 @@
 
     def send(self, data: bytes) -> None:
         self.stream.write(data)
-        if self.stream is not None and self.stream.queued > self.limits.queued_bytes:
+        if self.stream is not None and self.stream.queued > self.limits.max_queued_bytes:
             self.stream.abort()                  # it does not read: what we hold for it is bounded
         elif self.stream is not None and self.stream.queued and self.why != "stall":
             self.limit(self.limits.stall_ms, "stall")
@@ -228,7 +228,7 @@
             self.stream.close()
         elif self.waiting:
             self.start(self.waiting.popleft())
-            if not self.stream.reading and len(self.waiting) < self.limits.pipelined:
+            if not self.stream.reading and len(self.waiting) < self.limits.max_pipelined:
                 self.stream.resume_reading()
         else:
             self.rearm()
@@ -238,13 +238,13 @@
         self.refused = True
         if self.current is not None or self.waiting:
             return self.stream.abort() if self.stream is not None else None
-        self.server.refusals[status] = self.server.refusals.get(status, 0) + 1
+        self.server.refused_requests[status] = self.server.refused_requests.get(status, 0) + 1
         exchange, self.reading = self.reading or Exchange(self), None
         exchange.keep, self.current = False, exchange
         exchange.answer(status, b'{"error": "%s"}\n' % why.replace('"', "'").encode())
 
 
-class TooMuch(Exception):
+class RequestTooLarge(Exception):
     """A request over our limits; `status` is the answer."""
 
     def __init__(self, status: int, text: str):
@@ -259,18 +259,18 @@
     def __init__(self, loop, address: tuple[str, int], serve: Callable[[Exchange], None],
                  limits: PeerLimits = PeerLimits(), tap: Callable | None = None):
         self.loop, self.serve, self.limits, self.tap = loop, serve, limits, tap
-        self.peers: dict[Peer, None] = {}
-        self.refusals: dict[int, int] = {}
-        self.turned_away = 0
+        self.connections: dict[ServerConnection, None] = {}
+        self.refused_requests: dict[int, int] = {}
+        self.rejected_connections = 0
         self.closing = False
         self.listener = loop.listen(address, self.accept)
         self.address = self.listener.address
 
-    def accept(self, stream) -> Peer:
-        peer = Peer(self, stream)
-        self.peers[peer] = None
-        if len(self.peers) > self.limits.connections:
-            self.turned_away += 1
+    def accept(self, stream) -> ServerConnection:
+        peer = ServerConnection(self, stream)
+        self.connections[peer] = None
+        if len(self.connections) > self.limits.max_connections:
+            self.rejected_connections += 1
             self.loop.call_soon(lambda: peer.stream is not None and peer.refuse(503, "too many connections"))
         return peer
 
@@ -282,6 +282,6 @@
         """No new connections; those with nothing under way end, the others after their answer."""
         self.closing = True
         self.listener.close()
-        for peer in list(self.peers):
+        for peer in list(self.connections):
             if peer.current is None and peer.reading is None and peer.stream is not None:
                 peer.stream.close()
--- a/laddergw/lab/continuity_audit.py
+++ b/laddergw/lab/continuity_audit.py
@@ -43,7 +43,7 @@
         if self.target is not None and media.target_ms != self.target:
             self.fault("target", media.sequence, f"target duration is {media.target_ms:g} ms, it was {self.target:g}")
         self.target = media.target_ms
-        cut, clock, previous = media.discontinuities, None, None
+        cut, clock, previous = media.discontinuity_sequence, None, None
         for place, segment in enumerate(media.segments):
             number = media.sequence + place
             if segment.discontinuity:
--- a/laddergw/lab/fuzz.py
+++ b/laddergw/lab/fuzz.py
@@ -7,8 +7,8 @@
 import time
 from typing import Callable, NamedTuple
 
-from laddergw.hls.reading import BadPlaylist, read
-from laddergw.hls.stitching import CannotStitch, Insertion, Item, stitch, unstitch
+from laddergw.hls.reading import InvalidPlaylist, read
+from laddergw.hls.stitching import Insertion, Item, StitchingError, stitch, unstitch
 from laddergw.hls.values import Media, Segment
 from laddergw.hls.writing import write
 
@@ -98,7 +98,7 @@
     """What does not hold of a text (None: all does), and what became of it: refused, taken or stitched."""
     try:
         playlist = read(data)
-    except BadPlaylist as error:
+    except InvalidPlaylist as error:
         lines = data.count(b"\n") + 1
         if not error.faults or any(not 1 <= fault.line <= lines or not fault.reason for fault in error.faults):
             return f"refused without a place: {error.faults}", "refused"
@@ -109,7 +109,7 @@
         return None, "taken"
     try:
         out = stitch(playlist, [Insertion(playlist.sequence + len(playlist.segments) // 2, NOTICE)])
-    except CannotStitch:
+    except StitchingError:
         return None, "taken"
     if read(write(out)).segments != read(write(read(write(out)))).segments:
         return "stitched and read again it is another", "stitched"
@@ -127,7 +127,7 @@
         count += 1
         try:
             wrong, became = holds(data)
-        except Exception as error:               # nothing but BadPlaylist and CannotStitch may come out
+        except Exception as error:               # nothing but InvalidPlaylist and StitchingError may come out
             wrong, became = f"{type(error).__name__}: {error}", "refused"
         spent = (time.process_time() - at) * 1000
         slowest, done[became] = max(slowest, spent), done[became] + 1
--- a/laddergw/lab/list_stand_in.py
+++ b/laddergw/lab/list_stand_in.py
@@ -7,7 +7,7 @@
 from laddergw.http.server import Exchange, Server
 
 ALIVE_MS = 4_000.0         # a frame that says only that the service lives
-LIMITS = PeerLimits(idle_ms=60_000.0, queued_bytes=16_777_216)
+LIMITS = PeerLimits(idle_ms=60_000.0, max_queued_bytes=16_777_216)
 
 
 class ListStandIn:
@@ -28,14 +28,14 @@
 
     def serve(self, exchange: Exchange) -> None:
         if self.out_of_reach:
-            exchange.peer.stream.abort()
+            exchange.connection.stream.abort()
             return
         if exchange.path != "/v1/list":
             exchange.answer(404, b'{"error": "no such page"}')
             return
         exchange.begin(200, self.frame("whole", list(self.entries.values())))
         self.followers[exchange] = self.loop.now
-        exchange.on_gone = lambda: self.followers.pop(exchange, None)
+        exchange.on_disconnect = lambda: self.followers.pop(exchange, None)
 
     def frame(self, form: str, entries: list[dict]) -> bytes:
         told = [{key: value for key, value in entry.items() if key != "started"} | {
@@ -71,6 +71,6 @@
         self.record("list", self.loop.now, out=out)
         if out:
             for exchange in list(self.followers):
-                if not exchange.gone:
-                    exchange.peer.stream.abort()
+                if not exchange.disconnected:
+                    exchange.connection.stream.abort()
             self.followers.clear()
--- a/laddergw/lab/node_stand_in.py
+++ b/laddergw/lab/node_stand_in.py
@@ -139,7 +139,7 @@
         self.expire()
         while self.backlog and not self.still():
             exchange = self.backlog.popleft()
-            if not exchange.gone:
+            if not exchange.disconnected:
                 self.serve(exchange)
 
     def end(self, how: str) -> None:
@@ -152,7 +152,7 @@
         self.server.listener.close()
         self.record("node ended", self.loop.now, node=self.facts.node, incarnation=self.incarnation, how=how)
         if how != "vanish":                      # a node that vanished leaves its connections open, unanswered
-            for peer in list(self.server.peers):
+            for peer in list(self.server.connections):
                 if peer.stream is not None:
                     peer.stream.abort()
 
@@ -198,7 +198,7 @@
         self.numbers += 1
         session = Session(f"{self.facts.node}.{self.incarnation}.{self.numbers}", director, exchange)
         self.sessions[session.name] = session
-        exchange.on_gone = lambda: self.end_session(session, self.clock(), "closed")
+        exchange.on_disconnect = lambda: self.end_session(session, self.clock(), "closed")
         exchange.begin(200, json.dumps({"session": session.name, "clock": self.clock()}).encode() + b"\n")
 
     def end_session(self, session: Session, at: float, how: str) -> None:
@@ -206,7 +206,7 @@
             return
         for held in list(session.held.values()):
             self.drop(held, at, "session " + how)
-        if not session.exchange.gone:
+        if not session.exchange.disconnected:
             session.exchange.finish()
 
     def expire(self) -> None:
@@ -285,7 +285,7 @@
         if self.chance() < self.faults.get("lose", 0.0):
             return self.abort(held.exchange)
         if self.chance() < self.faults.get("cut", 0.0):
-            held.exchange.peer.send(b"HTTP/1.1 201 Created\r\nContent-Length: 500\r\n\r\n" + body[:20].encode())
+            held.exchange.connection.send(b"HTTP/1.1 201 Created\r\nContent-Length: 500\r\n\r\n" + body[:20].encode())
             return self.loop.call_later(5, lambda: self.abort(held.exchange))
         if self.faults.get("drip"):
             return self.drip(held.exchange, b"HTTP/1.1 201 Created\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body.encode()))
@@ -293,12 +293,12 @@
 
     @staticmethod
     def abort(exchange: Exchange) -> None:
-        if not exchange.gone:
-            exchange.peer.stream.abort()
+        if not exchange.disconnected:
+            exchange.connection.stream.abort()
 
     def drip(self, exchange: Exchange, data: bytes) -> None:
-        if data and not exchange.gone and not self.down:
-            exchange.peer.send(data[:1])
+        if data and not exchange.disconnected and not self.down:
+            exchange.connection.send(data[:1])
             self.loop.call_later(DRIP_MS, lambda: self.drip(exchange, data[1:]))
 
     def keep(self, exchange: Exchange, frame: dict) -> None:
--- a/laddergw/lab/player_stand_in.py
+++ b/laddergw/lab/player_stand_in.py
@@ -4,7 +4,7 @@
 from urllib.parse import urlsplit
 
 from laddergw.hls import attributes
-from laddergw.hls.reading import BadPlaylist, read
+from laddergw.hls.reading import InvalidPlaylist, read
 from laddergw.hls.values import Media, Segment
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
@@ -12,7 +12,7 @@
 from laddergw.lab.media_stand_in import item_playlist, title_playlist
 
 MARK = "#X-LADDERGW-ITEM:"     # docs/protocol.md: stands before an item's first segment
-LIMITS = PoolLimits(connections=10_000, waiting=10_000, connect_ms=500.0, answer_bytes=16_777_216)
+LIMITS = PoolLimits(max_connections=10_000, max_waiting=10_000, connect_ms=500.0, max_answer_bytes=16_777_216)
 BUFFER_MS = 8_000.0        # a player fetches so far ahead of what it shows
 FETCH_MS = 3_000.0         # one fetch; then it is tried again
 RELOAD_MS = 1_000.0        # least pause between reloads
@@ -38,7 +38,7 @@
         if pool is None:
             pool = self.pools[address] = Pool(self.loop, address, LIMITS)
         call = pool.call(method, path, body, done, headers=cookie)
-        self.loop.call_later(limit_ms, lambda: call.cut("no answer in time"))
+        self.loop.call_later(limit_ms, lambda: call.abort("no answer in time"))
         return call
 
 
@@ -90,7 +90,7 @@
     def edge_gone(self, call: Call) -> bool:
         """Whether this answer shows that the edge knows the session no more, or is dead: then it is asked for anew, from where
         the player stands. An edge that is silent may still hold the play: it is waited for."""
-        self.refusals = self.refusals + 1 if call.refused else 0
+        self.refusals = self.refusals + 1 if call.connection_refused else 0
         if call.status not in (403, 410) and self.refusals < REFUSED_MOST:
             return False
         self.opening += 1
@@ -106,7 +106,7 @@
 
     def opened(self, call: Call) -> None:
         if call.status is None:
-            self.told("lost", why=call.why, reached=call.written > 0)
+            self.told("lost", why=call.failure, reached=call.written > 0)
             left = self.asked_at + self.frame["wait_ms"] - self.loop.now if call.written else 0.0
             return self.again("failed", 0.0, left)
         told = json.loads(call.body)
@@ -153,7 +153,7 @@
         self.tries = self.refusals = 0
         try:
             media = read(call.body)
-        except BadPlaylist as error:
+        except InvalidPlaylist as error:
             self.record("bad playlist", self.loop.now, play=self.frame["key"], why=str(error))
             return self.finish("broken")
         for fault in self.judge.reload(media):
@@ -221,7 +221,7 @@
             self.began += late
         self.fetched_ms += segment.duration_ms
         self.uris.append(path)
-        for line in segment.others:
+        for line in segment.unknown_lines:
             if line.startswith(MARK):
                 self.item_left = int(attributes.read(line[len(MARK):]).get("SEGMENTS"))
         if self.item_left:
--- a/laddergw/lab/tap.py
+++ b/laddergw/lab/tap.py
@@ -21,7 +21,7 @@
             if "viewer" in thing.label:
                 return
             record("set-up " + ("written" if what == "sent" else "over"), now, source=source, first=thing.first_byte_at,
-                   asked=thing.asked_at, status=thing.status, **thing.label)
+                   asked=thing.requested_at, status=thing.status, **thing.label)
         else:
             record(what, now, source=source, **thing)
     return told
--- a/laddergw/lab/viewers_stand_in.py
+++ b/laddergw/lab/viewers_stand_in.py
@@ -14,7 +14,7 @@
 SLACK_MS = 25.0            # a viewer reads an answer that lies in its socket at its limit
 LET_GO_MS = 400.0          # a director that died took its sessions with it: its nodes see that in a moment
 ROUTES = ("/shoreline/", "/board/", "/archive/")
-LIMITS = PoolLimits(connections=100_000, waiting=100_000, connect_ms=1_000.0, idle_ms=1_000.0, answer_bytes=65_536)
+LIMITS = PoolLimits(max_connections=100_000, max_waiting=100_000, connect_ms=1_000.0, idle_ms=1_000.0, max_answer_bytes=65_536)
 
 
 class Audience(NamedTuple):
@@ -103,7 +103,7 @@
         call, self.call = self.call, None
         early = self.crowd.loop.now < self.asked_at + self.audience.wait_ms
         self.told("gave up", director=self.director, early=early, reached=call.written > 0)
-        call.cut("gave up")
+        call.abort("gave up")
         self.come_again(early)
 
     def line(self, line: bytes | None) -> None:
@@ -131,7 +131,7 @@
     def go(self) -> None:
         call, self.call, self.left_ms = self.call, None, 0.0
         self.told("left", director=self.director)
-        call.cut("left")
+        call.abort("left")
         self.crowd.over(self)
 
     def ended(self, call: Call) -> None:
@@ -142,14 +142,14 @@
         if self.began is not None and self.answer == "playing":
             self.leave.cancel()
             self.left_ms -= self.crowd.loop.now - self.began
-            self.told("play ended", why=call.why, director=self.director)
-            if call.why is not None:             # its director went without a word: the node lets go by the session
+            self.told("play ended", why=call.failure, director=self.director)
+            if call.failure is not None:         # its director went without a word: the node lets go by the session
                 self.unsettled_until = self.crowd.loop.now + LET_GO_MS
             self.began = None
             return self.come_again(True) if self.left_ms > 1_000 else self.crowd.over(self)
         if call.status is None:
             self.unsettled_until = self.asked_at + self.audience.wait_ms if call.written else -math.inf
-            self.told("lost", why=call.why, director=self.director, reached=call.written > 0)
+            self.told("lost", why=call.failure, director=self.director, reached=call.written > 0)
             return self.come_again(True)
         frame = json.loads(call.body)
         if "answer" not in frame:
--- a/laddergw/programme/schedule.py
+++ b/laddergw/programme/schedule.py
@@ -45,10 +45,10 @@
 
 def cues(source: Media, outline: Outline, name: str) -> list[float]:
     """Programme times of DATERANGEs of a class, ms from the start. One before the start, or behind the end, is none."""
-    zero = next((clock - at for clock, at in zip(outline.clocks, starts(source)) if clock is not None), None)
+    zero = next((clock - at for clock, at in zip(outline.programme_times, starts(source)) if clock is not None), None)
     found = []
     for segment in source.segments:
-        for cue in segment.ranges:
+        for cue in segment.date_ranges:
             if cue.get("CLASS") == name and zero is not None:
                 try:
                     found.append(time_ms(cue.get("START-DATE") or "") - zero)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -28,7 +28,7 @@
         self.assertEqual(ask.answer, "playing")
         town.run(30_000)
         self.assertIsNone(ask.ended)
-        ask.call.cut("left")
+        ask.call.abort("left")
         town.run(50)
         self.assertEqual([facts["how"] for what, facts in town.told("let go")], ["released"])
         self.assertEqual((town.directors[0].tries, town.directors[0].held, town.directors[0].waiting), ({}, 0, 0))
@@ -41,7 +41,7 @@
         town.run(20)
         town.world.hosts["d0"].freeze(1_000)
         town.run(300)
-        ask.call.cut("gave up")
+        ask.call.abort("gave up")
         town.run(3_000)
         self.assertEqual(ask.lines, [])
         self.assertEqual((town.directors[0].tries, town.directors[0].waiting, town.directors[0].held), ({}, 0, 0))
@@ -129,7 +129,7 @@
         first = town.ask(0, wait_ms=1_500)
         town.run(100)
         town.world.hosts["d0"].silent = True           # the first director is cut off: it cannot release anything
-        first.call.cut("gave up")
+        first.call.abort("gave up")
         again = town.ask(1, wait_ms=3_900, unsettled_ms=1_400)
         town.run(1_400)
         self.assertEqual((again.answer, again.lines[0][1]["retry_ms"]), ("declined", 1_400))
@@ -160,12 +160,12 @@
         town = Town(nodes=2)
         director = town.directors[0]
         for link in director.fleet.links.values():
-            link.set_ups.limits = link.set_ups.limits._replace(connections=0)
+            link.set_ups.limits = link.set_ups.limits._replace(max_connections=0)
         ask = town.ask()
         town.run(5)
         node = next(iter(director.by_allocation.values())).allocation.node
         for link in director.fleet.links.values():
-            link.set_ups.limits = link.set_ups.limits._replace(connections=64)
+            link.set_ups.limits = link.set_ups.limits._replace(max_connections=64)
         town.tell(node, "draining")
         town.run(300)
         self.assertEqual(ask.answer, "playing")
--- a/tests/test_hls.py
+++ b/tests/test_hls.py
@@ -5,9 +5,9 @@
 from hypothesis import given, settings, strategies as st
 
 from laddergw.hls import attributes
-from laddergw.hls.reading import BadPlaylist, read
-from laddergw.hls.rendered import Rendered
-from laddergw.hls.stitching import CannotStitch, Insertion, Item, stitch, unstitch
+from laddergw.hls.reading import InvalidPlaylist, read
+from laddergw.hls.rendered import RenderedPlaylist
+from laddergw.hls.stitching import Insertion, Item, StitchingError, stitch, unstitch
 from laddergw.hls.values import Media, Multivariant, Segment, Variant, seconds_text, time_ms, time_text
 from laddergw.hls.writing import write
 from laddergw.lab import fuzz
@@ -59,11 +59,11 @@
             time_ms=float(round(clock)) if stated else None, time_text=time_text(clock) if stated else "",
             keys=(draw(KEYS),) if draw(st.integers(0, 4)) == 0 else (),
             map=attributes.Attributes((("URI", f'"{name}.mp4"'),)) if sections and (place == 0 or draw(st.integers(0, 5)) == 0) else None,
-            others=("#EXT-X-OF-OTHERS:1",) if draw(st.integers(0, 5)) == 0 else (), gap=draw(st.integers(0, 9)) == 0))
+            unknown_lines=("#EXT-X-OF-OTHERS:1",) if draw(st.integers(0, 5)) == 0 else (), gap=draw(st.integers(0, 9)) == 0))
         clock += ms
     sequence = draw(st.integers(0, 50))
     return Media(tuple(segments), 6_000.0, sequence, draw(st.integers(0, 5)), version=draw(st.sampled_from((None, 3, 7))), ended=ended,
-                 kind=draw(st.sampled_from((None, "VOD"))), independent=draw(st.booleans()))
+                 playlist_type=draw(st.sampled_from((None, "VOD"))), independent_segments=draw(st.booleans()))
 
 
 @st.composite
@@ -102,14 +102,14 @@
 
     def test_what_is_wrong_is_told_with_its_line(self):
         for name, (text, told) in BAD.items():
-            with self.subTest(name), self.assertRaises(BadPlaylist) as caught:
+            with self.subTest(name), self.assertRaises(InvalidPlaylist) as caught:
                 read(text)
             self.assertIn(told, str(caught.exception))
 
     def test_eight_megabytes_are_read_and_more_than_sixteen_are_not(self):
         text = HEAD + "#EXTINF:6,\nsegment-with-a-long-address.ts\n" * 190_000
         self.assertEqual(len(read(text).segments), 190_000)
-        with self.assertRaises(BadPlaylist):
+        with self.assertRaises(InvalidPlaylist):
             read(text * 3)
 
     @settings(max_examples=300, deadline=None)
@@ -119,7 +119,7 @@
     def test_any_lines_are_read_or_refused(self, lines):
         try:
             found = read("\n".join(["#EXTM3U"] + lines))
-        except BadPlaylist as error:
+        except InvalidPlaylist as error:
             self.assertTrue(error.faults)
         else:
             self.assertEqual(read(write(found)), found)
@@ -141,7 +141,7 @@
         self.assertEqual(programme_whole(out, addresses(insertions), source), [])
         self.assertEqual(unstitch(out, source), source)
         self.assertEqual(unstitch(read(write(out)), source), source)
-        self.assertEqual(Rendered(source).stitched(insertions).decode(), write(out))
+        self.assertEqual(RenderedPlaylist(source).stitched(insertions).decode(), write(out))
 
     @settings(max_examples=100, deadline=None)
     @given(evening())
@@ -165,12 +165,12 @@
             playlist = playlist._replace(segments=tuple(s._replace(uri=f"n{index}-{s.uri}") for s in playlist.segments))
             place %= len(whole.segments)
             insertions.append(Insertion(whole.sequence + place, Item(f"n{index}", playlist), whole.segments[place].discontinuity))
-        judge, cuts = Judge(addresses(insertions)), whole.discontinuities
+        judge, cuts = Judge(addresses(insertions)), whole.discontinuity_sequence
         for start in range(len(whole.segments) - width + 1):
-            window = whole._replace(segments=whole.segments[start:start + width], sequence=whole.sequence + start, discontinuities=cuts)
+            window = whole._replace(segments=whole.segments[start:start + width], sequence=whole.sequence + start, discontinuity_sequence=cuts)
             out = stitch(window, insertions)
             self.assertEqual(judge.reload(out), [])
-            self.assertEqual(Rendered(window).stitched(insertions).decode(), write(out))
+            self.assertEqual(RenderedPlaylist(window).stitched(insertions).decode(), write(out))
             cuts += window.segments[0].discontinuity
 
     def test_splices_by_hand(self):
@@ -185,7 +185,7 @@
         self.assertEqual((notice.discontinuity, notice.keys[0].get("METHOD"), time_text(notice.time_ms)), (True, "NONE", "2026-12-01T10:00:06.000Z"))
         self.assertEqual((back.discontinuity, back.keys[0].get("URI"), back.byte_range), (True, "k", "50@100"))
         self.assertEqual(time_text(back.time_ms), "2026-12-01T10:00:14.000Z")
-        self.assertEqual(last.ranges[0].get("START-DATE"), "2026-12-01T10:00:20.000Z")
+        self.assertEqual(last.date_ranges[0].get("START-DATE"), "2026-12-01T10:00:20.000Z")
         self.assertEqual(unstitch(out, source), source)
 
     def test_items_that_cannot_stand(self):
@@ -193,7 +193,7 @@
         grows = Media((Segment("n", 1_000.0),), 6_000.0)
         for item, told in ((Item("n", grows), "still grows"), (Item("n", grows._replace(ended=True, segments=())), "no segment"),
                            (Item("n", grows._replace(ended=True)), "no initialisation section"), (Item("", grows._replace(ended=True)), "not a name")):
-            with self.assertRaisesRegex(CannotStitch, told):
+            with self.assertRaisesRegex(StitchingError, told):
                 stitch(source, [Insertion(1, item)])
 
     def test_a_fuzzer_finds_nothing_and_would_find_what_is_broken(self):
@@ -223,7 +223,7 @@
             return good._replace(segments=tuple(s._replace(**changes) if k == place else s for k, s in enumerate(good.segments)))
         self.assertEqual(kinds(good), set())
         self.assertIn("back", kinds(good, good._replace(sequence=2)))
-        self.assertIn("cuts", kinds(good, good._replace(discontinuities=0)))
+        self.assertIn("cuts", kinds(good, good._replace(discontinuity_sequence=0)))
         self.assertIn("cuts", kinds(swap(5, discontinuity=False)))
         self.assertIn("time", kinds(swap(5, time_ms=good.segments[5].time_ms - 6_000)))
         self.assertIn("target", kinds(good._replace(target_ms=3_000.0)))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,7 +8,7 @@
 from tests.test_loop import Peer
 
 REQUEST = b'POST /x HTTP/1.1\r\nHost: b\r\nContent-Length: 5\r\n\r\nhello'
-LIMITS = PeerLimits(head_ms=200.0, body_ms=200.0, idle_ms=300.0, stall_ms=300.0, connections=50, pipelined=3)
+LIMITS = PeerLimits(head_ms=200.0, body_ms=200.0, idle_ms=300.0, stall_ms=300.0, max_connections=50, max_pipelined=3)
 
 
 class Place(unittest.TestCase):
@@ -46,7 +46,7 @@
         self.assertEqual(self.seen, [])
         self.raw(REQUEST)
         self.assertEqual([x.body for x in self.seen], [b"hello"])
-        self.assertEqual(len(self.server.peers), 0)
+        self.assertEqual(len(self.server.connections), 0)
 
     def test_a_byte_at_a_time_is_read_whole(self):
         peer = Peer()
@@ -92,7 +92,7 @@
         gone = []
 
         def serve(exchange):
-            exchange.on_gone = lambda: gone.append(exchange)
+            exchange.on_disconnect = lambda: gone.append(exchange)
             self.seen.append(exchange)
         self.server.serve = serve
         peer = Peer()
@@ -120,13 +120,13 @@
         for _ in range(100):
             held[0].push(b"x" * 10_000)
             self.run_ms(1)
-            if held[0].gone:
+            if held[0].disconnected:
                 break
-        self.assertTrue(held[0].gone)
+        self.assertTrue(held[0].disconnected)
         self.assertLessEqual(stream.unread, 65_536)
 
     def test_five_thousand_connections_that_send_nothing(self):
-        self.server.limits = self.server.limits._replace(connections=6_000)
+        self.server.limits = self.server.limits._replace(max_connections=6_000)
         peers = [Peer() for _ in range(5_000)]
         for peer in peers:
             self.a.dial(("b", 80), peer, 100)
@@ -134,7 +134,7 @@
         self.assertIn(b"200", self.raw(REQUEST, 20).data)
         self.run_ms(1_000)
         self.assertEqual(sum(len(peer.ends) for peer in peers), 5_000)
-        self.assertEqual(len(self.server.peers), 0)
+        self.assertEqual(len(self.server.connections), 0)
 
     def test_over_the_cap_of_connections_a_clear_answer(self):
         for _ in range(50):
@@ -152,7 +152,7 @@
         return pool.call("POST", "/x", body, self.ended.append, **more)
 
     def test_written_counts_survive_every_end(self):
-        pool = Pool(self.a, ("b", 80), PoolLimits(connections=2, connect_ms=50))
+        pool = Pool(self.a, ("b", 80), PoolLimits(max_connections=2, connect_ms=50))
         call = self.call(pool, b"hello")
         self.assertEqual(call.written, 0)
         self.run_ms(5)
@@ -160,22 +160,22 @@
         self.assertLessEqual(call.first_byte_at, call.last_byte_at)
         refused = self.call(Pool(self.a, ("b", 81)))
         self.run_ms(5)
-        self.assertEqual((refused.written, refused.refused, refused.status), (0, True, None))
+        self.assertEqual((refused.written, refused.connection_refused, refused.status), (0, True, None))
 
     def test_a_large_call_to_a_peer_that_stalls_is_written_in_part(self):
         self.server.accept = None
         self.b.freeze(10_000)
-        pool = Pool(self.a, ("b", 80), PoolLimits(connections=1, connect_ms=50))
+        pool = Pool(self.a, ("b", 80), PoolLimits(max_connections=1, connect_ms=50))
         call = self.call(pool, b"x" * 200_000)
         behind = self.call(pool, b"behind")
         self.run_ms(20)
         self.assertTrue(0 < call.written < call.size)
-        self.assertFalse(call.take_back())
-        self.assertTrue(behind.take_back())
-        self.assertEqual((behind.written, behind.why), (0, "taken back"))
-        call.cut("given up")
+        self.assertFalse(call.withdraw())
+        self.assertTrue(behind.withdraw())
+        self.assertEqual((behind.written, behind.failure), (0, "taken back"))
+        call.abort("given up")
         self.assertTrue(0 < call.written < call.size)
-        self.assertEqual([c.why for c in self.ended], ["taken back", "given up"])
+        self.assertEqual([c.failure for c in self.ended], ["taken back", "given up"])
 
     def test_an_answer_cut_short_is_no_answer(self):
         class Cutting(Peer):
@@ -196,10 +196,10 @@
             self.b.listen(("b", port), lambda stream: Bad())
             call = self.call(Pool(self.a, ("b", port)))
             self.run_ms(10)
-            self.assertIn("not HTTP/1.1", call.why)
+            self.assertIn("not HTTP/1.1", call.failure)
 
     def test_connections_are_reused_and_capped(self):
-        pool = Pool(self.a, ("b", 80), PoolLimits(connections=2, connect_ms=50))
+        pool = Pool(self.a, ("b", 80), PoolLimits(max_connections=2, connect_ms=50))
         for _ in range(20):
             self.call(pool, b"x")
         self.run_ms(50)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -121,7 +121,7 @@
                 town.run(20)
                 for one in asked:                # short plays: what holds them up is the pace alone
                     if one.answer == "playing" and one.ended is None:
-                        one.call.cut("left")
+                        one.call.abort("left")
             came = [at for at, what, f in town.records if what == "set-up came" and f["node"] == 50]
             mean = 2.0 * 20 / 4_000 * 0.5 * 1_000
             worst = max(sum(1 for other in came if at - 1_000 <= other <= at) for at in came)
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -33,7 +33,7 @@
         self.assertEqual(director.generations.older, {1: first})
         director.change_limits(limits("(limits)"))                   # its route is removed while it plays
         self.assertEqual(list(director.generations.older), [1])
-        asked.call.cut("left")
+        asked.call.abort("left")
         town.run(500)
         self.assertEqual((director.generations.older, director.held, director.tries), ({}, 0, {}))
 
--- a/tests/test_programme.py
+++ b/tests/test_programme.py
@@ -37,7 +37,7 @@
     for start in range(0, seconds, 6):
         ranges = tuple(pairs(f'ID="c{k}",CLASS="break",START-DATE="{time_text(zero + at * 1000)}"')
                        for k, at in enumerate(cues) if start <= at < start + 6)
-        segments.append(Segment(f"p{start}", 6_000.0, time_ms=zero if start == 0 else None, ranges=ranges))
+        segments.append(Segment(f"p{start}", 6_000.0, time_ms=zero if start == 0 else None, date_ranges=ranges))
     return Media(tuple(segments), 6_000.0, ended=True)
 
 
