--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -6,7 +6,7 @@
 import re
 import signal
 
-from laddergw.director.limits_file import replaced
+from laddergw.director.limits_file import replace_file
 from laddergw.fleet import versions
 from laddergw.http.client import Pool
 from laddergw.lab import fleet_check
@@ -23,7 +23,7 @@
 from laddergw.lab.wanting import BAD_EACH, SOAK_MS, TEXTS, WANT_MS
 from laddergw.loop.tls import TlsStream, client_context
 from laddergw.planner import wire
-from laddergw.planner.audit_side import limits_text
+from laddergw.planner.audit_client import limits_text
 from laddergw.planner.peer import Peer
 from laddergw.terms import director_file as director_files
 from laddergw.terms.loading import load
@@ -51,7 +51,7 @@
         """By hand, at each edge."""
         text = sound(self.plant.seed, self.switches % 4, self.read_house).encode()
         for number in range(self.plant.directors):
-            replaced(self.limits(number), text)
+            replace_file(self.limits(number), text)
 
     def limits(self, number: int) -> str:
         return self.file(f"limits.{number}.terms")
@@ -179,7 +179,7 @@
         def told(peer: Peer, frame: wire.Frame) -> None:
             if isinstance(frame, wire.Answer):
                 came.append(json.loads(frame.body))
-                peer.end("answered")
+                peer.close("answered")
         peer = Peer(self.loop, wire.Hello(wire.VERSION, "d-operator", wire.OPERATOR, 0), told, lambda peer: peer.send(question),
                     lambda peer, why: done(came[0] if came else None))
         host, port = self.places[planner]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 from laddergw.terms.routes import RouteScope, RouteTrie, scan
 from tests.broken_limits import ACCEPTED, DIRECTOR_FILE, REJECTED
 from tests.replays import Replay
-from tests.town import Ask
+from tests.in_memory_cluster import ViewerRequest
 
 SETTINGS = read(DIRECTOR_FILE)
 
@@ -94,7 +94,7 @@
             for file in text, "(limits)":
                 cluster = Replay(file)
                 for number in range(6):
-                    Ask(cluster, 0, product=product, key=f"v{number}", **request)
+                    ViewerRequest(cluster, 0, product=product, key=f"v{number}", **request)
                     cluster.run(300)
                 held = [f for _, what, f in cluster.records if what == "held"]
                 if product == "paid":
@@ -108,7 +108,7 @@
                 cluster = Replay(file)
                 cluster.moves = deque(["refused"] * 100)
                 for number in range(6):
-                    Ask(cluster, 0, key=f"v{number}")
+                    ViewerRequest(cluster, 0, key=f"v{number}")
                     cluster.run(1_300)
                 further = [f["asked"] for _, what, f in cluster.records if what == "set-up written" and f["number"]]
                 counts = [sum(1 for other in further if at - 10_000 <= other <= at) for at in further]
@@ -121,11 +121,11 @@
             cluster.script_node(50)
             viewers = []
             for number in range(120):
-                viewers.append(Ask(cluster, number % 2, product="paid", key=f"v{number}", title=number, home=0, copies=1))
+                viewers.append(ViewerRequest(cluster, number % 2, product="paid", key=f"v{number}", title=number, home=0, copies=1))
                 cluster.run(20)
                 for viewer in viewers:           # plays are kept short, so that only the pace delays others
                     if viewer.answer == "playing" and viewer.ended is None:
-                        viewer.call.cut("left")
+                        viewer.call.abort("left")
             arrivals = [at for at, what, f in cluster.records if what == "set-up came" and f["node"] == 50]
             mean = 2.0 * 20 / 4_000 * 0.5 * 1_000
             worst = max(sum(1 for other in arrivals if at - 1_000 <= other <= at) for at in arrivals)
