--- a/laddergw/lab/daybook.py
+++ b/laddergw/lab/daybook.py
@@ -67,7 +67,7 @@
             raise FileRejected([Fault(getattr(form, "place", Place(file, 1, 1)), "", 'holds (day "name" ...) forms only')])
         name = str(form.rest[0].value)
         if name in found:
-            faults.add(form.place, f"day {name}", f"stands twice, first at line {found[name].place.line}")
+            faults.add(form.place, f"day {name}", f"is given twice, first at line {found[name].place.line}")
         found[name] = take_day(FormReader(Form(form.items[:1] + form.items[2:], form.place), faults, f"day {name}"), name, form.place)
     faults.raise_if_any()
     return found
--- a/laddergw/terms/director_file.py
+++ b/laddergw/terms/director_file.py
@@ -50,7 +50,7 @@
     top = FormReader(form, faults)
     keys, retired = read_signing_keys(top), frozenset(map(str, top.words("retired", ()) or ()))
     for name in sorted(retired & {name for name, _ in keys}):
-        top.add_fault(top.places["retired"], "retired", f"key {name} is told as a key, too")
+        top.add_fault(top.places["retired"], "retired", f"key {name} is also given as a signing key")
     deployment_form = top.subform("deployment")
     bounds_form = top.subform("bounds", None)
     bounds = read_bounds(bounds_form) if bounds_form is not None else DirectorLimits()
@@ -126,7 +126,7 @@
         if not isinstance(atoms[1].value, str) or not atoms[1].value:
             top.add_fault(atoms[1].place, "peer", f"{atoms[1].value!r} is not an address")
         elif number in found:
-            top.add_fault(form.place, "peer", f"director {number} stands twice")
+            top.add_fault(form.place, "peer", f"director {number} is given twice")
         elif number is not None and port is not None:
             found[int(number)] = atoms[1].value, int(port)
     return tuple(found.items())
--- a/laddergw/terms/limits.py
+++ b/laddergw/terms/limits.py
@@ -185,7 +185,7 @@
             reader.add_fault(reader.form.place, "", f"{scope.prefix!r} does not begin with /")
         key = scope.prefix, titles, entry.products
         if key in first_places:
-            reader.add_fault(reader.form.place, "", f"stands twice, first at line {first_places[key].line}")
+            reader.add_fault(reader.form.place, "", f"is given twice, first at line {first_places[key].line}")
         first_places.setdefault(key, reader.form.place)
         if entry.tenant is not None and entry.tenant not in limits.tenants:
             reader.add_fault(reader.places["tenant"], "tenant", f"no tenant {entry.tenant!r}")
--- a/laddergw/terms/loading.py
+++ b/laddergw/terms/loading.py
@@ -6,7 +6,7 @@
 from laddergw.terms.director_file import DirectorFile
 from laddergw.terms import limits as limits_file
 from laddergw.terms.limits import Limits
-from laddergw.terms.proof import Objection, prove
+from laddergw.terms.proof import Objection, find_objections
 from laddergw.terms.sexpr import Fault, FileRejected, Place
 
 MAX_BYTES = 4_194_304      # of a file: 10,000 routes take less than 1 MB
@@ -38,7 +38,7 @@
         return LoadResult(None, (Fault(Place(file, data[:error.start].count(b"\n") + 1, 1), "", "not UTF-8"),))
     except FileRejected as error:
         return LoadResult(None, tuple(error.faults))
-    objections = tuple(prove(limits, settings))
+    objections = tuple(find_objections(limits, settings))
     return LoadResult(None if objections else limits, (), objections)
 
 
--- a/laddergw/terms/proof.py
+++ b/laddergw/terms/proof.py
@@ -49,7 +49,7 @@
     effective: EffectiveTerms
 
 
-def prove(limits: Limits, settings: DirectorFile) -> list[Objection]:
+def find_objections(limits: Limits, settings: DirectorFile) -> list[Objection]:
     """Returns all objections in the order of their lines; an empty list if the file is safe at this director."""
     classes = [TermsClass(*found) for found in limits.classes(settings.names)]
     objections = list(value_objections(limits, settings, classes)) + list(product_objections(limits, settings)) + list(cold_objections(limits, settings.deployment)) + list(budget_objections(limits, settings.deployment))
@@ -86,51 +86,51 @@
     "first_frame_ms": ("time_limit_ms",), "set_up_ms": ("time_limit_ms", "lease_ms"), "copy_after_ms": ("read_copies", "first_segment_ms")}
 
 
-def inconsistencies(t: PlayTerms, settings: DirectorFile, margin_ms: float) -> Iterable[tuple[str, str]]:
+def inconsistencies(terms: PlayTerms, settings: DirectorFile, margin_ms: float) -> Iterable[tuple[str, str]]:
     """Fields with values that do not fit together, and the reasons."""
-    max_lease_ms, usable_ms = settings.bounds.max_lease_ms, t.time_limit_ms - margin_ms
-    if t.lease_ms > max_lease_ms:
-        yield "lease_ms", f"a lease of {t.lease_ms:g} ms is over the director's lease-most-ms, {max_lease_ms:g}"
-    if t.grace_ms < MIN_CONFIRM_MS:
-        yield "lease_ms", f"a lease of {t.lease_ms:g} ms ends within {MIN_CONFIRM_MS:g} ms of the time-out of {t.set_up_ms:g}: an answer just in time cannot be confirmed"
-    if t.connect_ms > t.set_up_ms:
-        yield "connect_ms", f"{t.connect_ms:g} ms can never pass: the set-up's time-out is {t.set_up_ms:g}"
-    if t.set_up_ms + t.grace_ms > usable_ms:
-        yield "set_up_ms", f"a set-up of {t.set_up_ms:g} ms and the rest of its lease do not fit into a time limit of {t.time_limit_ms:g}"
-    elif t.attempts <= settings.deployment.max_allocations and (last_start_ms := last_start(t)) + t.lease_ms > usable_ms:
-        yield "attempts", f"attempt {first_late_attempt(t, usable_ms)} of {t.attempts} cannot have its set-up-ms: after the ones before it, it ends past the time limit of {t.time_limit_ms:g} ms (attempt {t.attempts} begins at {last_start_ms:g})"
-    if settings.deployment.max_allocations < t.attempts < PlayTerms().attempts:
-        yield "attempts", f"{t.attempts} is over the deployment's {settings.deployment.max_allocations} allocations"
-    if t.first_frame_ms > t.time_limit_ms:
-        yield "first_frame_ms", f"a target of {t.first_frame_ms:g} ms is over the time limit of {t.time_limit_ms:g}"
-    first, factor, longest = t.backoff_ms
+    max_lease_ms, usable_ms = settings.bounds.max_lease_ms, terms.time_limit_ms - margin_ms
+    if terms.lease_ms > max_lease_ms:
+        yield "lease_ms", f"a lease of {terms.lease_ms:g} ms is over the director's lease-most-ms, {max_lease_ms:g}"
+    if terms.grace_ms < MIN_CONFIRM_MS:
+        yield "lease_ms", f"a lease of {terms.lease_ms:g} ms ends within {MIN_CONFIRM_MS:g} ms of the time-out of {terms.set_up_ms:g}: an answer just in time cannot be confirmed"
+    if terms.connect_ms > terms.set_up_ms:
+        yield "connect_ms", f"{terms.connect_ms:g} ms can never pass: the set-up's time-out is {terms.set_up_ms:g}"
+    if terms.set_up_ms + terms.grace_ms > usable_ms:
+        yield "set_up_ms", f"a set-up of {terms.set_up_ms:g} ms and the rest of its lease do not fit into a time limit of {terms.time_limit_ms:g}"
+    elif terms.attempts <= settings.deployment.max_allocations and (last_start_ms := last_start(terms)) + terms.lease_ms > usable_ms:
+        yield "attempts", f"attempt {first_late_attempt(terms, usable_ms)} of {terms.attempts} cannot have its set-up-ms: after the ones before it, it ends past the time limit of {terms.time_limit_ms:g} ms (attempt {terms.attempts} begins at {last_start_ms:g})"
+    if settings.deployment.max_allocations < terms.attempts < PlayTerms().attempts:
+        yield "attempts", f"{terms.attempts} is over the deployment's {settings.deployment.max_allocations} allocations"
+    if terms.first_frame_ms > terms.time_limit_ms:
+        yield "first_frame_ms", f"a target of {terms.first_frame_ms:g} ms is over the time limit of {terms.time_limit_ms:g}"
+    first, factor, longest = terms.backoff_ms
     if longest < first:
         yield "backoff_ms", f"the longest pause, {longest:g} ms, is shorter than the first, {first:g}"
     if factor < 1:
         yield "backoff_ms", f"a factor of {factor:g} makes pauses shorter from attempt to attempt"
-    low, high = t.retry_after_ms
+    low, high = terms.retry_after_ms
     if low > high:
         yield "retry_after_ms", f"the least, {low:g} ms, is over the most, {high:g}"
-    if t.read_copies and t.copy_after_ms >= t.first_segment_ms:
-        yield "copy_after_ms", f"a copy after {t.copy_after_ms:g} ms comes when the first has stalled already, at {t.first_segment_ms:g}"
+    if terms.read_copies and terms.copy_after_ms >= terms.first_segment_ms:
+        yield "copy_after_ms", f"a copy after {terms.copy_after_ms:g} ms comes when the first has stalled already, at {terms.first_segment_ms:g}"
 
 
-def attempt_starts(t: PlayTerms) -> Iterable[float]:
+def attempt_starts(terms: PlayTerms) -> Iterable[float]:
     """When each attempt begins, in ms, if all earlier ones time out and are released without delay."""
-    start_ms, (first, factor, longest) = 0.0, t.backoff_ms
-    for number in range(t.attempts):
+    start_ms, (first, factor, longest) = 0.0, terms.backoff_ms
+    for number in range(terms.attempts):
         yield start_ms
-        start_ms += t.set_up_ms + min(first * factor ** number, longest)
+        start_ms += terms.set_up_ms + min(first * factor ** number, longest)
 
 
-def last_start(t: PlayTerms) -> float:
+def last_start(terms: PlayTerms) -> float:
     """When the last attempt begins, in ms."""
-    return list(attempt_starts(t))[-1]
+    return list(attempt_starts(terms))[-1]
 
 
-def first_late_attempt(t: PlayTerms, usable_ms: float) -> int:
+def first_late_attempt(terms: PlayTerms, usable_ms: float) -> int:
     """The number, from 1, of the first attempt whose lease would end too late."""
-    return next(number for number, start_ms in enumerate(attempt_starts(t), 1) if start_ms + t.lease_ms > usable_ms)
+    return next(number for number, start_ms in enumerate(attempt_starts(terms), 1) if start_ms + terms.lease_ms > usable_ms)
 
 
 # The deployment's own terms
@@ -165,7 +165,7 @@
         return
     plays = 1 if budget.free > deployment.budget_free else math.ceil(1 / max(budget.share - deployment.budget_share, 1e-3)) + math.ceil(deployment.budget_free) if budget.share > deployment.budget_share else math.ceil(deployment.budget_free) + 1
     requested = (f"{budget.free:g} further allocations" if budget.free > deployment.budget_free else f"a share of {budget.share:g}" if budget.share > deployment.budget_share
-            else f"a window of {budget.window_ms:g} ms")
+                 else f"a window of {budget.window_ms:g} ms")
     allowed = (f"{deployment.budget_free:g}" if budget.free > deployment.budget_free else f"{deployment.budget_share:g}" if budget.share > deployment.budget_share else f"{deployment.budget_ms:g} ms")
     yield Objection(budget.place, "budget", f"{requested} where the deployment's terms give {allowed}", "budget",
                     ((0.0, f"{plays} plays are accepted, and their nodes refuse the set-ups of all of them, twice"),
@@ -174,8 +174,8 @@
 
 
 def cold_objections(limits: Limits, deployment: interface.Deployment) -> Iterable[Objection]:
-    """Objections to the cold pace: what all directors together send to a node that has just started. The controller's own pace or a slower one is safe as it is; at a
-    faster one the worst case must be within the rule, in which the set-ups of all directors fall into one window."""
+    """Objections to the cold pace: what all directors together send to a node that has just started. The controller's own pace or a slower one is used as it is; at a
+    faster one the worst case must be within the rule: the set-ups of all directors fall into one window."""
     pace = limits.cold_pace.value
     if pace <= 1 or not deployment.warm_ms:
         return
@@ -197,9 +197,9 @@
 def search_objections(limits: Limits, settings: DirectorFile, classes: list[TermsClass]) -> Iterable[Objection]:
     """One objection for each counterexample that a search found, with the lines of the file that it depends on."""
     margin_ms, max_allocations, groups = answer_margin_ms(limits, settings), settings.deployment.max_allocations, {}
-    repeats = {name: product.repeat for name, product in zip(settings.names, settings.deployment.products)}
+    retry_safety = {name: product.repeat for name, product in zip(settings.names, settings.deployment.products)}
     for one in classes:
-        key = search.canonical_terms(SearchTerms(one.effective.terms, repeats[one.product], margin_ms, max_allocations))
+        key = search.canonical_terms(SearchTerms(one.effective.terms, retry_safety[one.product], margin_ms, max_allocations))
         groups.setdefault(key, []).append(one)
     built_in, found = default_terms(settings.bounds.max_lease_ms, 0.0), {}
     for key, group in groups.items():
@@ -207,9 +207,9 @@
         if report.counterexample is not None:
             lines = tuple(causes(limits, group[0].effective, key, built_in))
             found.setdefault(lines, []).append((report.counterexample, group))
-    for lines, same in found.items():            # the same lines at many routes: reported once, with the shortest counterexample
-        shortest, group = min(same, key=lambda pair: (len(pair[0].moves), len(pair[0].timeline)))
-        affected = group + [one for _, others in same for one in others if others is not group]
+    for lines, matches in found.items():         # the same lines at many routes: reported once, with the shortest counterexample
+        shortest, group = min(matches, key=lambda pair: (len(pair[0].moves), len(pair[0].timeline)))
+        affected = group + [one for _, others in matches for one in others if others is not group]
         affected_text = ", ".join(f"{one.product} at {one.route}" for one in affected[:MAX_NAMED_CLASSES]) + (f" and {len(affected) - MAX_NAMED_CLASSES} more" if len(affected) > MAX_NAMED_CLASSES else "")
         place = lines[0][0] if lines else Place(limits.file, 1, 1)
         yield Objection(place, lines[0][1].strip("()").partition(" ")[0] if lines else "", f"{shortest.description}: {affected_text}", shortest.rule, shortest.timeline, lines, shortest.moves,
--- a/laddergw/terms/reading.py
+++ b/laddergw/terms/reading.py
@@ -72,7 +72,7 @@
         self.known_keys.add(key)
         forms = self.forms.get(key, [])
         for extra in forms[1:]:
-            self.add_fault(extra.place, key, f"stands twice, first at line {forms[0].place.line}")
+            self.add_fault(extra.place, key, f"is given twice, first at line {forms[0].place.line}")
         if not forms:
             if default is REQUIRED:
                 self.add_fault(self.form.place, key, "is missing")
@@ -166,11 +166,11 @@
         readers, first_lines = [], {}
         for form in self.forms.get(key, []):
             if not form.rest or not isinstance(form.rest[0], Atom):
-                self.add_fault(form.place, key, "has no name behind it")
+                self.add_fault(form.place, key, "has no name after it")
                 continue
             name = str(form.rest[0].value)
             if unique and name in first_lines:
-                self.add_fault(form.place, f"{key} {name}", f"stands twice, first at line {first_lines[name]}")
+                self.add_fault(form.place, f"{key} {name}", f"is given twice, first at line {first_lines[name]}")
                 continue
             first_lines[name] = form.place.line
             reader = FormReader(Form(form.items[:1] + form.items[2:], form.place), self.faults, self.label(f"{key} {name}"))
--- a/laddergw/terms/sexpr.py
+++ b/laddergw/terms/sexpr.py
@@ -160,5 +160,5 @@
         return Fault(Place(file, last_line, 1), "", "a parenthesis is not closed before the file ends")
     line, column = max(error.line, 1), max(error.column, 1)
     if isinstance(error, lark.exceptions.UnexpectedToken):
-        return Fault(Place(file, line, column), "", "a closing parenthesis too many")
+        return Fault(Place(file, line, column), "", "an unmatched closing parenthesis")
     return Fault(Place(file, line, column), "", "a string is not closed on its line")
--- a/tests/test_daybook.py
+++ b/tests/test_daybook.py
@@ -8,7 +8,7 @@
 from laddergw.terms.sexpr import FileRejected
 
 BAD = {
-    "holds (day": "(night)", "says: is missing": '(day "a")', "is not known here; seconds?": '(day "a" (says "x") (secnds 5))', "stands twice": '(day "a" (says "x")) (day "a" (says "y"))',
+    "holds (day": "(night)", "says: is missing": '(day "a")', "is not known here; seconds?": '(day "a" (says "x") (secnds 5))', "is given twice": '(day "a" (says "x")) (day "a" (says "y"))',
     "'hum' is none of still": '(day "a" (says "x") (nodes-fault hum (at 1) (for 2) (part 0.1)))', "part: is missing": '(day "a" (says "x") (nodes-die (at 1)))',
     "at: is missing": '(day "a" (says "x") (nodes-die (part 0.1)))', "one figure, or two from low to high": '(day "a" (says "x") (list-out (at 9 4) (for 2)))',
     "in groups of 3, not 2": '(day "a" (says "x") (crowd (burst 1 2)))', "a stray value": '(day "a" (says "x") (nodes-die soon (at 1) (part 0.1)))',
