--- a/laddergw/lab/apart.py
+++ b/laddergw/lab/apart.py
@@ -68,7 +68,7 @@
         store = Store(os.path.join(self.folder, "store")) if leads else None
         planner = self.planners[number] = Planner(host, f"p{number}.{self.names}", (f"p{number}", PORT), store, self.keys(), leads, others, self.plant.seed + self.names,
                                                   watch=lambda what, **facts: self.events.append((self.world.now, what, facts)), clock=lambda: host.now)
-        planner.lie = self.lie
+        planner.plan_override = self.lie
         if not leads:                            # opened when it takes over: until then the store is the leader's
             planner.store_path = os.path.join(self.folder, "store")
 
--- a/laddergw/planner/__init__.py
+++ b/laddergw/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The planner: what all edges see, gathered, kept and planned from."""
+"""The planner: collects what the edges report, stores what must survive a restart, and sends plans to the edges."""
--- a/laddergw/planner/audit_client.py
+++ b/laddergw/planner/audit_client.py
@@ -1,6 +1,6 @@
-"""A director's side of the fleet's audit: keeps its stand by what is in force, and stamps what it carries out. Nothing of it is on a play's way but the count.
+"""A director's part of the fleet audit: tracks the versions that are in force there, and counts the director's actions under them. Only the counting happens while a play is served.
 
-It listens where the director tells what it decided (`watch`), where plays are let in, and where lists and plans come, so that no line of the director changes.
+It wraps the director's callbacks for events (`watch`), admissions, fleet lists and plans, so that the director itself needs no code for the audit.
 """
 import json
 import pathlib
@@ -10,7 +10,7 @@
 import laddergw
 from laddergw.director import frames
 from laddergw.director.tries import Try
-from laddergw.fleet import stamps as acts, versions
+from laddergw.fleet import stamps as actions, versions
 from laddergw.fleet.bringing import Bringing, Fetch, Offer
 from laddergw.fleet.rights import Right
 from laddergw.fleet.stamps import Stamps
@@ -21,51 +21,51 @@
 from laddergw.planner import wire
 from laddergw.terms.generations import flat
 
-CHANGES = {"limits changed": versions.LIMITS, "deployment changed": versions.HOUSE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
+VERSION_KINDS = {"limits changed": versions.LIMITS, "deployment changed": versions.HOUSE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
 
 
 @cache
-def program() -> versions.Version:
-    """The text of the program that runs, as it lay on the disk when it was asked for first."""
+def program_version() -> versions.Version:
+    """The version of the running program, from its source files as they are on disk at the first call."""
     root = pathlib.Path(laddergw.__file__).parent
     files = sorted(root.rglob("*.py"))
     return versions.version(versions.PROGRAM, [part for file in files for part in (file.relative_to(root).as_posix(), file.read_bytes())])
 
 
 def limits_text(limits) -> list[str]:
-    """What a version of limits is made of."""
+    """The texts from which a version of limits is computed."""
     return [f"{key} = {value}" for key, value in flat(limits).items()]
 
 
 class AuditClient:
-    """See the module. `side`: the director's line to its planners."""
-
-    def __init__(self, side):
-        self.side, self.director, self.loop, self.action_counts = side, side.director, side.loop, Stamps()
-        self.alone_since: float | None = self.loop.now
-        self.active_versions = {versions.PROGRAM: program()}
-        for kind in CHANGES.values():
-            self.read(kind)
-        self.read_list()
-        director, self.watched, self.changed = self.director, self.director.watch, self.director.fleet.changed
-        director.watch, director.fleet.changed = self.told, self.listed
+    """The audit of one director. `client`: its PlannerClient."""
+
+    def __init__(self, client):
+        self.client, self.director, self.loop, self.action_counts = client, client.director, client.loop, Stamps()
+        self.unreachable_since: float | None = self.loop.now
+        self.active_versions = {versions.PROGRAM: program_version()}
+        for kind in VERSION_KINDS.values():
+            self.read_version(kind)
+        self.read_fleet_list()
+        director, self.next_watch, self.next_fleet_changed = self.director, self.director.watch, self.director.fleet.changed
+        director.watch, director.fleet.changed = self.event_watched, self.fleet_changed
         director.pages["POST", "/v1/audit"] = self.page
         self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
-        self.named: frozenset = frozenset()
-        self.file_receiver, self.apply_file, self.trouble = Bringing(), None, ""
+        self.active_hashes: frozenset = frozenset()
+        self.file_receiver, self.apply_file, self.limits_fault = Bringing(), None, ""
         if self.right is not None:
-            director.shut = self.shut
+            director.shut = self.rejection
         self.update_version_set()
 
-    # What is in force
+    # Versions in force
 
-    def read(self, kind: str) -> None:
-        """The version of a kind as the director has it now."""
+    def read_version(self, kind: str) -> None:
+        """Computes the version of one kind as the director has it now."""
         house = self.director.house
         if kind == versions.LIMITS:
             texts = limits_text(self.director.limits)
         elif kind == versions.HOUSE:
-            texts = [*house.names, repr(house.deployment._replace(number=0, zone=0))]     # (what is a director's own place is no version)
+            texts = [*house.names, repr(house.deployment._replace(number=0, zone=0))]     # number and zone differ between directors and are left out
         elif kind == versions.KEYS:
             texts = [part for name, secret in house.keys for part in (name, secret)] + sorted(house.retired)
         else:
@@ -76,120 +76,129 @@
         self.active_versions[kind] = versions.version(kind, texts)
 
     def update_version_set(self) -> None:
+        """Counts actions under the versions in force from now on."""
         self.action_counts.on(versions.stand(self.active_versions.values()), self.loop.now)
-        self.named = frozenset((version.kind, version.hash) for version in self.active_versions.values())
+        self.active_hashes = frozenset((version.kind, version.hash) for version in self.active_versions.values())
 
-    def read_list(self) -> None:
-        entries = self.director.fleet.entries        # (a node's age goes on everywhere by itself)
+    def read_fleet_list(self) -> None:
+        """Computes the version of the fleet list, without the nodes' ages, which advance on every director by themselves."""
+        entries = self.director.fleet.entries
         self.active_versions[versions.LIST] = versions.version(versions.LIST, [repr(entries[node]._replace(age_ms=None)) for node in sorted(entries)])
 
-    def listed(self, lines: list, whole: bool, stopped: list) -> None:
-        self.read_list()
+    def fleet_changed(self, entries: list, is_complete: bool, stopped: list) -> None:
+        """Records the new fleet list, then passes the change on."""
+        self.read_fleet_list()
         self.update_version_set()
-        self.changed(lines, whole, stopped)
+        self.next_fleet_changed(entries, is_complete, stopped)
 
-    def obeys(self, epoch: int, planner: str) -> None:
-        """Plans of one planner under one epoch count as one version: two and a half come each second."""
+    def plan_followed(self, epoch: int, planner: str) -> None:
+        """Records the plan in force; all plans of one planner and epoch count as one version, since two and a half arrive every second."""
         if (before := self.active_versions.get(versions.PLAN)) is None or (before.number, before.issuer) != (epoch, planner):
             self.active_versions[versions.PLAN] = versions.version(versions.PLAN, [str(epoch), planner], planner, epoch)
             self.update_version_set()
 
-    # What is carried out
+    # Actions
 
-    def let_in(self, ply: Try) -> None:
-        ply.stand = self.action_counts.now_in_force
-        self.did(ply, acts.LET_IN)
+    def play_admitted(self, attempt: Try) -> None:
+        """Notes the version set under which a play was admitted, and counts the admission."""
+        attempt.stand = self.action_counts.now_in_force
+        self.count_action(attempt, actions.LET_IN)
 
-    def did(self, ply: Try, action: str) -> None:
-        self.action_counts.did(ply.request.key, ply.request.product, ply.stand or self.action_counts.now_in_force, action, self.loop.now)
+    def count_action(self, attempt: Try, action: str) -> None:
+        """Counts an action under the versions in force now, and those at the play's admission."""
+        self.action_counts.did(attempt.request.key, attempt.request.product, attempt.stand or self.action_counts.now_in_force, action, self.loop.now)
 
-    def told(self, what: str, **facts) -> None:
-        """What the director watches, stamped on its way."""
-        if what == "limits refused":
-            self.trouble = facts.get("first", "")[:TEXT_MOST]
-        if what in CHANGES:
-            self.trouble = "" if what == "limits changed" else self.trouble
-            self.read(CHANGES[what])
+    def event_watched(self, event: str, **facts) -> None:
+        """Updates versions and counts from an event of the director, then passes the event on."""
+        if event == "limits refused":
+            self.limits_fault = facts.get("first", "")[:TEXT_MOST]
+        if event in VERSION_KINDS:
+            self.limits_fault = "" if event == "limits changed" else self.limits_fault
+            self.read_version(VERSION_KINDS[event])
             self.update_version_set()
-        elif (ply := self.director.tries.get(facts.get("play"))) is not None:
-            if what == "allocate":
-                self.did(ply, acts.AGAIN if facts["number"] else acts.SET_UP)
-            elif what == "answer":
-                self.did(ply, acts.PLAYING if facts["answer"] == "playing" else acts.DECLINED if facts["answer"] == DECLINED else acts.FAILED)
-            elif what == "ended" and ply.playing:
-                self.did(ply, acts.ENDED)
-        self.watched(what, **facts)
-        if what == "stopping":                   # at once: one that holds no play ends with this turn
-            self.side.say()
-
-    # Rights
-
-    def asks(self, number: int) -> None:
+        elif (attempt := self.director.tries.get(facts.get("play"))) is not None:
+            if event == "allocate":
+                self.count_action(attempt, actions.AGAIN if facts["number"] else actions.SET_UP)
+            elif event == "answer":
+                self.count_action(attempt, actions.PLAYING if facts["answer"] == "playing" else actions.DECLINED if facts["answer"] == DECLINED else actions.FAILED)
+            elif event == "ended" and attempt.playing:
+                self.count_action(attempt, actions.ENDED)
+        self.next_watch(event, **facts)
+        if event == "stopping":                  # sent at once: a director without plays exits with this turn
+            self.client.send_digest()
+
+    # The right to admit plays
+
+    def right_requested(self, number: int) -> None:
+        """A digest with this number, which asks for the right, is being sent."""
         if self.right is not None:
             self.right.asks(number, self.loop.now)
 
-    def shut(self) -> Rejection | None:
-        """Why nothing is let in at this moment: viewers are declined and come again elsewhere; what plays goes on under its terms."""
-        why = self.right.why_shut(self.named, self.loop.now)
+    def rejection(self) -> Rejection | None:
+        """The rejection for new plays while the director must not admit any; the viewers retry at other directors, running plays continue under their terms."""
+        why = self.right.why_shut(self.active_hashes, self.loop.now)
         return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.chance()) / 2, why)
 
-    # What is told
+    # Reports
 
-    def alone(self) -> None:
-        """No planner is to be reached from now on."""
-        if self.alone_since is None:
-            self.alone_since = self.loop.now
+    def planners_unreachable(self) -> None:
+        """No planner can be reached from now on."""
+        if self.unreachable_since is None:
+            self.unreachable_since = self.loop.now
 
-    def part(self, told: Told) -> Part:
-        since, self.alone_since = self.alone_since, None
-        return told.part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
-                         zone=self.director.house.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.trouble)
+    def report(self, reported: Told) -> Part:
+        """The audit part of the next digest on the connection with this state."""
+        since, self.unreachable_since = self.unreachable_since, None
+        return reported.part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
+                         zone=self.director.house.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.limits_fault)
 
-    # What is brought up
+    # Files from planners
 
-    def accept_files(self, bring: Callable) -> None:
-        """Limits can be brought here: `bring(data, sure, done)` checks, puts in force and keeps on the disk (limits_file.py)."""
-        self.apply_file, self.file_receiver.kinds = bring, (versions.LIMITS,)
+    def accept_files(self, apply_file: Callable) -> None:
+        """Accepts files of limits: `apply_file(data, check, done)` checks one, applies it and writes it to disk (limits_file.py)."""
+        self.apply_file, self.file_receiver.kinds = apply_file, (versions.LIMITS,)
 
-    def offered(self, peer, frame: Offer) -> None:
+    def offer_received(self, peer, frame: Offer) -> None:
+        """Requests the offered file if it is needed; reports an offer that contradicts an earlier one."""
         before = self.file_receiver.outcome
-        self.answer(peer, self.file_receiver.offered(frame))
+        self.send_fetch(peer, self.file_receiver.offered(frame))
         if self.file_receiver.outcome not in (before, before._replace(number=0)) and self.file_receiver.outcome.number:
             self.director.watch("offer at odds", why=self.file_receiver.outcome.why)
 
-    def piece(self, peer, number: int, offset: int, data: bytes) -> None:
-        """A piece came; the last one: the whole is checked like any file, held against what was wanted, and in force at one moment."""
-        found = self.file_receiver.piece(number, offset, data)
-        if not isinstance(found, bytes):
-            return self.answer(peer, found)
+    def piece_received(self, peer, number: int, offset: int, data: bytes) -> None:
+        """Adds a piece. A complete file is checked like any other and against the version that was offered, and takes effect at one moment."""
+        result = self.file_receiver.piece(number, offset, data)
+        if not isinstance(result, bytes):
+            return self.send_fetch(peer, result)
 
         def done(faults: list[str]) -> None:
             self.file_receiver.checked(number, faults)
             self.director.watch("file brought up", number=number, refused=faults)
-        return self.apply_file(found, self.not_it(self.file_receiver.offer.hash), done)
+        return self.apply_file(result, self.version_check(self.file_receiver.offer.hash), done)
 
-    def answer(self, peer, ask: Fetch | None) -> None:
-        if ask is not None:
-            peer.send(wire.Fetch(*ask))
+    def send_fetch(self, peer, fetch: Fetch | None) -> None:
+        """Requests the next piece, if one is needed."""
+        if fetch is not None:
+            peer.send(wire.Fetch(*fetch))
 
-    def not_it(self, wanted: str) -> Callable:
-        """What speaks against limits that were read: they are another version than the one that is wanted."""
-        def against(limits) -> str | None:
-            found = versions.version(versions.LIMITS, limits_text(limits)).hash
-            return None if found == wanted else f"its content is version {found[:8]}, {wanted[:8]} is wanted"
-        return against
+    def version_check(self, wanted: str) -> Callable:
+        """A check of limits that were read: returns a fault if they are another version than the wanted one."""
+        def check(limits) -> str | None:
+            actual = versions.version(versions.LIMITS, limits_text(limits)).hash
+            return None if actual == wanted else f"its content is version {actual[:8]}, {wanted[:8]} is wanted"
+        return check
 
     def page(self, exchange: Exchange) -> None:
-        """A play's way, by its viewer's key; without one, where this director stands."""
+        """Answers operators: the actions of a play, found by its viewer's key; without a key, the versions in force here."""
         try:
-            asked = json.loads(exchange.body or b"{}").get("play")
+            key = json.loads(exchange.body or b"{}").get("play")
         except (ValueError, AttributeError):
-            return exchange.answer(400, frames.problem("an object, with `play` or without"))
-        if asked is None:
-            stand = self.action_counts.stands[self.action_counts.now_in_force]
-            return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.action_counts.turns[-1].at_ms, "now_ms": self.loop.now,
-                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.action_counts.untold}))
-        way = self.action_counts.ways.get(asked)
-        if way is None:
+            return exchange.answer(400, frames.problem("the body must be a JSON object, with or without `play`"))
+        if key is None:
+            version_set = self.action_counts.stands[self.action_counts.now_in_force]
+            return exchange.answer(200, frames.encode({"process": self.director.name, "stand": version_set.id, "since_ms": self.action_counts.turns[-1].at_ms, "now_ms": self.loop.now,
+                                                       "versions": [version._asdict() for version in version_set.versions], "untold": self.action_counts.untold}))
+        steps = self.action_counts.ways.get(key)
+        if steps is None:
             return exchange.answer(404, frames.problem("no such play among those that are remembered here"))
-        return exchange.answer(200, frames.encode({"process": self.director.name, "play": asked, "now_ms": self.loop.now, "way": [step._asdict() for step in way]}))
+        return exchange.answer(200, frames.encode({"process": self.director.name, "play": key, "now_ms": self.loop.now, "way": [step._asdict() for step in steps]}))
--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -1,7 +1,7 @@
-"""A planner's side of the fleet's audit: takes in what directors tell, keeps it in the journal, acknowledges what is on the disk, answers operators.
+"""A planner's part of the fleet audit: collects the directors' reports, writes them to the journal, acknowledges what is on disk, answers operators.
 
-A director drops what was acknowledged, so an acknowledgement goes out after the write and never before; a planner that was fenced out, or has no store,
-acknowledges nothing. One that takes over reads the journal and adds what it heard itself meanwhile.
+A director drops what was acknowledged, so an acknowledgement is sent after the write and never before; a planner that was fenced, or has no store,
+acknowledges nothing. One that takes over reads the journal and adds the reports that it received itself meanwhile.
 """
 import json
 import time
@@ -20,20 +20,21 @@
 from laddergw.store.keeper import Store
 from laddergw.store.ledger import Ledger
 
-BATCH_BYTES, BYTES_A_ROW = 131_072, 64     # of one write and step: some ms of the planner's turn; of a row of a record, about
+# Size of one write, a step of a few ms in the planner's loop; and the approximate size of a row in a record.
+BATCH_BYTES, BYTES_PER_ROW = 131_072, 64
 
 encode = msgspec.msgpack.Encoder().encode
 
 
-FLOORS = "floors"          # of a record that names the forbidden versions, all of them
-WANT = "want"              # of one that tells of a wanted version and its rollout; the first of it has its bytes, too
+FLOORS = "floors"          # key of a record that lists all forbidden versions
+WANT = "want"              # key of a record of a wanted version and its rollout; the first record of a rollout also has the file's bytes
 
 
-def fold(records: Iterator[bytes]) -> bytes:
-    """Records of the journal as one: for each process what holds by then, its oldest turns as counts alone."""
-    book, floors, wants, budgets = Book(), [], {}, []
+def compact_records(records: Iterator[bytes]) -> bytes:
+    """Merges records of the journal into one: the latest state of each process, with its oldest turns as counts only."""
+    fleet_log, floors, wants, budgets = Book(), [], {}, []
     for record in records:
-        for one in read(record):
+        for one in decode_record(record):
             if FLOORS in one:
                 floors = [one]
                 continue
@@ -43,29 +44,30 @@
             if BUDGETS in one:
                 budgets = [one]
                 continue
-            book.restore(one)
-            book.bound(book.processes[one["process"]])
-    return encode(floors + budgets + list(wants.values()) + [book.record(name, 0.0, whole=True) for name in sorted(book.processes)])
+            fleet_log.restore(one)
+            fleet_log.bound(fleet_log.processes[one["process"]])
+    return encode(floors + budgets + list(wants.values()) + [fleet_log.record(name, 0.0, whole=True) for name in sorted(fleet_log.processes)])
 
 
-def read(record: bytes) -> list[dict]:
+def decode_record(record: bytes) -> list[dict]:
+    """The entries of one record of the journal."""
     return msgspec.msgpack.decode(record)
 
 
 class Auditor:
-    """See the module. `guarded(write)`: the planner's own way to write, False where it failed."""
+    """The fleet audit of one planner. `try_write(write)`: calls a write to the store, False if it failed. `wall_clock`: ms since the epoch."""
 
-    def __init__(self, loop, guarded: Callable[[Callable[[], None]], bool], wall: Callable[[], float] = lambda: time.time() * 1000):
-        self.loop, self.guarded, self.wall = loop, guarded, wall
+    def __init__(self, loop, try_write: Callable[[Callable[[], None]], bool], wall_clock: Callable[[], float] = lambda: time.time() * 1000):
+        self.loop, self.try_write, self.wall_clock = loop, try_write, wall_clock
         self.fleet_log, self.ledger, self.floors = Book(), None, Floors()
         self.rollouts, self.budget_grants = Rollouts(self), BudgetGrants(self)
 
     def load_journal(self, store: Store) -> None:
-        """The store is ours: what it holds is read, what it lacks of what we heard is written with the next records."""
+        """Reads the journal of the store, which this planner now owns; reports that are not in it are written with the next records."""
         self.ledger = Ledger(store)
-        disk, forbidden, wants, budgets = Book(), [], {}, []
+        on_disk, forbidden, wants, budgets = Book(), [], {}, []
         for record in self.ledger.records():
-            for one in read(record):
+            for one in decode_record(record):
                 if FLOORS in one:
                     forbidden = one[FLOORS]
                     continue
@@ -75,15 +77,15 @@
                 if BUDGETS in one:
                     budgets = one[BUDGETS]
                     continue
-                disk.restore(one)
+                on_disk.restore(one)
                 self.fleet_log.restore(one)
-                disk.bound(disk.processes[one["process"]])
+                on_disk.bound(on_disk.processes[one["process"]])
         self.floors.taken_over((tuple(version) for version in forbidden), self.loop.now)
-        self.rollouts.taken_over(wants)
-        self.budget_grants.taken_over(budgets)
+        self.rollouts.restore(wants)
+        self.budget_grants.restore(budgets)
         for name, process in self.fleet_log.processes.items():
-            process.heard_ms = min(process.heard_ms, self.loop.now)      # (another machine's clock may be ahead)
-            known = disk.processes.get(name)
+            process.heard_ms = min(process.heard_ms, self.loop.now)      # the clock of the machine that wrote it may be ahead
+            known = on_disk.processes.get(name)
             folded = known.folded_to if known else 0
             turns = {number for number in process.turns if number > folded and (known is None or number not in known.turns)}
             counts = {key for key, count in process.counts.items() if key.turn > folded and (known is None or known.counts.get(key, 0) < count)}
@@ -91,16 +93,16 @@
                 self.fleet_log.changed[name] = set(turns), counts
 
     def owns_journal(self) -> bool:
-        """Whether the journal is this planner's to write, and so its book the one that knows most."""
+        """True while this planner may write the journal, and so has the most complete log."""
         return self.ledger is not None and self.ledger.store.ours()
 
-    def told(self, peer, frame: wire.DigestFrame) -> None:
-        """Raises Malformed for a part that makes no sense: its connection ends."""
+    def digest_received(self, peer, frame: wire.DigestFrame) -> None:
+        """Processes the audit and budget parts of a digest. Raises MalformedFrame for an invalid part, which closes its connection."""
         try:
             if frame.audit is not None:
                 self.fleet_log.merge(peer.remote.name, frame.audit, frame.at_ms, self.loop.now, frame.number)
-                self.rollouts.told(peer.remote.name, frame.audit)
-            self.budget_grants.told(peer, frame)
+                self.rollouts.part_received(peer.remote.name, frame.audit)
+            self.budget_grants.digest_received(peer, frame)
             if frame.audit is not None:
                 if frame.audit.without and self.owns_journal():
                     peer.send(wire.Right(frame.number, self.ledger.store.epoch, LEASE_MS, tuple(sorted(self.floors.since))))
@@ -108,110 +110,114 @@
             raise wire.MalformedFrame(f"audit: {error}") from None
 
     def write_journal(self, peers) -> Generator[None, None, None]:
-        """Writes what is new, a batch a step, then says so to those whose it is. A write that fails ends it: the next time begins there."""
+        """Writes new reports, one batch per step, then acknowledges them to their directors. A failed write ends the run; the next run starts there."""
         if self.ledger is None:
             return
         batch, size = [], 0
         for name in sorted(self.fleet_log.changed):
             if name in self.fleet_log.changed:
-                record = self.fleet_log.record(name, self.wall())
+                record = self.fleet_log.record(name, self.wall_clock())
                 batch.append(record)
-                size += BYTES_A_ROW * (len(record["turns"]) + len(record["counts"]))
-                self.fleet_log.kept_stands |= record["stands"].keys()     # (once in a batch)
+                size += BYTES_PER_ROW * (len(record["turns"]) + len(record["counts"]))
+                self.fleet_log.kept_stands |= record["stands"].keys()     # once in a batch is enough
                 if size >= BATCH_BYTES:
-                    if not self.write(batch):
+                    if not self.append_batch(batch):
                         return
                     batch, size = [], 0
                     yield
-        if batch and not self.write(batch):
+        if batch and not self.append_batch(batch):
             return
         yield
         if self.ledger.crowded():
-            self.guarded(lambda: self.ledger.compact(fold))
+            self.try_write(lambda: self.ledger.compact(compact_records))
             self.fleet_log.forget_stands()
         for peer in list(peers):
             if peer.remote is not None and peer.remote.role == wire.EDGE and (turn := self.fleet_log.acknowledged(peer.remote.name)):
                 peer.send(wire.Kept(turn))
 
-    def write(self, batch: list[dict]) -> bool:
-        if not self.guarded(lambda: self.ledger.append([encode(batch)])):
+    def append_batch(self, batch: list[dict]) -> bool:
+        """Appends records to the journal; False if the write failed."""
+        if not self.try_write(lambda: self.ledger.append([encode(batch)])):
             self.fleet_log.kept_stands.difference_update(*(record["stands"].keys() for record in batch))
             return False
         for record in batch:
             self.fleet_log.kept(record)
         return True
 
-    def change_floors(self, frame: wire.Ask) -> dict:
-        """Forbids or allows a version, told by its kind and how its hash begins: first on the disk, then in force. What is forbidden then."""
+    def answer_floors(self, frame: wire.Ask) -> dict:
+        """Forbids or allows a version, given by its kind and the first digits of its hash: written to disk first, then in force. Returns what is forbidden then."""
         if not self.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
-        kind, _, begins = frame.name.partition(" ")
+        kind, _, hash_prefix = frame.name.partition(" ")
         known = {(v.kind, v.hash) for stand in self.fleet_log.stands.values() for v in stand.versions} | self.floors.since.keys()
-        meant = sorted(one for one in known if begins and one[0] == kind and one[1].startswith(begins))
+        matching = sorted(one for one in known if hash_prefix and one[0] == kind and one[1].startswith(hash_prefix))
         if frame.question != "floors":
-            if len(meant) != 1:
-                return {"refused": f"{len(meant)} known versions of {kind!r} begin with {begins!r}"}
-            why = self.allow(meant[0]) if frame.question == "allow" else self.forbid(meant[0])
+            if len(matching) != 1:
+                return {"refused": f"{len(matching)} known versions of {kind!r} begin with {hash_prefix!r}"}
+            why = self.allow(matching[0]) if frame.question == "allow" else self.forbid(matching[0])
             if why is not None:
                 return {"refused": why}
         rows = []
         for (kind, name), since in sorted(self.floors.since.items()):
-            nobody, may = self.floors.nobody((kind, name), self.fleet_log.seen(), self.loop.now)
-            rows.append({"kind": kind, "version": name, "since_wall_ms": self.wall() - (self.loop.now - since), "nobody_acts_on_it": nobody, "may_still": may})
+            unused, may_use = self.floors.nobody((kind, name), self.fleet_log.seen(), self.loop.now)
+            rows.append({"kind": kind, "version": name, "since_wall_ms": self.wall_clock() - (self.loop.now - since), "nobody_acts_on_it": unused, "may_still": may_use})
         return {"floors": rows, "not_known": answers.unknown(self.fleet_log, self.loop.now)}
 
     def forbid(self, version: tuple[str, str]) -> str | None:
-        """Why not, where it is refused. A version that is wanted is not forbidden."""
+        """Forbids a version; returns the reason if it is refused. The target of a running rollout cannot be forbidden."""
         rollout = self.rollouts.by_kind.get(version[0])
         if rollout is not None and rollout.want.hash == version[1] and rollout.state != HALTED:
             return "it is wanted: halt its rollout first"
         before = dict(self.floors.since)
-        return self.floors.forbid(version, self.fleet_log.seen(), self.loop.now, SILENT_MS) or self.keep_floors(before)
+        return self.floors.forbid(version, self.fleet_log.seen(), self.loop.now, SILENT_MS) or self.write_floors(before)
 
     def allow(self, version: tuple[str, str]) -> str | None:
+        """Allows a forbidden version again; returns the reason if it is refused."""
         before = dict(self.floors.since)
-        return self.keep_floors(before) if self.floors.allow(version) else "it is not forbidden"
+        return self.write_floors(before) if self.floors.allow(version) else "it is not forbidden"
 
-    def keep_floors(self, before: dict) -> str | None:
-        if self.floors.since == before or self.guarded(lambda: self.ledger.append([encode([{FLOORS: sorted(self.floors.since)}])])):
+    def write_floors(self, before: dict) -> str | None:
+        """Writes the forbidden versions to disk; restores `before` and returns the reason if that fails."""
+        if self.floors.since == before or self.try_write(lambda: self.ledger.append([encode([{FLOORS: sorted(self.floors.since)}])])):
             return None
         self.floors.since = before
         return "it could not be written"
 
-    def gone(self, name: str) -> dict:
-        """An operator says that a silent process is no more: nobody else can know. First on the disk; a process that is heard again takes it back."""
+    def declare_gone(self, name: str) -> dict:
+        """An operator declares that a silent process has ended, which no other process can know. Written to disk first; a report from the process revokes it."""
         process = self.fleet_log.processes.get(name)
         if not self.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         if process is None:
-            return {"refused": f"no process {name[:60]!r} was ever heard of"}
+            return {"refused": f"no process {name[:60]!r} has ever reported here"}
         if self.loop.now - process.heard_ms < SILENT_MS:
             return {"refused": f"{name} spoke {answers.seconds(self.loop.now - process.heard_ms)} ago"}
         before = process.gone
         self.fleet_log.ends(process, before or DECLARED)
-        if not self.write([self.fleet_log.record(name, self.wall())]):
+        if not self.append_batch([self.fleet_log.record(name, self.wall_clock())]):
             process.gone = before
             return {"refused": "it could not be written"}
         return {"gone": name, "not_known": answers.unknown(self.fleet_log, self.loop.now)}
 
     def answer_question(self, frame: wire.Ask) -> bytes:
-        book, now, wall = self.fleet_log, self.loop.now, self.wall()
+        """Answers an operator's question or order with JSON; an order that is not carried out with the reason under "refused"."""
+        fleet_log, now, wall_ms = self.fleet_log, self.loop.now, self.wall_clock()
         if frame.question == "versions":
-            found = answers.versions(book, now, wall)
+            found = answers.versions(fleet_log, now, wall_ms)
         elif frame.question == "director":
-            found = answers.director(book, frame.name, frame.at_wall_ms or wall, now, wall)
+            found = answers.director(fleet_log, frame.name, frame.at_wall_ms or wall_ms, now, wall_ms)
         elif frame.question == "version":
-            found = answers.version(book, frame.name, now, wall)
+            found = answers.version(fleet_log, frame.name, now, wall_ms)
         elif frame.question == "counts":
-            found = {"counts": [[*key, count] for key, count in sorted(answers.counted(book).items())], "not_known": answers.unknown(book, now)}
+            found = {"counts": [[*key, count] for key, count in sorted(answers.counted(fleet_log).items())], "not_known": answers.unknown(fleet_log, now)}
         elif frame.question in ("forbid", "allow", "floors"):
-            found = self.change_floors(frame)
+            found = self.answer_floors(frame)
         elif frame.question in ("want", "halt", "stragglers"):
-            found = self.rollouts.asked(frame)
+            found = self.rollouts.answer_question(frame)
         elif frame.question == "budgets":
-            found = self.budget_grants.shown()
+            found = self.budget_grants.describe()
         elif frame.question == "gone":
-            found = self.gone(frame.name)
+            found = self.declare_gone(frame.name)
         elif frame.question == "verify":
             verdict = self.ledger.verify() if self.owns_journal() else None
             found = {"kept": verdict is not None} | (verdict._asdict() if verdict is not None else {"why": "this planner does not keep the journal: it stands by, was fenced out, or has no store"})
--- a/laddergw/planner/budgeting.py
+++ b/laddergw/planner/budgeting.py
@@ -1,7 +1,7 @@
-"""A planner's side of budgets that are the fleet's: takes in what directors tell of them, answers with grants, tells operators. Decisions lie in fleet/issuing.py.
+"""A planner's part of fleet budgets: receives the directors' reports on them, answers with grants, describes them to operators. fleet/issuing.py decides.
 
-Only the planner that has the store grants, and only as its own file names budgets. Which budgets it grants is in the journal before the first grant: whoever takes over knows the
-longest window and the highest whole that there were.
+Only the planner that has the store grants, and only budgets that its own file names. They are in the journal before the first grant, so that a planner that takes over knows the
+longest window and the highest total that there were.
 """
 import msgspec
 
@@ -10,56 +10,56 @@
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.planner import wire
 
-BUDGETS = "budgets"        # of a record: name, whole, window, and the highest whole and longest window that ever were
+BUDGETS = "budgets"        # key of a record: rows of name, total, window, and the highest total and longest window so far
 encode = msgspec.msgpack.Encoder().encode
 
 
 class BudgetGrants:
-    """See the module. `auditor`: the journal and its planner's way to write."""
+    """All fleet budgets of a planner. `auditor`: has the journal and the way to write."""
 
     def __init__(self, auditor):
         self.auditor, self.loop = auditor, auditor.loop
         self.budgets: tuple[Budget, ...] = ()
         self.issuers: dict[str, Issuer] = {}
-        self.past: dict[str, tuple[int, float]] = {}             # highest whole, longest window, by name
-        self.written = False
+        self.past_limits: dict[str, tuple[int, float]] = {}      # name -> (highest total, longest window)
+        self.is_written = False
 
-    def taken_over(self, rows: list) -> None:
-        """The store is ours, and what others granted is not known."""
-        self.past = {name: (whole, window_ms) for name, _, _, whole, window_ms in rows}
-        self.issuers, self.written = {}, False
+    def restore(self, rows: list) -> None:
+        """Restores the past limits from the journal; this planner now owns the store and does not know what others granted."""
+        self.past_limits = {name: (total, window_ms) for name, _, _, total, window_ms in rows}
+        self.issuers, self.is_written = {}, False
 
     def configure(self, budgets: tuple[Budget, ...]) -> None:
-        """The file read again. A new whole is divided at once; with another window, or new, a budget begins as after a takeover."""
+        """Applies the budgets of the planner's file. A new total is divided at once; a new budget, or one with another window, starts as after a takeover."""
         for budget in budgets:
-            held = self.issuers.get(budget.name)
-            if held is not None and held.budget.window_ms == budget.window_ms:
-                held.changed(budget, self.loop.now)
+            issuer = self.issuers.get(budget.name)
+            if issuer is not None and issuer.budget.window_ms == budget.window_ms:
+                issuer.changed(budget, self.loop.now)
             else:
                 self.issuers.pop(budget.name, None)
         for name in self.issuers.keys() - {budget.name for budget in budgets}:
             del self.issuers[name]
-        self.budgets, self.written = budgets, False
+        self.budgets, self.is_written = budgets, False
 
-    def ready(self) -> bool:
-        """Whether grants may go out: the store is ours, and what may be granted is in it."""
+    def may_grant(self) -> bool:
+        """True if grants may be sent: this planner owns the journal, and the budgets are in it or could be written now."""
         if not self.budgets or not self.auditor.owns_journal():
             return False
-        if not self.written:
-            past = {b.name: (max(b.whole, self.past.get(b.name, (0, 0.0))[0]), max(b.window_ms, self.past.get(b.name, (0, 0.0))[1])) for b in self.budgets}
-            past = self.past | past
-            rows = [(*next(((b.name, b.whole, b.window_ms) for b in self.budgets if b.name == name), (name, 0, 0.0)), *most) for name, most in sorted(past.items())]
-            self.written = self.auditor.guarded(lambda: self.auditor.ledger.append([encode([{BUDGETS: rows}])]))
-            for budget in self.budgets if self.written else ():
+        if not self.is_written:
+            past_limits = {b.name: (max(b.whole, self.past_limits.get(b.name, (0, 0.0))[0]), max(b.window_ms, self.past_limits.get(b.name, (0, 0.0))[1])) for b in self.budgets}
+            past_limits = self.past_limits | past_limits
+            rows = [(*next(((b.name, b.whole, b.window_ms) for b in self.budgets if b.name == name), (name, 0, 0.0)), *limits) for name, limits in sorted(past_limits.items())]
+            self.is_written = self.auditor.try_write(lambda: self.auditor.ledger.append([encode([{BUDGETS: rows}])]))
+            for budget in self.budgets if self.is_written else ():
                 if budget.name not in self.issuers:
-                    whole, window_ms = past[budget.name]
-                    self.issuers[budget.name] = Issuer(budget, self.auditor.ledger.store.epoch, self.loop.now, window_ms, whole)
-            self.past = past if self.written else self.past
-        return self.written
+                    total, window_ms = past_limits[budget.name]
+                    self.issuers[budget.name] = Issuer(budget, self.auditor.ledger.store.epoch, self.loop.now, window_ms, total)
+            self.past_limits = past_limits if self.is_written else self.past_limits
+        return self.is_written
 
-    def told(self, peer, frame: wire.DigestFrame) -> None:
-        """A director's rows of one digest, answered in one frame."""
-        if not frame.budgets or not self.ready():
+    def digest_received(self, peer, frame: wire.DigestFrame) -> None:
+        """Answers the budget rows of a director's digest with one frame of grants."""
+        if not frame.budgets or not self.may_grant():
             return
         name, now, grants = peer.remote.name, self.loop.now, []
         for row in frame.budgets:
@@ -70,23 +70,23 @@
             store = self.auditor.ledger.store
             peer.send(wire.Granted(frame.number, store.epoch, store_identity(store), tuple(grants)))
 
-    def shown(self) -> dict:
-        """For operators: each budget, what is charged and to whom."""
-        if not self.ready():
+    def describe(self) -> dict:
+        """Describes each budget to operators: what is charged, and to which process."""
+        if not self.may_grant():
             return {"refused": "this planner grants no budgets: it does not keep the journal, or its file names none"}
         now, rows = self.loop.now, []
         for name, issuer in sorted(self.issuers.items()):
             issuer.look(now)
             window = issuer.budget.window_ms
-            held = [{"process": process, "charged": charge.amount(now, window), "floor": charge.floor(now, window), "spent": charge.used, "needs": charge.need, "wants": charge.want,
-                     "silent": now - charge.asked_ms >= ACTIVE_MS} for process, charge in sorted(issuer.charges.items())]
+            charges = [{"process": process, "charged": charge.amount(now, window), "floor": charge.floor(now, window), "spent": charge.used, "needs": charge.need, "wants": charge.want,
+                        "silent": now - charge.asked_ms >= ACTIVE_MS} for process, charge in sorted(issuer.charges.items())]
             rows.append({"budget": name, "whole": issuer.budget.whole, "window_ms": window, "charged": issuer.sum, "floors": issuer.floors, "reserve": issuer.reserve(),
-                         "unknown": issuer.unknown(now), "divided": issuer.why, "held": held,
+                         "unknown": issuer.unknown(now), "divided": issuer.why, "held": charges,
                          "waits_ms": max(0.0, issuer.began + (0.0 if issuer.settled(LEASE_MS, now) else 1.0) * (LEASE_MS + issuer.past_ms) - now),
                          "floors_known": issuer.settled(FLOOR_LEASE_MS, now)})
         return {"issuer": store_identity(self.auditor.ledger.store), "budgets": rows}
 
 
 def store_identity(store) -> str:
-    """Of a store, as directors' files name it."""
+    """The identity of a store, as directors' files write it."""
     return f"{store.identity:014x}"
--- a/laddergw/planner/digests.py
+++ b/laddergw/planner/digests.py
@@ -1,94 +1,97 @@
-"""What an edge tells the planner of itself, and the view of the fleet that comes of it. Pure; merging is commutative and idempotent.
+"""The digests that edges send to the planner, and the planner's view of the fleet built from them. No I/O; merging is commutative and idempotent.
 
-A digest is whole: what the edge's plays ask of each node at one moment, and counts since the edge's start. Of each edge's process the digest with the highest number holds, so
-that lost, doubled and reordered ones do no harm; counts of a process that is gone stay in what was counted. Times are ms; an edge's clock is only ever compared with itself.
+A digest is complete: the load that the edge's plays put on each node at one moment, and counts since the edge's start. For each edge process the digest with the highest number
+is used, so that lost, duplicated and reordered digests do no harm; counts of a process that has ended stay in the totals. Times are ms; an edge's clock is only compared with itself.
 """
 from typing import NamedTuple
 
-from laddergw.planner.sketch import Hot, Sketch
+from laddergw.planner.sketch import HotTitle, Sketch
 
-SILENT_MS = 5_000.0        # an edge that told nothing for so long holds nothing any more, as far as the plan goes
-HOT_TOLD = 32              # titles in a digest
+EDGE_SILENCE_MS = 5_000.0  # the load of an edge that reported nothing for this long is left out of plans
+MAX_HOT_TITLES = 32        # titles in a digest
 
 
 class Digest(NamedTuple):
-    """One edge at one moment. `edge`: its process's name; `number` counts from 1."""
+    """The state of one edge at one moment. `edge`: name of its process; `number` counts from 1."""
     edge: str
     number: int
     at_ms: float
-    nodes: dict[int, tuple[float, int]]        # kB a second asked, plays
-    arrivals: dict[str, int]                   # by product, since its start
-    hot: tuple[Hot, ...]
+    nodes: dict[int, tuple[float, int]]        # node -> (kB per second requested, plays)
+    arrivals: dict[str, int]                   # plays by product, since its start
+    hot: tuple[HotTitle, ...]
     failures: dict[int, int]                   # by node, since its start
-    drains: tuple[int, ...]                    # nodes that it was told to be draining or gone
+    drains: tuple[int, ...]                    # nodes that the edge knows to be draining or gone
 
 
 class EdgeState(NamedTuple):
-    """A digest and when it came, our clock."""
+    """The last digest of an edge and when it was received, by the planner's clock."""
     digest: Digest
-    came_ms: float
+    received_ms: float
 
 
-class View:
-    """What all edges see."""
+class FleetView:
+    """The fleet as all edges together report it."""
 
     def __init__(self):
-        self.heard: dict[str, EdgeState] = {}
-        self.past: dict[str, int] = {}                     # arrivals of processes that are silent for good
-        self.doubled = 0
+        self.edges: dict[str, EdgeState] = {}
+        self.past_arrivals: dict[str, int] = {}            # of processes that were dropped
+        self.duplicates = 0
 
     def merge(self, digest: Digest, now: float) -> bool:
-        """Takes a digest in; False where it says nothing new."""
-        known = self.heard.get(digest.edge)
-        if known is not None and digest.number <= known.digest.number:
-            self.doubled += 1
+        """Adds a digest; False if one with this number or a higher one is already there."""
+        previous = self.edges.get(digest.edge)
+        if previous is not None and digest.number <= previous.digest.number:
+            self.duplicates += 1
             return False
-        self.heard[digest.edge] = EdgeState(digest, now)
+        self.edges[digest.edge] = EdgeState(digest, now)
         return True
 
-    def alive(self, now: float) -> list[Digest]:
-        """Of the edges that told something lately, in order of their names."""
-        return [self.heard[edge].digest for edge in sorted(self.heard) if now - self.heard[edge].came_ms < SILENT_MS]
+    def live_digests(self, now: float) -> list[Digest]:
+        """The last digests of the edges that reported recently, in order of their names."""
+        return [self.edges[edge].digest for edge in sorted(self.edges) if now - self.edges[edge].received_ms < EDGE_SILENCE_MS]
 
-    def forget(self, now: float, after_ms: float) -> None:
-        """Processes silent for so long go; what they counted stays."""
-        for edge in [edge for edge, heard in self.heard.items() if now - heard.came_ms >= after_ms]:
-            for product, count in self.heard.pop(edge).digest.arrivals.items():
-                self.past[product] = self.past.get(product, 0) + count
+    def drop_silent(self, now: float, after_ms: float) -> None:
+        """Drops processes silent for `after_ms`; their arrivals stay in the totals."""
+        for edge in [edge for edge, state in self.edges.items() if now - state.received_ms >= after_ms]:
+            for product, count in self.edges.pop(edge).digest.arrivals.items():
+                self.past_arrivals[product] = self.past_arrivals.get(product, 0) + count
 
-    def asked(self, now: float) -> dict[int, tuple[float, int]]:
-        """By node, what all edges together ask of it: kB a second and plays."""
-        found: dict[int, tuple[float, int]] = {}
-        for digest in self.alive(now):
+    def node_loads(self, now: float) -> dict[int, tuple[float, int]]:
+        """Load of all edges together by node: (kB per second, plays)."""
+        totals: dict[int, tuple[float, int]] = {}
+        for digest in self.live_digests(now):
             for node, (kb, plays) in digest.nodes.items():
-                had = found.get(node, (0.0, 0))
-                found[node] = had[0] + kb, had[1] + plays
-        return dict(sorted(found.items()))
+                previous = totals.get(node, (0.0, 0))
+                totals[node] = previous[0] + kb, previous[1] + plays
+        return dict(sorted(totals.items()))
 
-    def numbers(self, now: float) -> dict[str, int]:
-        """Which digest of each edge the sums hold."""
-        return {digest.edge: digest.number for digest in self.alive(now)}
+    def digest_numbers(self, now: float) -> dict[str, int]:
+        """The number of the digest of each edge that the sums include."""
+        return {digest.edge: digest.number for digest in self.live_digests(now)}
 
     def arrivals(self) -> dict[str, int]:
-        found = dict(self.past)
-        for edge in sorted(self.heard):
-            for product, count in self.heard[edge].digest.arrivals.items():
-                found[product] = found.get(product, 0) + count
-        return dict(sorted(found.items()))
-
-    def drained(self, now: float) -> tuple[int, ...]:
-        """Told to any edge: the others hear of it from the list, by and by."""
-        return tuple(sorted({node for digest in self.alive(now) for node in digest.drains}))
-
-    def hot(self, now: float, most: int) -> list[Hot]:
+        """Plays by product of all processes, dropped ones included."""
+        totals = dict(self.past_arrivals)
+        for edge in sorted(self.edges):
+            for product, count in self.edges[edge].digest.arrivals.items():
+                totals[product] = totals.get(product, 0) + count
+        return dict(sorted(totals.items()))
+
+    def draining_nodes(self, now: float) -> tuple[int, ...]:
+        """Nodes that any edge knows to be draining or gone; the other edges learn of it later from the fleet list."""
+        return tuple(sorted({node for digest in self.live_digests(now) for node in digest.drains}))
+
+    def hot(self, now: float, limit: int) -> list[HotTitle]:
+        """The most requested titles of all live edges."""
         sketch = Sketch()
-        for digest in self.alive(now):
+        for digest in self.live_digests(now):
             sketch.merge(digest.hot)
-        return sketch.top(most)
+        return sketch.top(limit)
 
     def failures(self, now: float) -> dict[int, int]:
-        found: dict[int, int] = {}
-        for digest in self.alive(now):
+        """Failed allocations by node, of all live edges."""
+        totals: dict[int, int] = {}
+        for digest in self.live_digests(now):
             for node, count in digest.failures.items():
-                found[node] = found.get(node, 0) + count
-        return dict(sorted(found.items()))
+                totals[node] = totals.get(node, 0) + count
+        return dict(sorted(totals.items()))
--- a/laddergw/planner/plan.py
+++ b/laddergw/planner/plan.py
@@ -1,7 +1,7 @@
-"""Plans: what all edges ask of each node, versioned, whole, signed, with an epoch and a lease; and the rules by which an edge obeys one. Pure.
+"""Plans: the load that all edges together put on each node, versioned, complete, signed, with an epoch and a lease; and the rules by which an edge follows one. No I/O.
 
-An edge obeys the plan with the highest (epoch, planner, version) that it has seen, as long as its lease, counted from when it came, lasts. A plan says nothing about what an edge may do:
-floors, seats, drains, cold nodes and budgets are kept by the edge from what it was told itself, and a node that it knows to be draining or gone is left out of any plan.
+An edge follows the plan with the highest (epoch, planner, version) that it has seen, until the plan's lease ends, counted from when it was received. A plan permits nothing: an edge
+enforces floors, play limits, drains, cold nodes and budgets from its own information, and leaves any node that it knows to be draining or gone out of every plan.
 """
 import hashlib
 import hmac
@@ -9,113 +9,115 @@
 
 import msgspec
 
-from laddergw.planner.sketch import Hot
+from laddergw.planner.sketch import HotTitle
 
-LEASE_MS = 3_000.0         # of a plan: six plans may be lost
-MARK_BYTES = 16
-AHEAD_MOST = 1_000_000     # epochs: one so far beyond what is known is no planner's
-KB_MOST = 1e9              # of a node: more is nonsense
-NODES_MOST = 100_000
+LEASE_MS = 3_000.0         # of a plan: six plans in a row may be lost
+SIGNATURE_BYTES = 16
+MAX_EPOCH_JUMP = 1_000_000 # an epoch further above the highest known one cannot come from a planner
+MAX_NODE_RATE_KB = 1e9     # kB per second of one node; also bounds its plays
+MAX_NODES = 100_000
 
 Keys = tuple[tuple[str, bytes], ...]
 
 
 class Plan(NamedTuple):
-    """The fleet at one moment, as all edges together ask of it."""
+    """The load of the fleet at one moment, from all edges."""
     epoch: int
     planner: str
     version: int
     lease_ms: float
-    nodes: dict[int, tuple[float, int]]        # kB a second, plays
-    numbers: dict[str, int]                    # which digest of each edge is in the sums
-    rates: dict[str, float]                    # plays a second by product, forecast
-    hot: tuple[Hot, ...]
+    nodes: dict[int, tuple[float, int]]        # node -> (kB per second, plays)
+    numbers: dict[str, int]                    # edge -> number of its digest that the sums include
+    rates: dict[str, float]                    # product -> forecast of plays per second
+    hot: tuple[HotTitle, ...]
     drained: tuple[int, ...]
 
     @property
     def rank(self) -> tuple[int, str, int]:
-        """Of two planners that took one epoch, on two stores, one wins for all edges."""
+        """Order of plans: of two planners that took the same epoch on two stores, the same one wins at every edge."""
         return self.epoch, self.planner, self.version
 
 
 class PlanRejected(Exception):
-    """A plan that is not taken; the text says why."""
+    """The received plan is invalid; the text gives the reason."""
 
 
 def seal(plan: Plan, keys: Keys) -> bytes:
-    """The plan's bytes with the first key's mark."""
+    """Encodes a plan and signs it with the first key."""
     body = msgspec.msgpack.encode(tuple(plan))
-    return msgspec.msgpack.encode((keys[0][0], body, mark(keys[0][1], body)))
+    return msgspec.msgpack.encode((keys[0][0], body, sign(keys[0][1], body)))
 
 
-def mark(secret: bytes, body: bytes) -> bytes:
-    return hmac.digest(secret, b"plan\n" + body, hashlib.sha256)[:MARK_BYTES]
+def sign(secret: bytes, body: bytes) -> bytes:
+    """HMAC-SHA256 of an encoded plan, truncated to SIGNATURE_BYTES."""
+    return hmac.digest(secret, b"plan\n" + body, hashlib.sha256)[:SIGNATURE_BYTES]
 
 
 def unseal(data: bytes, keys: Keys) -> Plan:
-    """Raises PlanRejected for what is no plan, forged, or of an unknown key."""
+    """Decodes a signed plan. Raises PlanRejected if it is malformed, forged or signed with an unknown key."""
     try:
-        name, body, told = msgspec.msgpack.decode(data, type=tuple[str, bytes, bytes])
+        key_name, body, signature = msgspec.msgpack.decode(data, type=tuple[str, bytes, bytes])
     except (msgspec.MsgspecError, ValueError):
         raise PlanRejected("not a plan") from None
-    secret = dict(keys).get(name)
+    secret = dict(keys).get(key_name)
     if secret is None:
-        raise PlanRejected(f"signed by an unknown key {name[:20]!r}")
-    if not hmac.compare_digest(told, mark(secret, body)):
-        raise PlanRejected("its mark is wrong")
+        raise PlanRejected(f"signed with an unknown key {key_name[:20]!r}")
+    if not hmac.compare_digest(signature, sign(secret, body)):
+        raise PlanRejected("its signature is wrong")
     try:
-        return sound(msgspec.msgpack.decode(body, type=Plan))
+        return check_ranges(msgspec.msgpack.decode(body, type=Plan))
     except (msgspec.MsgspecError, ValueError) as error:
         raise PlanRejected(f"not a plan: {error}") from None
 
 
-def sound(plan: Plan) -> Plan:
-    """Raises ValueError where a planner has gone mad: figures out of any range."""
-    if len(plan.nodes) > NODES_MOST or not 0 < plan.lease_ms <= 10 * LEASE_MS or plan.epoch < 1 or plan.version < 1:
-        raise ValueError("its head is out of range")
+def check_ranges(plan: Plan) -> Plan:
+    """Returns the plan. Raises ValueError for values that no working planner sends."""
+    if len(plan.nodes) > MAX_NODES or not 0 < plan.lease_ms <= 10 * LEASE_MS or plan.epoch < 1 or plan.version < 1:
+        raise ValueError("lease, epoch, version or number of nodes is out of range")
     for node, (kb, plays) in plan.nodes.items():
-        if not 0 <= kb <= KB_MOST or not 0 <= plays <= KB_MOST:
-            raise ValueError(f"node {node}: {kb} kB a second of {plays} plays")
+        if not 0 <= kb <= MAX_NODE_RATE_KB or not 0 <= plays <= MAX_NODE_RATE_KB:
+            raise ValueError(f"node {node}: {kb} kB per second or {plays} plays is out of range")
     return plan
 
 
 class FollowedPlan:
-    """One edge's plan. `seen` outlives a plan's lease: an older one is never taken again."""
+    """The plan that one edge follows. `highest_rank` outlives a plan's lease: an older plan is never accepted again."""
 
     def __init__(self):
         self.plan: Plan | None = None
-        self.came_ms = 0.0
-        self.seen = (0, "", 0)
-        self.refused = self.stale = 0
+        self.received_ms = 0.0
+        self.highest_rank = (0, "", 0)
+        self.rejected = self.stale = 0
 
     def offer(self, plan: Plan, now: float) -> bool:
-        """Whether it is obeyed from now on. Of another epoch a higher one wins, whatever its version."""
-        if plan.rank <= self.seen or plan.epoch > self.seen[0] + AHEAD_MOST:
+        """Accepts a plan if its rank is higher than all before; True if it is followed from now on. A higher epoch wins whatever its version."""
+        if plan.rank <= self.highest_rank or plan.epoch > self.highest_rank[0] + MAX_EPOCH_JUMP:
             self.stale += 1
             return False
-        self.seen, self.plan, self.came_ms = plan.rank, plan, now
+        self.highest_rank, self.plan, self.received_ms = plan.rank, plan, now
         return True
 
-    def now(self, now: float) -> Plan | None:
-        """The plan in force, or None: too old, or none came."""
-        if self.plan is not None and now - self.came_ms >= self.plan.lease_ms:
+    def current(self, now: float) -> Plan | None:
+        """The plan in force; None if its lease is over or none was received."""
+        if self.plan is not None and now - self.received_ms >= self.plan.lease_ms:
             self.plan = None
         return self.plan
 
 
 class SentDigests:
-    """What an edge told by number, so that what a plan holds of itself can be taken out of its sums."""
+    """The last digests that an edge sent, so that its own load can be subtracted from a plan's sums."""
 
-    def __init__(self, kept: int = 32):
-        self.kept, self.nodes = kept, {}
+    def __init__(self, capacity: int = 32):
+        self.capacity, self.nodes = capacity, {}
 
-    def told(self, number: int, nodes: dict[int, tuple[float, int]]) -> None:
+    def record(self, number: int, nodes: dict[int, tuple[float, int]]) -> None:
+        """Remembers the loads in a digest and drops those that are too old."""
         self.nodes[number] = nodes
-        for old in [old for old in self.nodes if old <= number - self.kept]:
+        for old in [old for old in self.nodes if old <= number - self.capacity]:
             del self.nodes[old]
 
-    def others(self, plan: Plan, edge: str, leave_out: frozenset[int]) -> dict[int, float] | None:
-        """By node, what the other edges ask of it, kB a second; None where the plan holds a digest that is not remembered."""
+    def load_of_others(self, plan: Plan, edge: str, leave_out: frozenset[int]) -> dict[int, float] | None:
+        """Load of the other edges by node, kB per second; None if the plan includes a digest of this edge that is no longer remembered."""
         own: dict[int, tuple[float, int]] = {}
         if edge in plan.numbers:
             if plan.numbers[edge] not in self.nodes:
--- a/laddergw/planner/program.py
+++ b/laddergw/planner/program.py
@@ -1,9 +1,9 @@
-"""The planner as a process: its file, signals, logs and metrics.
+"""The planner as a process: its file, signals and logs.
 
     (planner (name "p0") (listen "127.0.0.1" 8300) (store "planner.store") (key lab "at least sixteen bytes") (leads)
       (other "127.0.0.1" 8301) (tls (certificate "p0.pem") (key "p0.key") (authority "authority.pem")))
 
-Keys sign plans and are the directors'. A planner without (leads) stands by. docs/planner.md tells the rest.
+The keys sign plans; the directors have the same keys. A planner without (leads) stands by. See docs/planner.md.
 """
 import gc
 import os
@@ -23,12 +23,12 @@
 from laddergw.terms.reading import Faults, Reader, only_form, text_of
 from laddergw.terms.sexpr import Refused
 
-COLLECT_MS = 600_000.0     # between collections of cycles: only ended connections leave any; left to itself, the collector walks over the audit's book all the time
-EXIT_GOOD, EXIT_FAILED, EXIT_FILE = 0, 1, 2
+GC_INTERVAL_MS = 600_000.0 # between collections of reference cycles: only closed connections leave any; automatic collections would traverse the audit's log all the time
+EXIT_OK, EXIT_FAILED, EXIT_FILE_REJECTED = 0, 1, 2
 
 
-class Office(NamedTuple):
-    """All that one planner's process is told."""
+class PlannerFile(NamedTuple):
+    """The settings of one planner process, from its file."""
     name: str
     listen: tuple[str, int]
     store: str | None
@@ -40,67 +40,67 @@
     budgets: tuple[Budget, ...] = ()
 
 
-def read_file(path: str) -> Office:
-    """Raises Refused with every fault, an unreadable file included."""
+def read_file(path: str) -> PlannerFile:
+    """Reads a planner's file. Raises Refused with all faults; an unreadable file is one."""
     faults = Faults()
     top = Reader(only_form(text_of(path), os.path.basename(path), "planner"), faults)
-    office = Office(top.word("name") or "", top.address("listen"), top.word("store", None), signing_keys(top), top.atoms("leads", None, 0, 0) is not None,
-                    take_planners(top, "other"), take_tls(top), top.whole("seed", 1, 0, 2 ** 63), take_budgets(top))
+    file = PlannerFile(top.word("name") or "", top.address("listen"), top.word("store", None), signing_keys(top), top.atoms("leads", None, 0, 0) is not None,
+                       take_planners(top, "other"), take_tls(top), top.whole("seed", 1, 0, 2 ** 63), read_budgets(top))
     top.no_others()
     faults.settle()
-    return office
+    return file
 
 
-def take_budgets(top: Reader) -> tuple[Budget, ...]:
-    """Budgets of the fleet: (budget "tenant basin" (whole 40) (window-ms 10000))."""
-    found = []
-    for one in top.each("budget"):
-        found.append(Budget(one.title, one.whole("whole", 0, 0, 1_000_000_000) or 0, one.number("window-ms", 10_000.0, 100, 3_600_000)))
-        one.no_others()
-    return tuple(found)
+def read_budgets(top: Reader) -> tuple[Budget, ...]:
+    """The fleet budgets in a planner's file: (budget "tenant basin" (whole 40) (window-ms 10000))."""
+    budgets = []
+    for entry in top.each("budget"):
+        budgets.append(Budget(entry.title, entry.whole("whole", 0, 0, 1_000_000_000) or 0, entry.number("window-ms", 10_000.0, 100, 3_600_000)))
+        entry.no_others()
+    return tuple(budgets)
 
 
-def read_again(path: str, planner: Planner, log) -> None:
-    """At SIGHUP: the file's keys hold from the next plan on, its budgets from the next division; a refused file changes nothing, the rest waits for a restart."""
+def reload_file(path: str, planner: Planner, log) -> None:
+    """Reloads the file at SIGHUP: its keys apply from the next plan, its budgets from the next division, other settings after a restart; a rejected file changes nothing."""
     try:
-        office = read_file(path)
-        planner.keys = office.keys
-        planner.auditor.budget_grants.configure(office.budgets)
+        file = read_file(path)
+        planner.keys = file.keys
+        planner.auditor.budget_grants.configure(file.budgets)
         log.info("keys changed", signs=planner.keys[0][0], taken=[name for name, _ in planner.keys])
     except Refused as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
 
 
 def run(path: str, level: str = "info") -> int:
-    """Runs one planner until it is told to stop; 2 where its file is refused, 1 where its store or port cannot be had."""
+    """Runs one planner until a signal stops it. Returns 2 if its file is rejected, 1 if its store or port cannot be opened."""
     try:
-        office = read_file(path)
+        file = read_file(path)
     except Refused as error:
         print(error, file=sys.stderr)
-        return EXIT_FILE
-    log = logger(level).bind(planner=office.name)
+        return EXIT_FILE_REJECTED
+    log = logger(level).bind(planner=file.name)
     loop = SocketLoop()
     try:
-        store = Store(office.store) if office.store is not None and office.leads else None
-        tls = server_context(*office.tls) if office.tls is not None else None
-        planner = Planner(loop, f"{office.name}.{os.getpid()}", office.listen, store, office.keys, office.leads, office.others, office.seed, tls,
+        store = Store(file.store) if file.store is not None and file.leads else None
+        tls = server_context(*file.tls) if file.tls is not None else None
+        planner = Planner(loop, f"{file.name}.{os.getpid()}", file.listen, store, file.keys, file.leads, file.others, file.seed, tls,
                           lambda what, **facts: log.debug(what, **facts) if what == "plan" else log.info(what, **facts),
-                          (lambda: client_context(*office.tls)) if office.tls is not None else None)
+                          (lambda: client_context(*file.tls)) if file.tls is not None else None)
     except (OSError, StoreError) as error:
         log.error("cannot start", error=str(error))
         return EXIT_FAILED
-    planner.store_path = office.store
-    planner.auditor.budget_grants.configure(office.budgets)
+    planner.store_path = file.store
+    planner.auditor.budget_grants.configure(file.budgets)
     for number in signal.SIGTERM, signal.SIGINT:
         loop.on_signal(number, planner.stop)
-    loop.on_signal(signal.SIGHUP, lambda: read_again(path, planner, log))
+    loop.on_signal(signal.SIGHUP, lambda: reload_file(path, planner, log))
     gc.disable()
-    planner.every(COLLECT_MS, gc.collect)
-    log.info("planner runs", address=planner.address, leads=office.leads, epoch=planner.standby.epoch)
+    planner.repeat_every(GC_INTERVAL_MS, gc.collect)
+    log.info("planner runs", address=planner.address, leads=file.leads, epoch=planner.standby.epoch)
     sys.stdout.write(f"ready {planner.address[0]} {planner.address[1]}\n")
     sys.stdout.flush()
     loop.run()
-    signal_mask.block_signals()              # what comes to a process that ends must not end it otherwise
+    signal_mask.block_signals()              # a signal during the shutdown must not end the process in another way
     log.info("planner ends")
     loop.close()
-    return EXIT_GOOD
+    return EXIT_OK
--- a/laddergw/planner/rollouts.py
+++ b/laddergw/planner/rollouts.py
@@ -1,7 +1,7 @@
-"""A planner's side of wanted versions: keeps what the rollout decided, offers, sends pieces, answers operators. Decisions lie in fleet/wanted.py.
+"""A planner's part of rollouts: writes a rollout's decisions to the journal, offers the file, sends its pieces, answers operators. fleet/wanted.py decides.
 
-Only the planner that keeps the journal offers anything. What it decided is on the disk before a director is told; one that takes over goes on where the
-journal stands, a rollout's step from its beginning.
+Only the planner that owns the journal offers files. A decision is on disk before a director learns of it; a planner that takes over continues from the
+journal, with the current step of a rollout from its beginning.
 """
 import hashlib
 from typing import NamedTuple
@@ -9,168 +9,174 @@
 import msgspec
 
 from laddergw.fleet import answers, wanted
-from laddergw.fleet.bringing import PIECE_BYTES, SIZE_MOST, Offer
+from laddergw.fleet.bringing import PIECE_BYTES, SIZE_MOST
 from laddergw.fleet.telling import Part
 from laddergw.fleet.versions import CAN_BE_WANTED, HASH_DIGITS
 from laddergw.fleet.wanted import Answers, Rollout, Want
 from laddergw.planner import wire
 
-LOOK_MS = 250.0            # between looks: directors tell as often
-IN_HAND = 16               # directors that are sent to at a time: 16 pieces of 16 kB are some ms of the planner, and checks do not come all together
-IN_HAND_MS = 10_000.0      # then another gets the place of one that asked for nothing more
+REVIEW_INTERVAL_MS = 250.0 # directors report as often
+MAX_TRANSFERS = 16         # directors that receive a file at a time: 16 pieces of 16 kB take the planner a few ms, and directors do not all check the file at once
+TRANSFER_IDLE_MS = 10_000.0 # a transfer without a fetch for this long is given up and another director takes its place
 encode = msgspec.msgpack.Encoder().encode
 
 
-class Hand(NamedTuple):
-    """A director that is sent to."""
+class Transfer(NamedTuple):
+    """A file on its way to one director."""
     kind: str
-    asked_ms: float
-    peer: object             # its connection: one that comes on another is offered again at once
+    last_fetch_ms: float
+    peer: object             # its connection: a director on a new connection gets a new offer at once
 
 
 class Rollouts:
-    """See the module. `auditor`: book, journal, floors and the planner's way to write."""
+    """All rollouts of a planner, at most one of each kind. `auditor`: has the log, the journal, the floors and the way to write."""
 
     def __init__(self, auditor):
         self.auditor, self.loop = auditor, auditor.loop
         self.by_kind: dict[str, Rollout] = {}
         self.content: dict[str, bytes] = {}
-        self.base: dict[str, tuple[Answers, Answers]] = {}       # when it began, or was taken over
-        self.hands: dict[str, Hand] = {}
-        self.highest = 0                                         # number that any director told
+        self.answers_at_start: dict[str, tuple[Answers, Answers]] = {} # when the rollout began or was taken over
+        self.transfers: dict[str, Transfer] = {}
+        self.highest_number = 0                                  # of an offer that any director reported
 
-    def taken_over(self, wants: dict[str, dict]) -> None:
-        """As the journal has them."""
-        self.by_kind, self.content, self.hands = {}, {}, {}
-        for kind, one in sorted(wants.items()):
-            self.begin(Rollout(Want(*one["want"]), self.loop.now, one["step"], one["state"], one["why"], one["sent"], one["crashed"]), one["data"])
+    def restore(self, wants: dict[str, dict]) -> None:
+        """Restores the rollouts from the journal's records."""
+        self.by_kind, self.content, self.transfers = {}, {}, {}
+        for kind, entry in sorted(wants.items()):
+            self.begin(Rollout(Want(*entry["want"]), self.loop.now, entry["step"], entry["state"], entry["why"], entry["sent"], entry["crashed"]), entry["data"])
 
     def begin(self, rollout: Rollout, data: bytes) -> None:
+        """Makes this the rollout of its kind, with the file's content."""
         want = rollout.want
         self.by_kind[want.kind], self.content[want.kind] = rollout, data
-        self.base[want.kind] = self.auditor.fleet_log.answers(want.kind, want.hash)
-        self.highest = max(self.highest, want.number)
+        self.answers_at_start[want.kind] = self.auditor.fleet_log.answers(want.kind, want.hash)
+        self.highest_number = max(self.highest_number, want.number)
 
-    def write(self, rollout: Rollout, **more) -> bool:
-        return self.auditor.guarded(lambda: self.auditor.ledger.append([encode([rollout.kept() | more])]))
+    def write_state(self, rollout: Rollout, **extra) -> bool:
+        """Writes a rollout's state, and extra fields, to the journal; False if that failed."""
+        return self.auditor.try_write(lambda: self.auditor.ledger.append([encode([rollout.kept() | extra])]))
 
-    # Time
+    # Timer
 
-    def look(self, peers) -> None:
-        """What is decided is kept, then carried out."""
+    def review(self, peers) -> None:
+        """Advances each rollout: a decision is written to the journal, then carried out."""
         if not self.by_kind or not self.auditor.owns_journal():
             return
         for kind, rollout in self.by_kind.items():
             before = rollout.kept()
-            base, now = self.base[kind], self.auditor.fleet_log.answers(kind, rollout.want.hash)
-            step = rollout.look(self.seats(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
-            if step.keep and not self.write(rollout):
-                self.back_to(rollout, before)
+            base, now = self.answers_at_start[kind], self.auditor.fleet_log.answers(kind, rollout.want.hash)
+            step = rollout.look(self.directors(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
+            if step.keep and not self.write_state(rollout):
+                self.roll_back(rollout, before)
                 continue
-            for name in step.forbid:             # as an operator would, under the same guards
+            for name in step.forbid:             # with the same checks as an operator's order
                 self.auditor.forbid((kind, name))
             self.offer_file(rollout, set(step.offer), peers)
 
-    def back_to(self, rollout: Rollout, before: dict) -> None:
-        """What could not be written did not happen."""
+    def roll_back(self, rollout: Rollout, before: dict) -> None:
+        """Restores the state before a decision that could not be written."""
         rollout.step, rollout.state, rollout.why, rollout.crashed = before["step"], before["state"], before["why"], set(before["crashed"])
 
-    def seats(self, rollout: Rollout) -> list[wanted.Seat]:
+    def directors(self, rollout: Rollout) -> list[wanted.Seat]:
+        """The progress of each director in a rollout."""
         return self.auditor.fleet_log.seats(rollout.want.kind, rollout.want.number, self.loop.now)
 
     def offer_file(self, rollout: Rollout, names: set[str], peers) -> None:
-        """To those whose turn it is, so many at a time."""
+        """Offers the file to the directors whose turn it is, up to MAX_TRANSFERS at a time."""
         now, want = self.loop.now, rollout.want
-        there = {peer.remote.name: peer for peer in peers if peer.remote is not None and peer.remote.role == wire.EDGE}
-        self.hands = {name: hand for name, hand in self.hands.items()
-                      if now - hand.asked_ms < IN_HAND_MS and there.get(name) is hand.peer and (hand.kind != want.kind or name in names)}
-        for name in sorted(names & there.keys()):
-            if name not in self.hands:
-                if len(self.hands) >= IN_HAND:
+        connected = {peer.remote.name: peer for peer in peers if peer.remote is not None and peer.remote.role == wire.EDGE}
+        self.transfers = {name: transfer for name, transfer in self.transfers.items()
+                          if now - transfer.last_fetch_ms < TRANSFER_IDLE_MS and connected.get(name) is transfer.peer and (transfer.kind != want.kind or name in names)}
+        for name in sorted(names & connected.keys()):
+            if name not in self.transfers:
+                if len(self.transfers) >= MAX_TRANSFERS:
                     return
-                self.hands[name] = Hand(want.kind, now, there[name])
-                there[name].send(wire.Offer(self.auditor.ledger.store.epoch, want.kind, want.number, want.hash, want.sha, want.size))
+                self.transfers[name] = Transfer(want.kind, now, connected[name])
+                connected[name].send(wire.Offer(self.auditor.ledger.store.epoch, want.kind, want.number, want.hash, want.sha, want.size))
 
     # Directors
 
-    def told(self, process: str, part: Part) -> None:
-        self.highest = max(self.highest, part.came[0])
+    def part_received(self, process: str, part: Part) -> None:
+        """Notes what a director reports of offers and of its own stop."""
+        self.highest_number = max(self.highest_number, part.came[0])
         if part.over:
             for rollout in self.by_kind.values():
                 rollout.stopped(process.partition("-")[0])
         if part.came[2]:
-            self.hands.pop(process, None)
+            self.transfers.pop(process, None)
 
     def send_piece(self, peer, frame: wire.Fetch) -> None:
-        """A piece of a want that still goes on, to whom it was offered; else nothing: the director is offered again."""
-        name, hand = peer.remote.name, self.hands.get(peer.remote.name)
-        rollout = self.by_kind.get(hand.kind) if hand is not None else None
+        """Sends a piece of a running rollout's file to a director that has an offer; otherwise nothing, and the director gets a new offer."""
+        name, transfer = peer.remote.name, self.transfers.get(peer.remote.name)
+        rollout = self.by_kind.get(transfer.kind) if transfer is not None else None
         if rollout is None or rollout.state == wanted.HALTED or frame.number != rollout.want.number or not 0 <= frame.offset < rollout.want.size or not self.auditor.owns_journal():
             return
-        data = self.content[hand.kind][frame.offset:frame.offset + PIECE_BYTES]
-        self.hands[name] = hand._replace(asked_ms=self.loop.now)
-        if frame.offset + len(data) == rollout.want.size:        # on the disk first: whoever crashes on it twice is not sent it a third time
+        data = self.content[transfer.kind][frame.offset:frame.offset + PIECE_BYTES]
+        self.transfers[name] = transfer._replace(last_fetch_ms=self.loop.now)
+        if frame.offset + len(data) == rollout.want.size:        # written first: a director that crashes on the file twice is not sent it a third time
             rollout.whole_sent(name)
-            if not self.write(rollout):
+            if not self.write_state(rollout):
                 return
         peer.send(wire.Piece(frame.number, frame.offset, data))
 
     # Operators
 
-    def asked(self, frame: wire.Ask) -> dict:
+    def answer_question(self, frame: wire.Ask) -> dict:
+        """Answers an operator's order or question about the rollout of a kind."""
         if not self.auditor.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, rest = frame.name.partition(" ")
         if kind not in CAN_BE_WANTED:
-            return {"refused": f"{', '.join(CAN_BE_WANTED)} can be wanted, not {kind[:40]!r}"}
+            return {"refused": f"{', '.join(CAN_BE_WANTED)} can be rolled out, not {kind[:40]!r}"}
         if frame.question == "want":
-            why = self.want(kind, rest, frame)
+            why = self.start(kind, rest, frame)
         elif frame.question == "halt":
             why = self.halt(kind)
         else:
             why = None
         return {"refused": why} if why is not None else self.stragglers(kind)
 
-    def want(self, kind: str, name: str, frame: wire.Ask) -> str | None:
-        """Begins a rollout; why not, where it is refused."""
+    def start(self, kind: str, name: str, frame: wire.Ask) -> str | None:
+        """Starts a rollout; returns the reason if it is refused."""
         before = self.by_kind.get(kind)
         if before is not None and before.state == wanted.GOING:
             return f"the rollout of {before.want.hash[:8]} (number {before.want.number}) goes on: halt it first"
         if not 0 < len(frame.data) <= SIZE_MOST or len(name) != HASH_DIGITS:
-            return f"a file of {len(frame.data)} bytes, 1 to {SIZE_MOST}, and its version's hash are needed"
+            return f"a file of 1 to {SIZE_MOST} bytes, not {len(frame.data)}, and the hash of its version are needed"
         if (kind, name) in self.auditor.floors.since:
-            return f"{kind} {name[:8]} must not be used any more: allow it first"
-        want = Want(kind, wanted.next_number(self.auditor.ledger.store.epoch, self.highest), name, hashlib.sha256(frame.data).hexdigest(), len(frame.data), max(0.0, frame.figures.get("soak_ms", wanted.SOAK_MS)),
+            return f"{kind} {name[:8]} is forbidden: allow it first"
+        want = Want(kind, wanted.next_number(self.auditor.ledger.store.epoch, self.highest_number), name, hashlib.sha256(frame.data).hexdigest(), len(frame.data), max(0.0, frame.figures.get("soak_ms", wanted.SOAK_MS)),
                     max(0.0, frame.figures.get("by_ms", 0.0)))
         rollout = Rollout(want, self.loop.now)
-        if not self.write(rollout, data=frame.data):
+        if not self.write_state(rollout, data=frame.data):
             return "it could not be written"
-        self.hands = {name: hand for name, hand in self.hands.items() if hand.kind != kind}
+        self.transfers = {name: transfer for name, transfer in self.transfers.items() if transfer.kind != kind}
         return self.begin(rollout, frame.data)
 
     def halt(self, kind: str) -> str | None:
+        """Halts the rollout of a kind; returns the reason if it is refused."""
         rollout = self.by_kind.get(kind)
         if rollout is None or rollout.state == wanted.HALTED:
             return "nothing goes on"
         before = rollout.kept()
-        rollout.state, rollout.why = wanted.HALTED, "an operator said so"
-        if not self.write(rollout):
-            self.back_to(rollout, before)
+        rollout.state, rollout.why = wanted.HALTED, "halted by an operator"
+        if not self.write_state(rollout):
+            self.roll_back(rollout, before)
             return "it could not be written"
         return None
 
     def stragglers(self, kind: str) -> dict:
-        """The rollout, and each director that is not on what is wanted, with its cause."""
-        rollout, now, book = self.by_kind.get(kind), self.loop.now, self.auditor.fleet_log
+        """The rollout's state, and each director that does not use the wanted version, with the cause."""
+        rollout, now, fleet_log = self.by_kind.get(kind), self.loop.now, self.auditor.fleet_log
         if rollout is None:
-            return {"want": None, "behind": [], "not_known": answers.unknown(book, now)}
-        seats, behind = self.seats(rollout), []
-        for seat in seats:
-            if (cause := rollout.cause(seat, now)) is not None:
-                behind.append({"process": seat.process, "on": seat.on, "cause": cause[0], "detail": cause[1], "wants_an_eye": cause[0] in wanted.BEHIND})
-        not_known = answers.unknown(book, now)
-        if self.highest > rollout.want.number:
-            not_known.append(f"directors were offered number {self.highest}, here {rollout.want.number} is the last: this journal was set back; want it anew")
+            return {"want": None, "behind": [], "not_known": answers.unknown(fleet_log, now)}
+        directors, behind = self.directors(rollout), []
+        for director in directors:
+            if (cause := rollout.cause(director, now)) is not None:
+                behind.append({"process": director.process, "on": director.on, "cause": cause[0], "detail": cause[1], "wants_an_eye": cause[0] in wanted.BEHIND})
+        not_known = answers.unknown(fleet_log, now)
+        if self.highest_number > rollout.want.number:
+            not_known.append(f"directors were offered number {self.highest_number}, the last one here is {rollout.want.number}: this journal was set back; start the rollout again")
         return {"want": rollout.want._asdict(), "step": rollout.step + 1, "steps": len(wanted.SHARES), "state": rollout.state, "why": rollout.why,
-                "on_it": sum(seat.on == rollout.want.hash and seat.heard for seat in seats), "directors": len(seats), "behind": behind, "not_known": not_known}
+                "on_it": sum(director.on == rollout.want.hash and director.heard for director in directors), "directors": len(directors), "behind": behind, "not_known": not_known}
 
--- a/laddergw/planner/rules_check.py
+++ b/laddergw/planner/rules_check.py
@@ -1,199 +1,206 @@
-"""A model checker over the rules of plans, leases and epochs: the very functions that planners and edges run, in all orders of losses, delays, deaths and partitions.
+"""A model checker for the rules of plans, leases and epochs: it runs the functions of planners and edges themselves, in all orders of losses, delays, crashes and partitions.
 
-Two planners on one store (or each on its own), two edges, time in ticks. A state is what the real objects hold, written down as a tuple; each is looked at once, breadth first, so that
-a break is told with the fewest steps. Bounded in ticks and in messages on their way.
+Two planners on one store (or each on its own), two edges, time in ticks. A state is the content of the real objects as a tuple; each state is visited once, breadth first, so that
+a violation is reported with the fewest steps. Ticks and messages in flight are bounded.
 
-What must hold: an edge never goes back to a lower rank; never obeys a plan whose lease, from when it came, is over; no two planners on one store plan under one epoch; and from any
-state, once messages pass and one planner lives, both edges obey one planner before long.
+What must hold: an edge never goes back to a lower rank; never follows a plan whose lease, counted from its receipt, is over; no two planners on one store plan under one epoch; and from
+any state, once messages get through and one planner is alive, both edges follow one planner after a bounded time.
 """
 from collections import deque
 from typing import Callable, Iterator, NamedTuple
 
 from laddergw.planner.plan import LEASE_MS, FollowedPlan, Plan
-from laddergw.planner.standby import LEADS, SILENT_MS, STRAY_MS, Standby
+from laddergw.planner.standby import LEADS, LEADER_SILENCE_MS, MAX_JITTER_MS, Standby
 
-TICK_MS = 1_250.0          # a lease is two to three ticks, a silence two to three
-TICKS_MOST = 6             # of one history
-FLYING_MOST = 2            # messages on their way
-CALM_TICKS = 9             # until all edges must obey one planner, messages passing: silence, takeover, a plan
+TICK_MS = 1_250.0          # a lease takes two to three ticks, and so does a leader's silence
+MAX_TICKS = 6              # of one history
+MAX_IN_FLIGHT = 2          # messages
+SETTLE_TICKS = 9           # in which all edges must come to follow one planner if messages get through: silence, takeover, a plan
 PLANNERS, EDGES = ("p", "q"), (0, 1)
 
 
 class Rules(NamedTuple):
-    """What is checked: the real rules, or, to see that the check sees, one with a mistake in it."""
+    """The rules to check: the real ones, or some with a mistake, to test the check itself."""
     offer: Callable[[FollowedPlan, Plan, float], bool] = FollowedPlan.offer
-    now: Callable[[FollowedPlan, float], Plan | None] = FollowedPlan.now
+    current: Callable[[FollowedPlan, float], Plan | None] = FollowedPlan.current
     fenced: bool = True
 
 
 class State(NamedTuple):
-    """Everything, as plain values. `planners`: (alive, state, epoch, highest, heard_at, version); `edges`: (seen, plan rank, came_ms); `flying`: (rank, edge)."""
+    """The whole system as plain values. `planners`: (alive, state, epoch, highest, last_heard, version); `edges`: (highest_rank, plan rank, received_ms); `in_flight`: (rank, edge)."""
     tick: int
     store: int
     planners: tuple[tuple, ...]
     edges: tuple[tuple, ...]
-    flying: tuple[tuple, ...]
+    in_flight: tuple[tuple, ...]
 
 
 class Outcome(NamedTuple):
-    """What a check came to."""
+    """The result of a check: states visited, the violation if there is one, and the steps that lead to it."""
     states: int
-    broken: str | None
+    violation: str | None
     steps: tuple[str, ...]
 
 
 def start() -> State:
+    """The initial state: planner p leads, q stands by, the edges have no plan."""
     return State(0, 1, ((True, LEADS, 1, 1, 0.0, 0), (True, "stands by", 1, 1, 0.0, 0)), (((0, "", 0), None, 0.0),) * 2, ())
 
 
-def standing(told: tuple) -> Standby:
-    made = Standby(1, told[2], told[4], told[1] == LEADS)
-    made.highest, made.wait = told[3], SILENT_MS + STRAY_MS / 2
-    return made
+def restore_standby(row: tuple) -> Standby:
+    """The Standby of a planner's row, with a fixed takeover delay."""
+    standby = Standby(1, row[2], row[4], row[1] == LEADS)
+    standby.highest, standby.takeover_delay = row[3], LEADER_SILENCE_MS + MAX_JITTER_MS / 2
+    return standby
 
 
-def as_told(alive: bool, made: Standby, version: int) -> tuple:
-    return alive, made.state, made.epoch, made.highest, made.heard_at, version
+def planner_row(alive: bool, standby: Standby, version: int) -> tuple:
+    """The row of a planner."""
+    return alive, standby.state, standby.epoch, standby.highest, standby.last_heard, version
 
 
-def obeyed(told: tuple) -> FollowedPlan:
-    made = FollowedPlan()
-    made.seen, made.came_ms = told[0], told[2]
-    made.plan = None if told[1] is None else plan_of(told[1])
-    return made
+def restore_followed(row: tuple) -> FollowedPlan:
+    """The FollowedPlan of an edge's row."""
+    followed = FollowedPlan()
+    followed.highest_rank, followed.received_ms = row[0], row[2]
+    followed.plan = None if row[1] is None else plan_with_rank(row[1])
+    return followed
 
 
-def plan_of(rank: tuple) -> Plan:
+def plan_with_rank(rank: tuple) -> Plan:
+    """An empty plan with this rank."""
     return Plan(rank[0], rank[1], rank[2], LEASE_MS, {}, {}, {}, (), ())
 
 
-def put(rows: tuple, place: int, row: tuple) -> tuple:
-    return rows[:place] + (row,) + rows[place + 1:]
+def replace_row(rows: tuple, index: int, row: tuple) -> tuple:
+    """The rows with one of them replaced."""
+    return rows[:index] + (row,) + rows[index + 1:]
 
 
-def moves(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """All that can happen next."""
+def successors(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
+    """All steps that are possible next, each with the state after it."""
     now = state.tick * TICK_MS
     for index, name in enumerate(PLANNERS):
-        alive, how, epoch, highest, heard, version = state.planners[index]
+        alive, role, epoch, highest, last_heard, version = state.planners[index]
         if not alive:
             store = state.store + 1 if rules.fenced else state.store
-            yield f"{name} starts again", state._replace(store=store, planners=put(state.planners, index, (True, LEADS, store, max(store, highest), now, version)))
+            yield f"{name} restarts", state._replace(store=store, planners=replace_row(state.planners, index, (True, LEADS, store, max(store, highest), now, version)))
             continue
-        if how == LEADS and rules.fenced and epoch != state.store:
-            shut = standing(state.planners[index])
-            shut.fenced(now)
-            yield f"{name} is fenced", state._replace(planners=put(state.planners, index, as_told(True, shut, version)))
-        yield f"{name} dies", state._replace(planners=put(state.planners, index, (False, how, epoch, highest, heard, version)))
-        if how == LEADS and len(state.flying) < FLYING_MOST and (not rules.fenced or epoch == state.store):
+        if role == LEADS and rules.fenced and epoch != state.store:
+            fenced = restore_standby(state.planners[index])
+            fenced.fenced(now)
+            yield f"{name} is fenced", state._replace(planners=replace_row(state.planners, index, planner_row(True, fenced, version)))
+        yield f"{name} crashes", state._replace(planners=replace_row(state.planners, index, (False, role, epoch, highest, last_heard, version)))
+        if role == LEADS and len(state.in_flight) < MAX_IN_FLIGHT and (not rules.fenced or epoch == state.store):
             rank = (epoch, name, version + 1)
             for edge in EDGES:
                 yield f"{name} plans {epoch}.{version + 1} for edge {edge}", state._replace(
-                    planners=put(state.planners, index, (alive, how, epoch, highest, heard, version + 1)), flying=tuple(sorted(state.flying + ((rank, edge),))))
-    for place, (rank, edge) in enumerate(state.flying):
-        rest = state.flying[:place] + state.flying[place + 1:]
-        yield f"{rank[0]}.{rank[2]} of {rank[1]} is lost", state._replace(flying=rest)
-        made = obeyed(state.edges[edge])
-        rules.offer(made, plan_of(rank), now)
-        told = made.seen, made.plan.rank if made.plan else None, made.came_ms
-        yield f"{rank[0]}.{rank[2]} of {rank[1]} reaches edge {edge}", state._replace(edges=put(state.edges, edge, told), flying=rest)
+                    planners=replace_row(state.planners, index, (alive, role, epoch, highest, last_heard, version + 1)), in_flight=tuple(sorted(state.in_flight + ((rank, edge),))))
+    for position, (rank, edge) in enumerate(state.in_flight):
+        rest = state.in_flight[:position] + state.in_flight[position + 1:]
+        yield f"{rank[0]}.{rank[2]} of {rank[1]} is lost", state._replace(in_flight=rest)
+        followed = restore_followed(state.edges[edge])
+        rules.offer(followed, plan_with_rank(rank), now)
+        row = followed.highest_rank, followed.plan.rank if followed.plan else None, followed.received_ms
+        yield f"{rank[0]}.{rank[2]} of {rank[1]} reaches edge {edge}", state._replace(edges=replace_row(state.edges, edge, row), in_flight=rest)
         for index, name in enumerate(PLANNERS):
             if name != rank[1] and state.planners[index][0]:
-                heard = standing(state.planners[index])
-                heard.heard(rank[0], now)
-                yield f"{name} hears {rank[0]}.{rank[2]}", state._replace(planners=put(state.planners, index, as_told(True, heard, state.planners[index][5])))
-    if state.tick < TICKS_MOST:
+                hearer = restore_standby(state.planners[index])
+                hearer.plan_seen(rank[0], now)
+                yield f"{name} receives {rank[0]}.{rank[2]}", state._replace(planners=replace_row(state.planners, index, planner_row(True, hearer, state.planners[index][5])))
+    if state.tick < MAX_TICKS:
         yield "time passes", pass_time(state, rules)
 
 
 def pass_time(state: State, rules: Rules) -> State:
-    """A tick: leases end, a standby may take over."""
+    """The state one tick later: leases may end, a standby may take over."""
     now, planners, store = (state.tick + 1) * TICK_MS, list(state.planners), state.store
-    for index, told in enumerate(planners):
-        if told[0]:
-            made = standing(told)
-            step = made.look(now)
+    for index, row in enumerate(planners):
+        if row[0]:
+            restored = restore_standby(row)
+            step = restored.review(now)
             if step.take:
                 store = max(store + 1, step.take) if rules.fenced else step.take
-                made.took(store)
-            planners[index] = as_told(True, made, told[5])
+                restored.epoch_taken(store)
+            planners[index] = planner_row(True, restored, row[5])
     edges = []
-    for told in state.edges:
-        made = obeyed(told)
-        plan = rules.now(made, now)
-        edges.append((made.seen, plan.rank if plan else None, made.came_ms))
-    return State(state.tick + 1, store, tuple(planners), tuple(edges), state.flying)
+    for row in state.edges:
+        restored = restore_followed(row)
+        plan = rules.current(restored, now)
+        edges.append((restored.highest_rank, plan.rank if plan else None, restored.received_ms))
+    return State(state.tick + 1, store, tuple(planners), tuple(edges), state.in_flight)
 
 
-def broken(before: State, after: State) -> str | None:
-    """A rule that this step broke."""
+def find_violation(before: State, after: State) -> str | None:
+    """The rule that this step violates, if any."""
     now = after.tick * TICK_MS
     for edge in EDGES:
         if after.edges[edge][0] < before.edges[edge][0]:
             return f"edge {edge} went back from {before.edges[edge][0]} to {after.edges[edge][0]}"
         old, new = before.edges[edge][1], after.edges[edge][1]
         if new is not None and new != old and new <= before.edges[edge][0]:
-            return f"edge {edge} obeys {new}, it had seen {before.edges[edge][0]}"
+            return f"edge {edge} follows {new}, it had seen {before.edges[edge][0]}"
         if new is not None and now - after.edges[edge][2] >= LEASE_MS and after.tick > before.tick:
-            return f"edge {edge} obeys {new} past its lease"
-    leads = [told[2] for told in after.planners if told[0] and told[1] == LEADS and told[2] == after.store]
-    return f"two planners plan under epoch {leads[0]}" if len(leads) == 2 else None
+            return f"edge {edge} follows {new} past its lease"
+    leading_epochs = [row[2] for row in after.planners if row[0] and row[1] == LEADS and row[2] == after.store]
+    return f"two planners plan under epoch {leading_epochs[0]}" if len(leading_epochs) == 2 else None
 
 
 def settles(state: State, rules: Rules) -> bool:
-    """With messages passing from here on and one planner alive, do both edges come to obey one planner?"""
-    if not any(told[0] for told in state.planners):
+    """True if both edges come to follow one planner, given that messages get through from here on and a planner is alive."""
+    if not any(row[0] for row in state.planners):
         return True
-    state = state._replace(flying=())
-    for tick in range(CALM_TICKS):
+    state = state._replace(in_flight=())
+    for tick in range(SETTLE_TICKS):
         now = state.tick * TICK_MS
         for index, name in enumerate(PLANNERS):
-            alive, how, epoch, _, _, version = state.planners[index]
-            if alive and how == LEADS and rules.fenced and epoch != state.store:
-                shut = standing(state.planners[index])
-                shut.fenced(now)
-                state = state._replace(planners=put(state.planners, index, as_told(True, shut, version)))
-            if not alive or how != LEADS or rules.fenced and epoch != state.store:
+            alive, role, epoch, _, _, version = state.planners[index]
+            if alive and role == LEADS and rules.fenced and epoch != state.store:
+                fenced = restore_standby(state.planners[index])
+                fenced.fenced(now)
+                state = state._replace(planners=replace_row(state.planners, index, planner_row(True, fenced, version)))
+            if not alive or role != LEADS or rules.fenced and epoch != state.store:
                 continue
             rank, edges, planners = (epoch, name, version + 1), [], list(state.planners)
-            for told in state.edges:
-                made = obeyed(told)
-                rules.offer(made, plan_of(rank), now)
-                edges.append((made.seen, made.plan.rank if made.plan else None, made.came_ms))
-            for other, told in enumerate(planners):
-                made = standing(told)
-                made.heard(epoch, now)
-                planners[other] = as_told(told[0], made if other != index else standing(told), told[5] + (other == index))
+            for row in state.edges:
+                restored = restore_followed(row)
+                rules.offer(restored, plan_with_rank(rank), now)
+                edges.append((restored.highest_rank, restored.plan.rank if restored.plan else None, restored.received_ms))
+            for other, row in enumerate(planners):
+                restored = restore_standby(row)
+                restored.plan_seen(epoch, now)
+                planners[other] = planner_row(row[0], restored if other != index else restore_standby(row), row[5] + (other == index))
             state = state._replace(edges=tuple(edges), planners=tuple(planners))
-        obeys = [told[1] for told in state.edges]
-        if tick and None not in obeys and len({rank[:2] for rank in obeys}) == 1:
+        followed_ranks = [row[1] for row in state.edges]
+        if tick and None not in followed_ranks and len({rank[:2] for rank in followed_ranks}) == 1:
             return True
         state = pass_time(state, rules)
     return False
 
 
-def check(rules: Rules = Rules(), most: int = 60_000) -> Outcome:
-    """All states within the bounds, breadth first; at most so many."""
+def check(rules: Rules = Rules(), max_states: int = 60_000) -> Outcome:
+    """Visits the states within the bounds, breadth first, at most `max_states` of them."""
     first = start()
-    came: dict[State, tuple[State, str] | None] = {first: None}
+    reached_from: dict[State, tuple[State, str] | None] = {first: None}
     queue = deque([first])
     while queue:
         state = queue.popleft()
         if not settles(state, rules):
-            return Outcome(len(came), "the edges do not come to obey one planner", path(came, state))
-        for name, after in moves(state, rules):
-            wrong = broken(state, after)
-            if wrong is not None:
-                return Outcome(len(came), wrong, path(came, state) + (name,))
-            if after not in came and len(came) < most:
-                came[after] = state, name
+            return Outcome(len(reached_from), "the edges do not come to follow one planner", trace(reached_from, state))
+        for name, after in successors(state, rules):
+            violation = find_violation(state, after)
+            if violation is not None:
+                return Outcome(len(reached_from), violation, trace(reached_from, state) + (name,))
+            if after not in reached_from and len(reached_from) < max_states:
+                reached_from[after] = state, name
                 queue.append(after)
-    return Outcome(len(came), None, ())
+    return Outcome(len(reached_from), None, ())
 
 
-def path(came: dict, state: State) -> tuple[str, ...]:
+def trace(reached_from: dict, state: State) -> tuple[str, ...]:
+    """The steps from the initial state to this one."""
     steps = []
-    while came[state] is not None:
-        state, name = came[state]
+    while reached_from[state] is not None:
+        state, name = reached_from[state]
         steps.append(name)
     return tuple(reversed(steps))
--- a/laddergw/planner/trust.py
+++ b/laddergw/planner/trust.py
@@ -1,32 +1,32 @@
-"""Decides whether an edge believes its planner: what plans say of nodes is held against what the nodes themselves tell. Pure.
+"""Decides whether an edge trusts its planner: the loads in plans are compared with the loads that the nodes report themselves. No I/O.
 
-A node's own word (what is asked of its link) comes each few seconds; a plan's sum comes twice a second. Where the two stray apart at most nodes, it is the planner that is wrong, by a
-fault of its own or of an edge that tells nonsense; its plans are put aside until they agree again. A single node may stray: it may sag, or carry what no edge knows of.
+A node reports the load requested of its link every few seconds; a plan's sum arrives twice a second. If the two differ at most nodes, the planner is wrong, by a fault of its own or
+because an edge reports wrong values; its plans are ignored until they agree again. A single node may differ: it may slow down, or carry load that no edge knows of.
 """
 from collections import deque
 
-LOW, HIGH = 0.6, 1.6       # of the node's own word: rates stray by 15%, and the two are of different moments
-LEAST_KB = 200.0           # of a node's load: less says nothing
-WORDS = 24                 # the last comparisons, over all nodes
-LEAST_WORDS = 8
-BAD_PART = 0.6             # of them astray: put aside
-GOOD_PART = 0.3            # believed again
+MIN_RATIO, MAX_RATIO = 0.6, 1.6 # planned / reported load: rates vary by 15%, and the two are taken at different moments
+MIN_LOAD_KB = 200.0        # kB per second; a smaller load is not compared
+WINDOW_COMPARISONS = 24    # the last comparisons, over all nodes
+MIN_COMPARISONS = 8
+DISTRUST_SHARE = 0.6       # share of mismatches at which plans are ignored
+RESTORE_SHARE = 0.3        # share of mismatches at which plans are used again
 
 
 class Trust:
-    """One edge's view of its planner."""
+    """Whether one edge trusts its planner's plans."""
 
     def __init__(self):
-        self.words: deque[bool] = deque(maxlen=WORDS)
+        self.mismatches: deque[bool] = deque(maxlen=WINDOW_COMPARISONS)
         self.believed = True
-        self.turns = 0
+        self.change_count = 0
 
-    def compare(self, told_kb: float, planned_kb: float) -> bool:
-        """A node told what is asked of it while a plan was in force; whether plans are believed now."""
-        if max(told_kb, planned_kb) >= LEAST_KB:
-            self.words.append(not LOW <= planned_kb / max(told_kb, 1e-9) <= HIGH)
-            astray = sum(self.words) / len(self.words)
-            if len(self.words) >= LEAST_WORDS and (astray >= BAD_PART if self.believed else astray <= GOOD_PART):
+    def compare(self, reported_kb: float, planned_kb: float) -> bool:
+        """Compares a node's reported load with that of the plan in force, kB per second; True if plans are trusted now."""
+        if max(reported_kb, planned_kb) >= MIN_LOAD_KB:
+            self.mismatches.append(not MIN_RATIO <= planned_kb / max(reported_kb, 1e-9) <= MAX_RATIO)
+            mismatch_share = sum(self.mismatches) / len(self.mismatches)
+            if len(self.mismatches) >= MIN_COMPARISONS and (mismatch_share >= DISTRUST_SHARE if self.believed else mismatch_share <= RESTORE_SHARE):
                 self.believed = not self.believed
-                self.turns += 1
+                self.change_count += 1
         return self.believed
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -149,7 +149,7 @@
         self.assertEqual(said, sorted(said))
         on_disk = Book()
         for record in keeper.ledger.records():
-            for one in auditing.read(record):
+            for one in auditing.decode_record(record):
                 on_disk.restore(one)
         self.assertLessEqual(said[-1], max(on_disk.processes["d0-1"].turns))
         self.assertLessEqual(stamps.turns[0].number, said[-1] + 1)       # what is not on the disk is still at the director
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner: merging, sketches, forecasts, plans and leases, the wire, the rules checked, and edges with planners in memory."""
+"""The planner: merging of digests, hot titles, forecasts, plans and leases, frames, the model checker, and edges with planners in memory."""
 import logging
 import random
 import unittest
@@ -9,11 +9,11 @@
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
 from laddergw.planner import plan as plans, rules_check, wire
-from laddergw.planner.digests import SILENT_MS, Digest, View
+from laddergw.planner.digests import EDGE_SILENCE_MS, Digest, FleetView
 from laddergw.planner.forecast import Forecast
 from laddergw.planner.plan import LEASE_MS, FollowedPlan, Plan, SentDigests
 from laddergw.planner.rules_check import Rules, check
-from laddergw.planner.sketch import Hot, Sketch
+from laddergw.planner.sketch import HotTitle, Sketch
 from laddergw.planner.standby import LEADS, STANDS_BY, Standby
 from laddergw.planner.trust import Trust
 
@@ -28,52 +28,52 @@
     return Plan(epoch, planner, version, lease, nodes or {}, numbers or {}, {}, (), ())
 
 
-class Merged(unittest.TestCase):
+class DigestMergeTest(unittest.TestCase):
     DIGESTS = st.lists(st.builds(digest, st.sampled_from("abc"), st.integers(1, 6)), max_size=12)
 
     @settings(max_examples=120)
     @given(DIGESTS, st.randoms(use_true_random=False))
-    def test_lost_doubled_and_reordered_digests_do_no_harm(self, drawn, chance):
-        """What a process told under a number is one thing: any order, any doubles, and the view is the same."""
+    def test_lost_duplicated_and_reordered_digests_give_the_same_view(self, drawn, chance):
+        """A number stands for one digest of a process, so that order and duplicates do not change the view."""
         made = [one._replace(nodes={1: (100.0 * one.number, one.number), ord(one.edge): (5.0, 1)}, arrivals={"x": 3 * one.number}) for one in drawn]
         views = []
         for order in (made, chance.sample(made, len(made)) + made, list(reversed(made)) * 2):
-            view = View()
+            view = FleetView()
             for one in order:
                 view.merge(one, 10.0)
-            views.append((view.asked(20.0), view.numbers(20.0), view.arrivals()))
+            views.append((view.node_loads(20.0), view.digest_numbers(20.0), view.arrivals()))
         self.assertEqual(views[0], views[1])
         self.assertEqual(views[0], views[2])
 
-    def test_a_silent_edge_holds_nothing_and_what_it_counted_stays(self):
-        view = View()
+    def test_a_silent_edge_has_no_load_and_its_arrivals_stay(self):
+        view = FleetView()
         view.merge(digest("a", 1, {1: (100.0, 2)}, {"x": 5}, (9,)), 0.0)
         view.merge(digest("b", 1, {1: (50.0, 1)}, {"x": 2}), 4_000.0)
-        self.assertEqual((view.asked(4_500.0), view.drained(4_500.0)), ({1: (150.0, 3)}, (9,)))
-        self.assertEqual((view.asked(SILENT_MS + 1), view.numbers(SILENT_MS + 1)), ({1: (50.0, 1)}, {"b": 1}))
-        view.forget(31_000.0, 30_000.0)
-        self.assertEqual((list(view.heard), view.arrivals()), (["b"], {"x": 7}))
-
-    def test_an_edge_whose_clock_runs_off(self):
-        """Its times are compared with nothing of ours: a digest of the year 9999 counts like any other."""
-        view = View()
+        self.assertEqual((view.node_loads(4_500.0), view.draining_nodes(4_500.0)), ({1: (150.0, 3)}, (9,)))
+        self.assertEqual((view.node_loads(EDGE_SILENCE_MS + 1), view.digest_numbers(EDGE_SILENCE_MS + 1)), ({1: (50.0, 1)}, {"b": 1}))
+        view.drop_silent(31_000.0, 30_000.0)
+        self.assertEqual((list(view.edges), view.arrivals()), (["b"], {"x": 7}))
+
+    def test_an_edge_with_a_wrong_clock(self):
+        """An edge's times are never compared with the planner's: a digest of the year 9999 counts like any other."""
+        view = FleetView()
         view.merge(digest("a", 1, {1: (10.0, 1)})._replace(at_ms=1e15), 0.0)
         view.merge(digest("a", 2, {1: (20.0, 1)})._replace(at_ms=-1e15), 1.0)
-        self.assertEqual(view.asked(2.0), {1: (20.0, 1)})
+        self.assertEqual(view.node_loads(2.0), {1: (20.0, 1)})
 
 
-class Hottest(unittest.TestCase):
+class HotTitlesTest(unittest.TestCase):
     @settings(max_examples=60)
     @given(st.lists(st.integers(1, 40), max_size=400), st.integers(2, 12))
-    def test_counts_are_bounds(self, titles, kept):
-        sketch = Sketch(kept)
+    def test_counts_are_bounds(self, titles, capacity):
+        sketch = Sketch(capacity)
         for title in titles:
             sketch.add(title)
-        top = sketch.top(kept)
+        top = sketch.top(capacity)
         for hot in top:
             self.assertTrue(hot.count - hot.error <= titles.count(hot.title) <= hot.count)
-        for title in set(titles):                # whoever is over the share that all kept ones have is among them
-            if titles.count(title) > len(titles) / kept:
+        for title in set(titles):                # a title with more than its share of the capacity is always kept
+            if titles.count(title) > len(titles) / capacity:
                 self.assertIn(title, [hot.title for hot in top])
 
     def test_merging_and_ageing(self):
@@ -93,31 +93,31 @@
 
     def test_forecasts_follow_a_rise_and_a_fall(self):
         forecast, count = Forecast(), 0.0
-        told = []
+        predicted = []
         for step in range(60):
             rate = 10 if step < 20 else 40 if step < 40 else 20
             count += rate
-            forecast.saw(count, step * 1_000.0)
-            told.append(forecast.ahead(1_000.0).a_second)
-        self.assertTrue(9 < told[19] < 11 and 36 < told[36] < 46 and 17 < told[59] < 23, told)
-        forecast.saw(0.0, 61_000.0)                      # a view begun anew
-        self.assertGreater(forecast.ahead(1_000.0).a_second, 10)
+            forecast.observe(count, step * 1_000.0)
+            predicted.append(forecast.predict(1_000.0).per_second)
+        self.assertTrue(9 < predicted[19] < 11 and 36 < predicted[36] < 46 and 17 < predicted[59] < 23, predicted)
+        forecast.observe(0.0, 61_000.0)                      # the view was rebuilt
+        self.assertGreater(forecast.predict(1_000.0).per_second, 10)
 
 
-class Obeying(unittest.TestCase):
+class FollowedPlanTest(unittest.TestCase):
     def test_ranks_leases_and_forgeries(self):
-        obeyed = FollowedPlan()
-        self.assertTrue(obeyed.offer(plan(1, 5), 0.0))
-        self.assertFalse(obeyed.offer(plan(1, 5), 1.0))               # replayed
-        self.assertFalse(obeyed.offer(plan(1, 4), 1.0))               # late
-        self.assertTrue(obeyed.offer(plan(2, 1), 2.0))                # another planner's epoch, whatever its version
-        self.assertFalse(obeyed.offer(plan(1, 99), 3.0))              # the planner of before, back after ten seconds
-        self.assertTrue(obeyed.offer(plan(2, 1, "q"), 3.0))           # two of one epoch on two stores: one of them wins
-        self.assertFalse(obeyed.offer(plan(2, 50, "p"), 3.0))
-        self.assertIsNotNone(obeyed.now(3.0 + LEASE_MS - 1))
-        self.assertIsNone(obeyed.now(3.0 + LEASE_MS))
-        self.assertFalse(obeyed.offer(plan(2, 1, "q"), 9_000.0))      # seen outlives the lease
-        self.assertFalse(obeyed.offer(plan(10 ** 9, 1), 9_000.0))     # an epoch of no planner
+        followed = FollowedPlan()
+        self.assertTrue(followed.offer(plan(1, 5), 0.0))
+        self.assertFalse(followed.offer(plan(1, 5), 1.0))               # replayed
+        self.assertFalse(followed.offer(plan(1, 4), 1.0))               # late
+        self.assertTrue(followed.offer(plan(2, 1), 2.0))                # a higher epoch, whatever its version
+        self.assertFalse(followed.offer(plan(1, 99), 3.0))              # the previous planner, back after ten seconds
+        self.assertTrue(followed.offer(plan(2, 1, "q"), 3.0))           # two planners of one epoch on two stores: one of them wins
+        self.assertFalse(followed.offer(plan(2, 50, "p"), 3.0))
+        self.assertIsNotNone(followed.current(3.0 + LEASE_MS - 1))
+        self.assertIsNone(followed.current(3.0 + LEASE_MS))
+        self.assertFalse(followed.offer(plan(2, 1, "q"), 9_000.0))      # the highest rank outlives the lease
+        self.assertFalse(followed.offer(plan(10 ** 9, 1), 9_000.0))     # an epoch that no planner can have
 
     def test_sealed_plans(self):
         sealed = plans.seal(plan(3, 7, nodes={5: (100.0, 2)}), KEYS)
@@ -132,48 +132,48 @@
             with self.assertRaises(plans.PlanRejected):
                 plans.unseal(bad, KEYS)
 
-    def test_what_others_ask(self):
-        sent = SentDigests(kept=2)
+    def test_load_of_other_edges(self):
+        sent = SentDigests(capacity=2)
         for number in (1, 2, 3):
-            sent.told(number, {1: (10.0 * number, 1)})
+            sent.record(number, {1: (10.0 * number, 1)})
         made = plan(nodes={1: (100.0, 9), 2: (50.0, 4), 3: (5.0, 1)}, numbers={"me": 3, "other": 8})
-        self.assertEqual(sent.others(made, "me", frozenset({3})), {1: 70.0, 2: 50.0})
-        self.assertIsNone(sent.others(made._replace(numbers={"me": 1}), "me", frozenset()))
-        self.assertEqual(sent.others(made._replace(numbers={}), "me", frozenset())[1], 100.0)
+        self.assertEqual(sent.load_of_others(made, "me", frozenset({3})), {1: 70.0, 2: 50.0})
+        self.assertIsNone(sent.load_of_others(made._replace(numbers={"me": 1}), "me", frozenset()))
+        self.assertEqual(sent.load_of_others(made._replace(numbers={}), "me", frozenset())[1], 100.0)
 
-    def test_trust_is_lost_and_won_back(self):
+    def test_trust_is_lost_and_restored(self):
         trust = Trust()
         self.assertTrue(all(trust.compare(1_000.0, 1_100.0) for _ in range(10)))
         while trust.believed:
             trust.compare(1_000.0, 2_000.0)
-        self.assertGreater(sum(trust.words), 10)
+        self.assertGreater(sum(trust.mismatches), 10)
         while not trust.believed:
             trust.compare(1_000.0, 950.0)
-        self.assertEqual(trust.turns, 2)
+        self.assertEqual(trust.change_count, 2)
         for _ in range(100):
-            trust.compare(10.0, 100.0)                   # too little to say anything
+            trust.compare(10.0, 100.0)                   # too little load to be compared
         self.assertTrue(trust.believed)
 
-    def test_standing_by_and_taking_over(self):
+    def test_a_standby_takes_over_and_is_fenced(self):
         one, other = Standby(1, 4, 0.0, True), Standby(2, 1, 0.0, False)
-        other.heard(4, 100.0)
-        self.assertEqual(other.look(2_000.0).state, STANDS_BY)
-        step = other.look(3_500.0)
+        other.plan_seen(4, 100.0)
+        self.assertEqual(other.review(2_000.0).state, STANDS_BY)
+        step = other.review(3_500.0)
         self.assertEqual((step.state, step.take), (LEADS, 5))
-        other.took(5)
-        self.assertEqual((one.heard(5, 3_600.0).state, one.look(3_700.0).state), (STANDS_BY, STANDS_BY))
-        self.assertEqual(other.heard(4, 3_700.0).state, LEADS)
+        other.epoch_taken(5)
+        self.assertEqual((one.plan_seen(5, 3_600.0).state, one.review(3_700.0).state), (STANDS_BY, STANDS_BY))
+        self.assertEqual(other.plan_seen(4, 3_700.0).state, LEADS)
         other.fenced(4_000.0)
-        self.assertEqual(other.look(4_100.0).state, STANDS_BY)
+        self.assertEqual(other.review(4_100.0).state, STANDS_BY)
 
 
-class Wire(unittest.TestCase):
+class FramesTest(unittest.TestCase):
     FRAMES = (wire.Hello(1, "e", "edge", 3), wire.Again(4), wire.Credit(2), wire.Beat(1.5), wire.PlanFrame(b"x" * 70),
               wire.DigestFrame(2, 1, 5.0, {7: (1.5, 2)}, (9,), {"a": 1}, ((1, 2.0, 0.0),), {3: 1}, (4,), 6, 2.5, 7))
 
     @settings(max_examples=60)
     @given(st.lists(st.sampled_from(FRAMES), max_size=6), st.integers(1, 40))
-    def test_frames_in_pieces(self, frames, size):
+    def test_frames_split_into_pieces(self, frames, size):
         data, unpacker, found = b"".join(map(wire.pack, frames)), wire.Unpacker(), []
         for start in range(0, len(data), size):
             found += unpacker.feed(data[start:start + size])
@@ -181,7 +181,7 @@
 
     @settings(max_examples=120)
     @given(st.binary(max_size=60))
-    def test_nonsense_is_refused_or_waited_for(self, data):
+    def test_invalid_bytes_are_rejected_or_incomplete(self, data):
         try:
             wire.Unpacker().feed(data)
         except wire.MalformedFrame:
@@ -201,67 +201,67 @@
             wire.to_digest("e", wire.to_frame(digest("e", 1, {1: (-1.0, 1)}), None), None)
 
 
-class Checked(unittest.TestCase):
-    """The rules of plans, leases and epochs, and mistakes that the check must see."""
+class ModelCheckTest(unittest.TestCase):
+    """The rules of plans, leases and epochs, and mistakes in them that the check must find."""
 
-    def test_no_break_in_the_states_looked_at(self):
-        outcome = check(most=4_000)
-        self.assertEqual((outcome.states, outcome.broken), (4_000, None))
+    def test_no_violation_in_the_states_visited(self):
+        outcome = check(max_states=4_000)
+        self.assertEqual((outcome.states, outcome.violation), (4_000, None))
 
     def test_mistakes_are_found(self):
         def any_rank(self, plan, now):
-            self.seen, self.plan, self.came_ms = max(self.seen, plan.rank), plan, now
+            self.highest_rank, self.plan, self.received_ms = max(self.highest_rank, plan.rank), plan, now
             return True
-        for rules, told in ((Rules(offer=any_rank), "it had seen"), (Rules(now=lambda self, now: self.plan), "past its lease"), (Rules(fenced=False), "two planners plan under epoch")):
+        for rules, expected in ((Rules(offer=any_rank), "it had seen"), (Rules(current=lambda self, now: self.plan), "past its lease"), (Rules(fenced=False), "two planners plan under epoch")):
             outcome = check(rules)
-            self.assertIn(told, outcome.broken)
+            self.assertIn(expected, outcome.violation)
             self.assertTrue(1 < len(outcome.steps) < 8)
         self.assertEqual(rules_check.start().store, 1)
 
 
-class Apart(unittest.TestCase):
+class EdgesAndPlannersTest(unittest.TestCase):
     """Edges and planners in memory."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def judged(self, stage, the_plant):
+    def run_and_audit(self, stage, the_plant):
         judged = audit.audit(the_plant, stage.run())
         self.assertEqual((judged.without, judged.twice, judged.breaks), (0, 0, []))
         return judged
 
-    def test_planners_killed_all_day(self):
+    def test_planners_killed_again_and_again(self):
         the_plant = plant(5, directors=3, nodes=10, rate=12, seconds=10)
         stage = apart.ApartStage(the_plant, bad_day(the_plant), apart.TWO, kills=8)
-        self.judged(stage, the_plant)
-        told = [what for _, what, _ in stage.events]
-        self.assertTrue(told.count("recovered") >= 4 and told.count("plan") > 10, told)
+        self.run_and_audit(stage, the_plant)
+        events = [what for _, what, _ in stage.events]
+        self.assertTrue(events.count("recovered") >= 4 and events.count("plan") > 10, events)
         self.assertGreater(sum(side.plans_used for side in stage.sides.values()), 20)
-        epochs = [side.obeyed.seen[0] for side in stage.sides.values()]
+        epochs = [side.followed.highest_rank[0] for side in stage.sides.values()]
         self.assertGreater(min(epochs), 2)
 
-    def test_a_liar_is_put_aside(self):
+    def test_a_planner_that_reports_double_loads_is_not_trusted(self):
         the_plant = plant(6, directors=2, nodes=8, rate=12, seconds=15)
         stage = apart.ApartStage(the_plant, [], apart.ONE, lie=apart.double)
-        self.judged(stage, the_plant)
-        self.assertTrue(all(side.trust.turns % 2 == 1 and not side.trust.believed for side in stage.sides.values()))
+        self.run_and_audit(stage, the_plant)
+        self.assertTrue(all(side.trust.change_count % 2 == 1 and not side.trust.believed for side in stage.sides.values()))
         honest = apart.ApartStage(the_plant, [], apart.ONE)
-        self.judged(honest, the_plant)
-        self.assertEqual([side.trust.turns for side in honest.sides.values()], [0, 0])
+        self.run_and_audit(honest, the_plant)
+        self.assertEqual([side.trust.change_count for side in honest.sides.values()], [0, 0])
 
-    def test_forged_plans_and_peers_that_talk_nonsense(self):
+    def test_forged_plans_and_peers_that_send_invalid_frames(self):
         the_plant = plant(7, directors=1, nodes=4, rate=4, seconds=4)
         stage = apart.ApartStage(the_plant, [], apart.ONE)
         seen = []
 
         def forge():
             side = stage.sides[0]
-            before = side.obeyed.seen
-            side.heard(plans.seal(plan(99, 1, nodes={1_000: (1.0, 1)}), (("x", b"no key that it knows of"),)))
-            side.heard(b"\x93\xa1k\xc4\x00\xc4\x00")
-            seen.append((side.obeyed.seen == before, side.refused))
-            lines = stage.world.host("stranger")
+            before = side.followed.highest_rank
+            side.receive_plan(plans.seal(plan(99, 1, nodes={1_000: (1.0, 1)}), (("x", b"no key that it knows of"),)))
+            side.receive_plan(b"\x93\xa1k\xc4\x00\xc4\x00")
+            seen.append((side.followed.highest_rank == before, side.plans_rejected))
+            host = stage.world.host("stranger")
 
             class Stranger:
                 def opened(self, stream):
@@ -275,17 +275,17 @@
 
                 def closed(self, stream, why):
                     seen.append("closed")
-            lines.dial(("p0", apart.PORT), Stranger(), 500.0)
+            host.dial(("p0", apart.PORT), Stranger(), 500.0)
         stage.loop.call_later(6_000, forge)
-        self.judged(stage, the_plant)
+        self.run_and_audit(stage, the_plant)
         self.assertEqual(seen, [(True, 2), "closed"])
 
 
-class Hots(unittest.TestCase):
-    def test_a_view_adds_titles_up(self):
-        view = View()
-        view.merge(digest("a")._replace(hot=(Hot(1, 5.0, 0.0), Hot(2, 1.0, 0.0))), 0.0)
-        view.merge(digest("b")._replace(hot=(Hot(2, 6.0, 1.0),), failures={4: 2}), 0.0)
+class FleetViewTest(unittest.TestCase):
+    def test_hot_titles_and_failures_of_edges_are_added(self):
+        view = FleetView()
+        view.merge(digest("a")._replace(hot=(HotTitle(1, 5.0, 0.0), HotTitle(2, 1.0, 0.0))), 0.0)
+        view.merge(digest("b")._replace(hot=(HotTitle(2, 6.0, 1.0),), failures={4: 2}), 0.0)
         self.assertEqual([(hot.title, hot.count, hot.error) for hot in view.hot(1.0, 5)], [(2, 7.0, 1.0), (1, 5.0, 0.0)])
         self.assertEqual(view.failures(1.0), {4: 2})
 
