--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -34,18 +34,18 @@
     """Merges records of the journal into one: the latest state of each process, with its oldest turns as counts only."""
     fleet_log, floors, wants, budgets = Book(), [], {}, []
     for record in records:
-        for one in decode_record(record):
-            if FLOORS in one:
-                floors = [one]
+        for entry in decode_record(record):
+            if FLOORS in entry:
+                floors = [entry]
                 continue
-            if WANT in one:
-                wants[one[WANT][0]] = wants.get(one[WANT][0], {}) | one
+            if WANT in entry:
+                wants[entry[WANT][0]] = wants.get(entry[WANT][0], {}) | entry
                 continue
-            if BUDGETS in one:
-                budgets = [one]
+            if BUDGETS in entry:
+                budgets = [entry]
                 continue
-            fleet_log.restore(one)
-            fleet_log.bound(fleet_log.processes[one["process"]])
+            fleet_log.restore(entry)
+            fleet_log.bound(fleet_log.processes[entry["process"]])
     return encode(floors + budgets + list(wants.values()) + [fleet_log.record(name, 0.0, whole=True) for name in sorted(fleet_log.processes)])
 
 
@@ -67,19 +67,19 @@
         self.ledger = Ledger(store)
         on_disk, forbidden, wants, budgets = Book(), [], {}, []
         for record in self.ledger.records():
-            for one in decode_record(record):
-                if FLOORS in one:
-                    forbidden = one[FLOORS]
+            for entry in decode_record(record):
+                if FLOORS in entry:
+                    forbidden = entry[FLOORS]
                     continue
-                if WANT in one:
-                    wants[one[WANT][0]] = wants.get(one[WANT][0], {}) | one
+                if WANT in entry:
+                    wants[entry[WANT][0]] = wants.get(entry[WANT][0], {}) | entry
                     continue
-                if BUDGETS in one:
-                    budgets = one[BUDGETS]
+                if BUDGETS in entry:
+                    budgets = entry[BUDGETS]
                     continue
-                on_disk.restore(one)
-                self.fleet_log.restore(one)
-                on_disk.bound(on_disk.processes[one["process"]])
+                on_disk.restore(entry)
+                self.fleet_log.restore(entry)
+                on_disk.bound(on_disk.processes[entry["process"]])
         self.floors.taken_over((tuple(version) for version in forbidden), self.loop.now)
         self.rollouts.restore(wants)
         self.budget_grants.restore(budgets)
--- a/laddergw/planner/server.py
+++ b/laddergw/planner/server.py
@@ -78,7 +78,7 @@
             self.work.run_turn()
 
     def recover(self) -> None:
-        """Restores the state and the journal from the store; faults are cut off and reported."""
+        """Restores the state and the journal from the store; reports faults and cuts the records after the last good one."""
         found = self.store.recover()
         for fault in found.faults:
             self.watch("store fault", fault=fault)
