--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -15,8 +15,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from laddergw.director.limits_file import InPlace, LimitsFile
-from laddergw.fleet.stamps import ENDED, LET_IN, PLAYING, SET_UP
+from laddergw.director.limits_file import InProcessCheck, LimitsFile
+from laddergw.fleet.action_counts import ENDED, ADMITTED, PLAYING, SET_UP
 from laddergw.interface import READY
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import draw, plant
@@ -25,11 +25,11 @@
 from laddergw.planner.audit_client import limits_text
 from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from laddergw.fleet import versions
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.terms.limits import Limits
-from laddergw.terms.loading import load, usual
+from laddergw.terms.loading import load, default_terms
 
 PLAYS_A_SECOND = 2         # of each director: 24 a second for each 12
 CUT_PART, CUT_MS, SOAK_MS = 0.1, 40_000.0, 5_000.0
@@ -42,10 +42,10 @@
 
     def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
         self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
-        self.limits, self.watch, self.pages, self.tries, self.on_node = Limits("built in", usual(house)), lambda what, **facts: None, {}, {}, {}
-        self.stopping, self.bounds, self.chance, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
+        self.limits, self.watch, self.pages, self.attempts, self.attempts_by_node = Limits("built in", default_terms(house)), lambda what, **facts: None, {}, {}, {}
+        self.stopping, self.bounds, self.random_fraction, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
-        self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, changed=lambda *given: None)
+        self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, on_change=lambda *given: None)
         self.controller = SimpleNamespace(observe_load=None)
         self.feed = lambda *given: None
 
@@ -65,7 +65,7 @@
         host = world.host("p0")
         self.planner = Planner(host, "p0.1", ("p0", 8300), Store(os.path.join(folder, "store")), (("lab", b"key of the planners"),), clock=lambda: time.perf_counter() * 1000)
         self.time_turns(host)
-        house = houses.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
+        house = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
         self.lines, self.directors, self.sides = Lines(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
             light = Light(world, house, number, nodes)
@@ -74,7 +74,7 @@
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
                 stream.write(b"(limits)")
-            side.audit.accept_files(LimitsFile(light.loop, path, InPlace(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
+            side.audit.accept_files(LimitsFile(light.loop, path, InProcessCheck(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
             self.directors.append(light)
             self.sides.append(side)
 
@@ -93,8 +93,8 @@
         for index, side in enumerate(self.sides):
             stamps, now = side.audit.action_counts, self.world.now
             for n in range(PLAYS_A_SECOND):
-                for action in LET_IN, SET_UP, PLAYING, ENDED:
-                    stamps.did(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.now_in_force, action, now)
+                for action in ADMITTED, SET_UP, PLAYING, ENDED:
+                    stamps.record(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.current_id, action, now)
             side.audit.active_versions[versions.LIST] = versions.version(versions.LIST, [str(number)])
             side.audit.update_version_set()
 
--- a/laddergw/planner/audit_client.py
+++ b/laddergw/planner/audit_client.py
@@ -9,19 +9,19 @@
 
 import laddergw
 from laddergw.director import frames
-from laddergw.director.tries import Try
-from laddergw.fleet import stamps as actions, versions
-from laddergw.fleet.bringing import Bringing, Fetch, Offer
+from laddergw.director.attempts import Attempt
+from laddergw.fleet import action_counts as actions, versions
+from laddergw.fleet.file_transfer import FileReceiver, Fetch, Offer
 from laddergw.fleet.rights import Right
-from laddergw.fleet.stamps import Stamps
-from laddergw.fleet.telling import TEXT_MOST, Part, Told
+from laddergw.fleet.action_counts import ActionCounts
+from laddergw.fleet.state_reports import MAX_TEXT_CHARS, Part, ReportedState
 from laddergw.http.server import Exchange
 from laddergw.interface import DECLINED
 from laddergw.machines.admission import Rejection
 from laddergw.planner import wire
-from laddergw.terms.generations import flat
+from laddergw.terms.generations import flatten
 
-VERSION_KINDS = {"limits changed": versions.LIMITS, "deployment changed": versions.HOUSE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
+VERSION_KINDS = {"limits changed": versions.LIMITS, "deployment changed": versions.DIRECTOR_FILE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
 
 
 @cache
@@ -34,27 +34,27 @@
 
 def limits_text(limits) -> list[str]:
     """The texts from which a version of limits is computed."""
-    return [f"{key} = {value}" for key, value in flat(limits).items()]
+    return [f"{key} = {value}" for key, value in flatten(limits).items()]
 
 
 class AuditClient:
     """The audit of one director. `client`: its PlannerClient."""
 
     def __init__(self, client):
-        self.client, self.director, self.loop, self.action_counts = client, client.director, client.loop, Stamps()
+        self.client, self.director, self.loop, self.action_counts = client, client.director, client.loop, ActionCounts()
         self.unreachable_since: float | None = self.loop.now
         self.active_versions = {versions.PROGRAM: program_version()}
         for kind in VERSION_KINDS.values():
             self.read_version(kind)
         self.read_fleet_list()
-        director, self.next_watch, self.next_fleet_changed = self.director, self.director.watch, self.director.fleet.changed
-        director.watch, director.fleet.changed = self.event_watched, self.fleet_changed
+        director, self.next_watch, self.next_fleet_changed = self.director, self.director.watch, self.director.fleet.on_change
+        director.watch, director.fleet.on_change = self.event_watched, self.fleet_changed
         director.pages["POST", "/v1/audit"] = self.page
         self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
         self.active_hashes: frozenset = frozenset()
-        self.file_receiver, self.apply_file, self.limits_fault = Bringing(), None, ""
+        self.file_receiver, self.apply_file, self.limits_fault = FileReceiver(), None, ""
         if self.right is not None:
-            director.shut = self.rejection
+            director.closed_rejection = self.rejection
         self.update_version_set()
 
     # Versions in force
@@ -64,7 +64,7 @@
         house = self.director.house
         if kind == versions.LIMITS:
             texts = limits_text(self.director.limits)
-        elif kind == versions.HOUSE:
+        elif kind == versions.DIRECTOR_FILE:
             texts = [*house.names, repr(house.deployment._replace(number=0, zone=0))]     # number and zone differ between directors and are left out
         elif kind == versions.KEYS:
             texts = [part for name, secret in house.keys for part in (name, secret)] + sorted(house.retired)
@@ -77,7 +77,7 @@
 
     def update_version_set(self) -> None:
         """Counts actions under the versions in force from now on."""
-        self.action_counts.on(versions.stand(self.active_versions.values()), self.loop.now)
+        self.action_counts.set_in_force(versions.version_set(self.active_versions.values()), self.loop.now)
         self.active_hashes = frozenset((version.kind, version.hash) for version in self.active_versions.values())
 
     def read_fleet_list(self) -> None:
@@ -99,26 +99,26 @@
 
     # Actions
 
-    def play_admitted(self, attempt: Try) -> None:
+    def play_admitted(self, attempt: Attempt) -> None:
         """Notes the version set under which a play was admitted, and counts the admission."""
-        attempt.stand = self.action_counts.now_in_force
-        self.count_action(attempt, actions.LET_IN)
+        attempt.version_set = self.action_counts.current_id
+        self.count_action(attempt, actions.ADMITTED)
 
-    def count_action(self, attempt: Try, action: str) -> None:
+    def count_action(self, attempt: Attempt, action: str) -> None:
         """Counts an action under the versions in force now, and those at the play's admission."""
-        self.action_counts.did(attempt.request.key, attempt.request.product, attempt.stand or self.action_counts.now_in_force, action, self.loop.now)
+        self.action_counts.record(attempt.request.key, attempt.request.product, attempt.version_set or self.action_counts.current_id, action, self.loop.now)
 
     def event_watched(self, event: str, **facts) -> None:
         """Updates versions and counts from an event of the director, then passes the event on."""
         if event == "limits refused":
-            self.limits_fault = facts.get("first", "")[:TEXT_MOST]
+            self.limits_fault = facts.get("first", "")[:MAX_TEXT_CHARS]
         if event in VERSION_KINDS:
             self.limits_fault = "" if event == "limits changed" else self.limits_fault
             self.read_version(VERSION_KINDS[event])
             self.update_version_set()
-        elif (attempt := self.director.tries.get(facts.get("play"))) is not None:
+        elif (attempt := self.director.attempts.get(facts.get("play"))) is not None:
             if event == "allocate":
-                self.count_action(attempt, actions.AGAIN if facts["number"] else actions.SET_UP)
+                self.count_action(attempt, actions.SET_UP_RETRIED if facts["number"] else actions.SET_UP)
             elif event == "answer":
                 self.count_action(attempt, actions.PLAYING if facts["answer"] == "playing" else actions.DECLINED if facts["answer"] == DECLINED else actions.FAILED)
             elif event == "ended" and attempt.playing:
@@ -132,12 +132,12 @@
     def right_requested(self, number: int) -> None:
         """A digest with this number, which asks for the right, is being sent."""
         if self.right is not None:
-            self.right.asks(number, self.loop.now)
+            self.right.record_request(number, self.loop.now)
 
     def rejection(self) -> Rejection | None:
         """The rejection for new plays while the director must not admit any; the viewers retry at other directors, running plays continue under their terms."""
-        why = self.right.why_shut(self.active_hashes, self.loop.now)
-        return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.chance()) / 2, why)
+        why = self.right.refusal_reason(self.active_hashes, self.loop.now)
+        return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.random_fraction()) / 2, why)
 
     # Reports
 
@@ -146,10 +146,10 @@
         if self.unreachable_since is None:
             self.unreachable_since = self.loop.now
 
-    def report(self, reported: Told) -> Part:
+    def report(self, reported: ReportedState) -> Part:
         """The audit part of the next digest on the connection with this state."""
         since, self.unreachable_since = self.unreachable_since, None
-        return reported.part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
+        return reported.next_part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
                          zone=self.director.house.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.limits_fault)
 
     # Files from planners
@@ -161,18 +161,18 @@
     def offer_received(self, peer, frame: Offer) -> None:
         """Requests the offered file if it is needed; reports an offer that contradicts an earlier one."""
         before = self.file_receiver.outcome
-        self.send_fetch(peer, self.file_receiver.offered(frame))
+        self.send_fetch(peer, self.file_receiver.handle_offer(frame))
         if self.file_receiver.outcome not in (before, before._replace(number=0)) and self.file_receiver.outcome.number:
             self.director.watch("offer at odds", why=self.file_receiver.outcome.why)
 
     def piece_received(self, peer, number: int, offset: int, data: bytes) -> None:
         """Adds a piece. A complete file is checked like any other and against the version that was offered, and takes effect at one moment."""
-        result = self.file_receiver.piece(number, offset, data)
+        result = self.file_receiver.handle_piece(number, offset, data)
         if not isinstance(result, bytes):
             return self.send_fetch(peer, result)
 
         def done(faults: list[str]) -> None:
-            self.file_receiver.checked(number, faults)
+            self.file_receiver.finish_check(number, faults)
             self.director.watch("file brought up", number=number, refused=faults)
         return self.apply_file(result, self.version_check(self.file_receiver.offer.hash), done)
 
@@ -193,12 +193,12 @@
         try:
             key = json.loads(exchange.body or b"{}").get("play")
         except (ValueError, AttributeError):
-            return exchange.answer(400, frames.problem("the body must be a JSON object, with or without `play`"))
+            return exchange.answer(400, frames.error_body("the body must be a JSON object, with or without `play`"))
         if key is None:
-            version_set = self.action_counts.stands[self.action_counts.now_in_force]
+            version_set = self.action_counts.version_sets[self.action_counts.current_id]
             return exchange.answer(200, frames.encode({"process": self.director.name, "stand": version_set.id, "since_ms": self.action_counts.turns[-1].at_ms, "now_ms": self.loop.now,
-                                                       "versions": [version._asdict() for version in version_set.versions], "untold": self.action_counts.untold}))
-        steps = self.action_counts.ways.get(key)
+                                                       "versions": [version._asdict() for version in version_set.versions], "untold": self.action_counts.dropped}))
+        steps = self.action_counts.play_steps.get(key)
         if steps is None:
-            return exchange.answer(404, frames.problem("no such play among those that are remembered here"))
+            return exchange.answer(404, frames.error_body("no such play among those that are remembered here"))
         return exchange.answer(200, frames.encode({"process": self.director.name, "play": key, "now_ms": self.loop.now, "way": [step._asdict() for step in steps]}))
--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from laddergw.fleet import answers
-from laddergw.fleet.book import DECLARED, SILENT_MS, Book
+from laddergw.fleet.fleet_log import DECLARED_GONE, SILENT_MS, FleetLog
 from laddergw.fleet.rights import LEASE_MS, Floors
-from laddergw.fleet.telling import Senseless
+from laddergw.fleet.state_reports import InvalidReport
 from laddergw.fleet.wanted import HALTED
 from laddergw.planner import wire
 from laddergw.planner.budgeting import BUDGETS, BudgetGrants
 from laddergw.planner.rollouts import Rollouts
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from laddergw.store.ledger import Ledger
 
 # Size of one write, a step of a few ms in the planner's loop; and the approximate size of a row in a record.
@@ -32,7 +32,7 @@
 
 def compact_records(records: Iterator[bytes]) -> bytes:
     """Merges records of the journal into one: the latest state of each process, with its oldest turns as counts only."""
-    fleet_log, floors, wants, budgets = Book(), [], {}, []
+    fleet_log, floors, wants, budgets = FleetLog(), [], {}, []
     for record in records:
         for entry in decode_record(record):
             if FLOORS in entry:
@@ -45,7 +45,7 @@
                 budgets = [entry]
                 continue
             fleet_log.restore(entry)
-            fleet_log.bound(fleet_log.processes[entry["process"]])
+            fleet_log.trim(fleet_log.processes[entry["process"]])
     return encode(floors + budgets + list(wants.values()) + [fleet_log.record(name, 0.0, whole=True) for name in sorted(fleet_log.processes)])
 
 
@@ -59,13 +59,13 @@
 
     def __init__(self, loop, try_write: Callable[[Callable[[], None]], bool], wall_clock: Callable[[], float] = lambda: time.time() * 1000):
         self.loop, self.try_write, self.wall_clock = loop, try_write, wall_clock
-        self.fleet_log, self.ledger, self.floors = Book(), None, Floors()
+        self.fleet_log, self.ledger, self.floors = FleetLog(), None, Floors()
         self.rollouts, self.budget_grants = Rollouts(self), BudgetGrants(self)
 
     def load_journal(self, store: Store) -> None:
         """Reads the journal of the store, which this planner now owns; reports that are not in it are written with the next records."""
         self.ledger = Ledger(store)
-        on_disk, forbidden, wants, budgets = Book(), [], {}, []
+        on_disk, forbidden, wants, budgets = FleetLog(), [], {}, []
         for record in self.ledger.records():
             for entry in decode_record(record):
                 if FLOORS in entry:
@@ -79,8 +79,8 @@
                     continue
                 on_disk.restore(entry)
                 self.fleet_log.restore(entry)
-                on_disk.bound(on_disk.processes[entry["process"]])
-        self.floors.taken_over((tuple(version) for version in forbidden), self.loop.now)
+                on_disk.trim(on_disk.processes[entry["process"]])
+        self.floors.restore((tuple(version) for version in forbidden), self.loop.now)
         self.rollouts.restore(wants)
         self.budget_grants.restore(budgets)
         for name, process in self.fleet_log.processes.items():
@@ -94,7 +94,7 @@
 
     def owns_journal(self) -> bool:
         """True while this planner may write the journal, and so has the most complete log."""
-        return self.ledger is not None and self.ledger.store.ours()
+        return self.ledger is not None and self.ledger.store.is_current()
 
     def digest_received(self, peer, frame: wire.DigestFrame) -> None:
         """Processes the audit and budget parts of a digest. Raises MalformedFrame for an invalid part, which closes its connection."""
@@ -106,7 +106,7 @@
             if frame.audit is not None:
                 if frame.audit.without and self.owns_journal():
                     peer.send(wire.Right(frame.number, self.ledger.store.epoch, LEASE_MS, tuple(sorted(self.floors.since))))
-        except Senseless as error:
+        except InvalidReport as error:
             raise wire.MalformedFrame(f"audit: {error}") from None
 
     def write_journal(self, peers) -> Generator[None, None, None]:
@@ -119,7 +119,7 @@
                 record = self.fleet_log.record(name, self.wall_clock())
                 batch.append(record)
                 size += BYTES_PER_ROW * (len(record["turns"]) + len(record["counts"]))
-                self.fleet_log.kept_stands |= record["stands"].keys()     # once in a batch is enough
+                self.fleet_log.stored_version_sets |= record["stands"].keys()     # once in a batch is enough
                 if size >= BATCH_BYTES:
                     if not self.append_batch(batch):
                         return
@@ -128,7 +128,7 @@
         if batch and not self.append_batch(batch):
             return
         yield
-        if self.ledger.crowded():
+        if self.ledger.needs_compaction():
             self.try_write(lambda: self.ledger.compact(compact_records))
             self.fleet_log.forget_stands()
         for peer in list(peers):
@@ -138,10 +138,10 @@
     def append_batch(self, batch: list[dict]) -> bool:
         """Appends records to the journal; False if the write failed."""
         if not self.try_write(lambda: self.ledger.append([encode(batch)])):
-            self.fleet_log.kept_stands.difference_update(*(record["stands"].keys() for record in batch))
+            self.fleet_log.stored_version_sets.difference_update(*(record["stands"].keys() for record in batch))
             return False
         for record in batch:
-            self.fleet_log.kept(record)
+            self.fleet_log.mark_stored(record)
         return True
 
     def answer_floors(self, frame: wire.Ask) -> dict:
@@ -149,7 +149,7 @@
         if not self.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, hash_prefix = frame.name.partition(" ")
-        known = {(v.kind, v.hash) for stand in self.fleet_log.stands.values() for v in stand.versions} | self.floors.since.keys()
+        known = {(v.kind, v.hash) for version_set in self.fleet_log.version_sets.values() for v in version_set.versions} | self.floors.since.keys()
         matching = sorted(one for one in known if hash_prefix and one[0] == kind and one[1].startswith(hash_prefix))
         if frame.question != "floors":
             if len(matching) != 1:
@@ -159,9 +159,9 @@
                 return {"refused": why}
         rows = []
         for (kind, name), since in sorted(self.floors.since.items()):
-            unused, may_use = self.floors.nobody((kind, name), self.fleet_log.seen(), self.loop.now)
+            unused, may_use = self.floors.check_unused((kind, name), self.fleet_log.seen(), self.loop.now)
             rows.append({"kind": kind, "version": name, "since_wall_ms": self.wall_clock() - (self.loop.now - since), "nobody_acts_on_it": unused, "may_still": may_use})
-        return {"floors": rows, "not_known": answers.unknown(self.fleet_log, self.loop.now)}
+        return {"floors": rows, "not_known": answers.list_unknown(self.fleet_log, self.loop.now)}
 
     def forbid(self, version: tuple[str, str]) -> str | None:
         """Forbids a version; returns the reason if it is refused. The target of a running rollout cannot be forbidden."""
@@ -191,13 +191,13 @@
         if process is None:
             return {"refused": f"no process {name[:60]!r} has ever reported here"}
         if self.loop.now - process.heard_ms < SILENT_MS:
-            return {"refused": f"{name} spoke {answers.seconds(self.loop.now - process.heard_ms)} ago"}
+            return {"refused": f"{name} spoke {answers.format_seconds(self.loop.now - process.heard_ms)} ago"}
         before = process.gone
-        self.fleet_log.ends(process, before or DECLARED)
+        self.fleet_log.mark_gone(process, before or DECLARED_GONE)
         if not self.append_batch([self.fleet_log.record(name, self.wall_clock())]):
             process.gone = before
             return {"refused": "it could not be written"}
-        return {"gone": name, "not_known": answers.unknown(self.fleet_log, self.loop.now)}
+        return {"gone": name, "not_known": answers.list_unknown(self.fleet_log, self.loop.now)}
 
     def answer_question(self, frame: wire.Ask) -> bytes:
         """Answers an operator's question or order with JSON; an order that is not carried out with the reason under "refused"."""
@@ -209,7 +209,7 @@
         elif frame.question == "version":
             found = answers.version(fleet_log, frame.name, now, wall_ms)
         elif frame.question == "counts":
-            found = {"counts": [[*key, count] for key, count in sorted(answers.counted(fleet_log).items())], "not_known": answers.unknown(fleet_log, now)}
+            found = {"counts": [[*key, count] for key, count in sorted(answers.total_counts(fleet_log).items())], "not_known": answers.list_unknown(fleet_log, now)}
         elif frame.question in ("forbid", "allow", "floors"):
             found = self.answer_floors(frame)
         elif frame.question in ("want", "halt", "stragglers"):
--- a/laddergw/planner/planner_client.py
+++ b/laddergw/planner/planner_client.py
@@ -7,7 +7,7 @@
 from laddergw import interface as face
 from laddergw.director.director import Director
 from laddergw.director import frames
-from laddergw.director.tries import Try
+from laddergw.director.attempts import Attempt
 from laddergw.http.server import Exchange
 from laddergw.loop.tls import TlsStream
 from laddergw.planner import plan as plans, wire
@@ -16,12 +16,12 @@
 from laddergw.planner.peer import Peer
 from laddergw.planner.plan import Keys, FollowedPlan, SentDigests
 from laddergw.planner.sketch import Sketch
-from laddergw.fleet.book import DIGEST_MS
-from laddergw.fleet.bringing import Offer
-from laddergw.fleet.grants import Holding
-from laddergw.fleet.telling import Told
+from laddergw.fleet.fleet_log import DIGEST_MS
+from laddergw.fleet.file_transfer import Offer
+from laddergw.fleet.grants import GrantHolder
+from laddergw.fleet.state_reports import ReportedState
 from laddergw.planner.trust import Trust
-from laddergw.terms.generations import of_the_fleet
+from laddergw.terms.generations import fleet_budget_windows
 
 DIGESTS_PER_COMPLETE = 40  # one complete digest every ten seconds, whatever was sent before
 REDIAL_MS, CONNECT_TIMEOUT_MS = 500.0, 1_000.0
@@ -41,12 +41,12 @@
         self.connections = [PlannerConnection(self, tuple(address)) for address in planners]
         director.observer = self
         self.audit = AuditClient(self)
-        self.grant_holder = Holding(director.house.issuer) if director.house.issuer else None
+        self.grant_holder = GrantHolder(director.house.issuer) if director.house.issuer else None
         if self.grant_holder is not None:
-            self.grant_holder.set(of_the_fleet(director.limits))
+            self.grant_holder.configure(fleet_budget_windows(director.limits))
             director.budgets.fleet_grants, self.next_watch, director.watch = self.grant_holder, director.watch, self.watch
             if director.tap is not None:
-                self.grant_holder.drawn = lambda name, now: director.tap("budget drawn", now, {"budget": name})
+                self.grant_holder.on_draw = lambda name, now: director.tap("budget drawn", now, {"budget": name})
         self.loop.call_later(DIGEST_MS, self.send_periodically)
 
     @property
@@ -56,7 +56,7 @@
 
     # Callbacks of the director
 
-    def admitted(self, attempt: Try) -> None:
+    def admitted(self, attempt: Attempt) -> None:
         """Counts an admitted play."""
         request = attempt.request
         self.audit.play_admitted(attempt)
@@ -77,7 +77,7 @@
     def watch(self, event: str, **facts) -> None:
         """Updates the fleet budgets when limits change, then passes the event on."""
         if event == "limits changed":
-            self.grant_holder.set(of_the_fleet(self.director.limits))
+            self.grant_holder.configure(fleet_budget_windows(self.director.limits))
         self.next_watch(event, **facts)
 
     # Digests
@@ -86,7 +86,7 @@
         """The next digest of this edge."""
         director, self.digest_number = self.director, self.digest_number + 1
         nodes = {}
-        for node, attempts in director.on_node.items():
+        for node, attempts in director.attempts_by_node.items():
             if attempts:
                 nodes[node] = sum(director.rate(attempt) for attempt in attempts.values()), len(attempts)
         drains = tuple(sorted(node for node, entry in director.fleet.entries.items() if entry.state != face.READY))
@@ -104,7 +104,7 @@
         self.hot_titles = Sketch()               # each request is reported once, the planner adds them up
         self.sent_digests.record(digest.number, digest.nodes)
         self.audit.right_requested(digest.number)
-        budgets = self.grant_holder.asks(digest.number, self.loop.now, self.director.stopping) if self.grant_holder is not None else ()
+        budgets = self.grant_holder.build_rows(digest.number, self.loop.now, self.director.stopping) if self.grant_holder is not None else ()
         for connection in self.connections:
             connection.send_digest(digest, budgets)
 
@@ -156,7 +156,7 @@
         """Opens a new connection; the first digest on it is complete."""
         client = self.client
         hello = wire.Hello(wire.VERSION, client.director.name, wire.EDGE, client.followed.highest_rank[0])
-        self.base, self.reported = None, Told()
+        self.base, self.reported = None, ReportedState()
         self.peer = Peer(client.loop, hello, self.frame_received, lambda peer: None, self.connection_closed)
         owner = self.peer if client.tls is None else TlsStream(self.peer, client.tls(), False, self.address[0])
         client.loop.dial(self.address, owner, CONNECT_TIMEOUT_MS)
@@ -179,15 +179,15 @@
         elif isinstance(frame, wire.Again):
             self.base = None
         elif isinstance(frame, wire.Kept):
-            self.client.audit.action_counts.kept_by_planner(frame.turn)
+            self.client.audit.action_counts.acknowledge(frame.turn)
         elif isinstance(frame, wire.Granted) and self.client.grant_holder is not None:
-            self.client.grant_holder.granted(frame.number, frame.epoch, frame.issuer, frame.grants, self.client.loop.now)
+            self.client.grant_holder.apply_grants(frame.number, frame.epoch, frame.issuer, frame.grants, self.client.loop.now)
         elif isinstance(frame, wire.Offer):
             self.client.audit.offer_received(peer, Offer(*(getattr(frame, name) for name in Offer._fields)))
         elif isinstance(frame, wire.Piece):
             self.client.audit.piece_received(peer, frame.number, frame.offset, frame.data)
         elif isinstance(frame, wire.Right) and self.client.audit.right is not None:
-            self.client.audit.right.granted(frame.number, frame.epoch, frame.lease_ms, frame.forbidden)
+            self.client.audit.right.apply_grant(frame.number, frame.epoch, frame.lease_ms, frame.forbidden)
 
     def connection_closed(self, peer: Peer, why: str) -> None:
         """Connects again after a pause; reports the loss of the last open connection to the audit."""
--- a/laddergw/planner/program.py
+++ b/laddergw/planner/program.py
@@ -11,17 +11,17 @@
 import sys
 from typing import NamedTuple
 
-from laddergw.terms.house import signing_keys, take_planners, take_tls
+from laddergw.terms.director_file import read_signing_keys, read_addresses, read_tls
 from laddergw.director.watching import logger
-from laddergw.fleet.issuing import Budget
+from laddergw.fleet.grant_issuer import Budget
 from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
 from laddergw.loop.tls import client_context, server_context
 from laddergw.planner.plan import Keys
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store, StoreError
-from laddergw.terms.reading import Faults, Reader, only_form, text_of
-from laddergw.terms.sexpr import Refused
+from laddergw.store.planner_store import Store, StoreError
+from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
+from laddergw.terms.sexpr import FileRejected
 
 GC_INTERVAL_MS = 600_000.0 # between collections of reference cycles: only closed connections leave any; automatic collections would traverse the audit's log all the time
 EXIT_OK, EXIT_FAILED, EXIT_FILE_REJECTED = 0, 1, 2
@@ -41,22 +41,22 @@
 
 
 def read_file(path: str) -> PlannerFile:
-    """Reads a planner's file. Raises Refused with all faults; an unreadable file is one."""
+    """Reads a planner's file. Raises FileRejected with all faults; an unreadable file is one."""
     faults = Faults()
-    top = Reader(only_form(text_of(path), os.path.basename(path), "planner"), faults)
-    file = PlannerFile(top.word("name") or "", top.address("listen"), top.word("store", None), signing_keys(top), top.atoms("leads", None, 0, 0) is not None,
-                       take_planners(top, "other"), take_tls(top), top.whole("seed", 1, 0, 2 ** 63), read_budgets(top))
-    top.no_others()
-    faults.settle()
+    top = FormReader(parse_single_form(read_text(path), os.path.basename(path), "planner"), faults)
+    file = PlannerFile(top.word("name") or "", top.address("listen"), top.word("store", None), read_signing_keys(top), top.atoms("leads", None, 0, 0) is not None,
+                       read_addresses(top, "other"), read_tls(top), top.integer("seed", 1, 0, 2 ** 63), read_budgets(top))
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     return file
 
 
-def read_budgets(top: Reader) -> tuple[Budget, ...]:
+def read_budgets(top: FormReader) -> tuple[Budget, ...]:
     """The fleet budgets in a planner's file: (budget "tenant basin" (whole 40) (window-ms 10000))."""
     budgets = []
-    for entry in top.each("budget"):
-        budgets.append(Budget(entry.title, entry.whole("whole", 0, 0, 1_000_000_000) or 0, entry.number("window-ms", 10_000.0, 100, 3_600_000)))
-        entry.no_others()
+    for entry in top.subforms("budget"):
+        budgets.append(Budget(entry.name, entry.integer("whole", 0, 0, 1_000_000_000) or 0, entry.number("window-ms", 10_000.0, 100, 3_600_000)))
+        entry.reject_unknown_keys()
     return tuple(budgets)
 
 
@@ -67,7 +67,7 @@
         planner.keys = file.keys
         planner.auditor.budget_grants.configure(file.budgets)
         log.info("keys changed", signs=planner.keys[0][0], taken=[name for name, _ in planner.keys])
-    except Refused as error:
+    except FileRejected as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
 
 
@@ -75,7 +75,7 @@
     """Runs one planner until a signal stops it. Returns 2 if its file is rejected, 1 if its store or port cannot be opened."""
     try:
         file = read_file(path)
-    except Refused as error:
+    except FileRejected as error:
         print(error, file=sys.stderr)
         return EXIT_FILE_REJECTED
     log = logger(level).bind(planner=file.name)
--- a/laddergw/planner/rollouts.py
+++ b/laddergw/planner/rollouts.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from laddergw.fleet import answers, wanted
-from laddergw.fleet.bringing import PIECE_BYTES, SIZE_MOST
-from laddergw.fleet.telling import Part
-from laddergw.fleet.versions import CAN_BE_WANTED, HASH_DIGITS
+from laddergw.fleet.file_transfer import MAX_FILE_BYTES, PIECE_BYTES
+from laddergw.fleet.state_reports import Part
+from laddergw.fleet.versions import ROLLOUT_KINDS, HASH_DIGITS
 from laddergw.fleet.wanted import Answers, Rollout, Want
 from laddergw.planner import wire
 
@@ -54,7 +54,7 @@
 
     def write_state(self, rollout: Rollout, **extra) -> bool:
         """Writes a rollout's state, and extra fields, to the journal; False if that failed."""
-        return self.auditor.try_write(lambda: self.auditor.ledger.append([encode([rollout.kept() | extra])]))
+        return self.auditor.try_write(lambda: self.auditor.ledger.append([encode([rollout.as_record() | extra])]))
 
     # Timer
 
@@ -63,9 +63,9 @@
         if not self.by_kind or not self.auditor.owns_journal():
             return
         for kind, rollout in self.by_kind.items():
-            before = rollout.kept()
+            before = rollout.as_record()
             base, now = self.answers_at_start[kind], self.auditor.fleet_log.answers(kind, rollout.want.hash)
-            step = rollout.look(self.directors(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
+            step = rollout.update(self.directors(rollout), *(Answers(*(max(0, b - a) for a, b in zip(*pair))) for pair in zip(base, now)), self.loop.now)
             if step.keep and not self.write_state(rollout):
                 self.roll_back(rollout, before)
                 continue
@@ -77,9 +77,9 @@
         """Restores the state before a decision that could not be written."""
         rollout.step, rollout.state, rollout.why, rollout.crashed = before["step"], before["state"], before["why"], set(before["crashed"])
 
-    def directors(self, rollout: Rollout) -> list[wanted.Seat]:
+    def directors(self, rollout: Rollout) -> list[wanted.ProcessProgress]:
         """The progress of each director in a rollout."""
-        return self.auditor.fleet_log.seats(rollout.want.kind, rollout.want.number, self.loop.now)
+        return self.auditor.fleet_log.progress(rollout.want.kind, rollout.want.number, self.loop.now)
 
     def offer_file(self, rollout: Rollout, names: set[str], peers) -> None:
         """Offers the file to the directors whose turn it is, up to MAX_TRANSFERS at a time."""
@@ -101,7 +101,7 @@
         self.highest_number = max(self.highest_number, part.came[0])
         if part.over:
             for rollout in self.by_kind.values():
-                rollout.stopped(process.partition("-")[0])
+                rollout.process_stopped(process.partition("-")[0])
         if part.came[2]:
             self.transfers.pop(process, None)
 
@@ -114,7 +114,7 @@
         data = self.content[transfer.kind][frame.offset:frame.offset + PIECE_BYTES]
         self.transfers[name] = transfer._replace(last_fetch_ms=self.loop.now)
         if frame.offset + len(data) == rollout.want.size:        # written first: a director that crashes on the file twice is not sent it a third time
-            rollout.whole_sent(name)
+            rollout.record_sent(name)
             if not self.write_state(rollout):
                 return
         peer.send(wire.Piece(frame.number, frame.offset, data))
@@ -126,8 +126,8 @@
         if not self.auditor.owns_journal():
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         kind, _, rest = frame.name.partition(" ")
-        if kind not in CAN_BE_WANTED:
-            return {"refused": f"{', '.join(CAN_BE_WANTED)} can be rolled out, not {kind[:40]!r}"}
+        if kind not in ROLLOUT_KINDS:
+            return {"refused": f"{', '.join(ROLLOUT_KINDS)} can be rolled out, not {kind[:40]!r}"}
         if frame.question == "want":
             why = self.start(kind, rest, frame)
         elif frame.question == "halt":
@@ -141,8 +141,8 @@
         before = self.by_kind.get(kind)
         if before is not None and before.state == wanted.GOING:
             return f"the rollout of {before.want.hash[:8]} (number {before.want.number}) goes on: halt it first"
-        if not 0 < len(frame.data) <= SIZE_MOST or len(name) != HASH_DIGITS:
-            return f"a file of 1 to {SIZE_MOST} bytes, not {len(frame.data)}, and the hash of its version are needed"
+        if not 0 < len(frame.data) <= MAX_FILE_BYTES or len(name) != HASH_DIGITS:
+            return f"a file of 1 to {MAX_FILE_BYTES} bytes, not {len(frame.data)}, and the hash of its version are needed"
         if (kind, name) in self.auditor.floors.since:
             return f"{kind} {name[:8]} is forbidden: allow it first"
         want = Want(kind, wanted.next_number(self.auditor.ledger.store.epoch, self.highest_number), name, hashlib.sha256(frame.data).hexdigest(), len(frame.data), max(0.0, frame.figures.get("soak_ms", wanted.SOAK_MS)),
@@ -158,7 +158,7 @@
         rollout = self.by_kind.get(kind)
         if rollout is None or rollout.state == wanted.HALTED:
             return "nothing goes on"
-        before = rollout.kept()
+        before = rollout.as_record()
         rollout.state, rollout.why = wanted.HALTED, "halted by an operator"
         if not self.write_state(rollout):
             self.roll_back(rollout, before)
@@ -169,14 +169,14 @@
         """The rollout's state, and each director that does not use the wanted version, with the cause."""
         rollout, now, fleet_log = self.by_kind.get(kind), self.loop.now, self.auditor.fleet_log
         if rollout is None:
-            return {"want": None, "behind": [], "not_known": answers.unknown(fleet_log, now)}
+            return {"want": None, "behind": [], "not_known": answers.list_unknown(fleet_log, now)}
         directors, behind = self.directors(rollout), []
         for director in directors:
             if (cause := rollout.cause(director, now)) is not None:
-                behind.append({"process": director.process, "on": director.on, "cause": cause[0], "detail": cause[1], "wants_an_eye": cause[0] in wanted.BEHIND})
-        not_known = answers.unknown(fleet_log, now)
+                behind.append({"process": director.process, "on": director.on, "cause": cause[0], "detail": cause[1], "wants_an_eye": cause[0] in wanted.CAUSES_FOR_OPERATOR})
+        not_known = answers.list_unknown(fleet_log, now)
         if self.highest_number > rollout.want.number:
             not_known.append(f"directors were offered number {self.highest_number}, the last one here is {rollout.want.number}: this journal was set back; start the rollout again")
-        return {"want": rollout.want._asdict(), "step": rollout.step + 1, "steps": len(wanted.SHARES), "state": rollout.state, "why": rollout.why,
+        return {"want": rollout.want._asdict(), "step": rollout.step + 1, "steps": len(wanted.STEP_SHARES), "state": rollout.state, "why": rollout.why,
                 "on_it": sum(director.on == rollout.want.hash and director.heard for director in directors), "directors": len(directors), "behind": behind, "not_known": not_known}
 
--- a/laddergw/planner/server.py
+++ b/laddergw/planner/server.py
@@ -16,7 +16,7 @@
 from laddergw.planner.plan import Keys, Plan
 from laddergw.planner.sketch import HotTitle, Sketch
 from laddergw.planner.standby import LEADS, Standby
-from laddergw.store.keeper import Fenced, Store, StoreError
+from laddergw.store.planner_store import FencedError, Store, StoreError
 from laddergw.work.scheduler import IDLE, NORMAL, URGENT, Scheduler
 
 PLAN_INTERVAL_MS = 400.0
@@ -83,7 +83,7 @@
         for fault in found.faults:
             self.watch("store fault", fault=fault)
         if found.faults:
-            self.store.cut_after(found.number)
+            self.store.truncate_after(found.number)
         for data in ([found.state] if found.state else []) + found.records:
             try:
                 kept = msgspec.msgpack.decode(data, type=Kept)
@@ -120,7 +120,7 @@
         try:
             write()
             return True
-        except Fenced as error:
+        except FencedError as error:
             self.standby.fenced(self.loop.now)
             self.watch("fenced", error=str(error))
         except StoreError as error:
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -4,15 +4,15 @@
 import shutil
 import unittest
 
-from laddergw.director.limits_file import replaced
+from laddergw.director.limits_file import replace_file
 from laddergw.fleet import versions, wanted
-from laddergw.fleet.bringing import PIECE_BYTES
+from laddergw.fleet.file_transfer import PIECE_BYTES
 from laddergw.fleet.rights import LEASE_MS, MARGIN_MS
 from laddergw.fleet.wanted import Want
 from laddergw.planner import rollouts, wire
 from laddergw.planner.audit_client import limits_text
 from laddergw.terms.loading import load
-from tests.fleet_town import FleetTown
+from tests.fleet_cluster import FleetTown
 
 GOOD, OTHER, BAD = b"(limits (defaults (attempts 2)))", b"(limits (defaults (attempts 1)))", b"(limits (defaults (attempts 0)))"
 
@@ -79,7 +79,7 @@
     def test_a_write_that_fails_leaves_nothing_behind(self):
         path = os.path.join(self.folder, "taken")
         os.mkdir(path)
-        self.assertIn("cannot be written", replaced(path, GOOD))
+        self.assertIn("cannot be written", replace_file(path, GOOD))
         self.assertEqual([name for name in os.listdir(self.folder) if name.endswith(".new")], [])
 
     def test_one_that_is_refused_halts_and_touches_nobody(self):
@@ -155,7 +155,7 @@
                 self.town.loop_at = self.town.world.schedule(self.town.world.now + 1, lambda: (self.restart(number), fragile(number)))
             self.sides[number].audit.apply_file = bring
         first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.town.directors[0].house).limits)).hash, "", 1),
-                                   self.planner.auditor.fleet_log.seats("limits", 1, self.town.world.now))[0].director[1:])
+                                   self.planner.auditor.fleet_log.progress("limits", 1, self.town.world.now))[0].director[1:])
         fragile(first)
         self.want(GOOD)
         self.town.run(40_000)
