--- a/tests/replays.py
+++ b/tests/replays.py
@@ -8,30 +8,30 @@
 from collections import deque
 
 from laddergw.director.director import Director
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from laddergw.lab.tap import tap
 from laddergw.terms import limits as files
-from laddergw.terms.loading import usual
-from tests.broken_limits import HOUSE
-from tests.town import Ask, Town
+from laddergw.terms.loading import default_terms
+from tests.broken_limits import DIRECTOR_FILE
+from tests.in_memory_cluster import Cluster, ViewerRequest
 
 SET_UPS = ("refused", "no connection", "cut", "silent", "taken")
 RELEASES = ("acknowledged", "release lost")
 
 
-class Replay(Town):
+class Replay(Cluster):
     """A cluster in memory with two directors under a limits file that was not checked."""
 
     def __init__(self, text: str, nodes: int = 8):
-        self.house = read(HOUSE)
-        self.loaded = files.read(text, self.house.names, usual(self.house))
+        self.house = read(DIRECTOR_FILE)
+        self.loaded = files.read(text, self.house.names, default_terms(self.house))
         self.moves: deque = deque()
         super().__init__(nodes=nodes, directors=2)
         for number in self.nodes:
             self.script_node(number)
 
     def start_director(self, number):
-        text = HOUSE.replace("(number 0)", f"(number {number})").replace('"d0"', f'"d{number}"')
+        text = DIRECTOR_FILE.replace("(number 0)", f"(number {number})").replace('"d0"', f'"d{number}"')
         self.directors[number] = director = Director(self.world.host(f"d{number}"), read(text), wall=lambda: self.world.now,
                                                      tap=tap(f"d{number}.1", self.record), limits=self.loaded)
         allocate, make = director.allocate, director.make_link
@@ -84,7 +84,7 @@
         facts = {"product": objection.product, "route": objection.route, "wait_ms": wait_ms, "key": "v"}
         for number, moves in enumerate(attempts):
             self.moves = deque(moves)
-            request = Ask(self, number, **facts)
+            request = ViewerRequest(self, number, **facts)
             while not request.lines and request.ended is None and self.world.now < request.asked_at + wait_ms + 500:
                 self.run(0.5)
             if request.ended is not None and request.ended.body:
