--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -14,7 +14,7 @@
 from laddergw.signalling import binary, rtsp
 from tests.platform_cluster import answer, event, member, set_up
 from tests.socket_harness import Node, Peer, SocketHarness
-from tests.test_platform_start import WAIT_LIMIT_S, SpawnedDirector, held_port
+from tests.test_platform_start import WAIT_LIMIT_S, SpawnedDirector, reserve_port
 
 SOCKETS, IDLE_CLIENTS = 64, 150      # 22 of the descriptors are for connections to nodes
 PING = binary.encode(binary.PING, "0" * 16, (222, b"\0"))
@@ -24,7 +24,7 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.change_log = held_port()
+        self.change_log = reserve_port()
         self.addCleanup(self.change_log.close)
         self.nodes = [Node(f"n{n}") for n in range(120)]
         self.running = SpawnedDirector(pathlib.Path(folder.name), "full", descriptors=SOCKETS, limits={"sockets": SOCKETS}, log_port=self.change_log.getsockname()[1],
