--- a/benchmarks/broken_fleets.py
+++ b/benchmarks/broken_fleets.py
@@ -20,23 +20,23 @@
     "sends paid plays again": "from laddergw.control import plays; plays.Allocations.setup_ended = lambda self, now, ply, node, outcome: setattr(ply, 'pending_setup', None)",
     "does not end": "from laddergw.platform import director as d; d.Director.stop = lambda self: None",
 }
-HOLDS = "import runpy, signal; signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM)); "
+BLOCK_SIGNALS = "import runpy, signal; signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM)); "
 
 
 def main(names):
-    wrong = 0
+    wrong_count = 0
     for name in names or BROKEN:
-        name, *figures = name.split(":")
-        directors, rate, seed = map(float, figures or (DIRECTORS, RATE, SEED))
-        code = f"{HOLDS}{BROKEN[name]}; runpy.run_module('laddergw.platform', run_name='__main__')"
+        name, *parameters = name.split(":")
+        directors, rate, seed = map(float, parameters or (DIRECTORS, RATE, SEED))
+        code = f"{BLOCK_SIGNALS}{BROKEN[name]}; runpy.run_module('laddergw.platform', run_name='__main__')"
         records = Trial(int(directors), NODES, rate, SECONDS, BAD_DAY, int(seed), run=f'exec {sys.executable} -c "{code}"', terms=TERMS).run()
-        found = [broken.what for broken in judge(records, TERMS)]
-        wrong += bool(found) == (name == "none")
-        said = [one for one in found if not one.startswith("director")] + [one for one in found if one.startswith("director")]
-        whats = [what for _, what, _ in records]
-        print(f"{name}, {directors:g} directors, {rate:g} viewers a second, seed {seed:g}: asked {whats.count('asked')}, set-ups {whats.count('arrived')}, "
-              f"left {whats.count('left')}, starts {whats.count('director starts')}; {len(found)} broken, most at a cold node over chance {cold_start_excess(records, TERMS):.1f}; {'; '.join(said[:2])[:200]}")
-    return 1 if wrong else 0
+        violations = [broken.what for broken in judge(records, TERMS)]
+        wrong_count += bool(violations) == (name == "none")
+        sorted_violations = [one for one in violations if not one.startswith("director")] + [one for one in violations if one.startswith("director")]
+        events = [event for _, event, _ in records]
+        print(f"{name}, {directors:g} directors, {rate:g} viewers a second, seed {seed:g}: asked {events.count('asked')}, set-ups {events.count('arrived')}, "
+              f"left {events.count('left')}, starts {events.count('director starts')}; {len(violations)} broken, most at a cold node over chance {cold_start_excess(records, TERMS):.1f}; {'; '.join(sorted_violations[:2])[:200]}")
+    return 1 if wrong_count else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -12,70 +12,70 @@
 import tempfile
 from typing import NamedTuple
 
+from benchmarks.broken_fleets import BLOCK_SIGNALS
 from benchmarks.broken_fleets import BROKEN as BROKEN_FLEETS
-from benchmarks.broken_fleets import HOLDS
 from laddergw.lab.soak import plan
 from laddergw.lab.soak.messages import SETTINGS
-from laddergw.lab.soak.result import play
+from laddergw.lab.soak.result import play_plan
 from laddergw.lab.soak.terms import DEFAULT_TERMS
 
 SEEDS = range(1, 11)
 JOBS = 4
 
 
-class Broken(NamedTuple):
+class BrokenDirector(NamedTuple):
     """A way to break a director: statements run before its start, the rule that has to see it."""
 
     code: str
     rule: str
-    seen: str = ""  # a part of what the rule says, where the rule has several
+    text: str = ""  # a part of what the rule says, where the rule has several
 
 
 BROKEN = {
-    "no ramp": Broken(BROKEN_FLEETS["no ramp"], "failback"),
-    "deaf to leaving": Broken(BROKEN_FLEETS["deaf to leaving"], "gone"),
-    "sends to who drains": Broken(BROKEN_FLEETS["sends to who drains"], "drain"),
-    "ends at once": Broken(BROKEN_FLEETS["ends at once"], "lost"),
-    "sends paid plays again": Broken(BROKEN_FLEETS["sends paid plays again"], "twice"),
-    "does not end": Broken(BROKEN_FLEETS["does not end"], "lost"),
-    "forgets releases": Broken(
+    "no ramp": BrokenDirector(BROKEN_FLEETS["no ramp"], "failback"),
+    "deaf to leaving": BrokenDirector(BROKEN_FLEETS["deaf to leaving"], "gone"),
+    "sends to who drains": BrokenDirector(BROKEN_FLEETS["sends to who drains"], "drain"),
+    "ends at once": BrokenDirector(BROKEN_FLEETS["ends at once"], "lost"),
+    "sends paid plays again": BrokenDirector(BROKEN_FLEETS["sends paid plays again"], "twice"),
+    "does not end": BrokenDirector(BROKEN_FLEETS["does not end"], "lost"),
+    "forgets releases": BrokenDirector(
         "from laddergw.platform import releases; releases.Releases.send = lambda *args: None",
         "lost",
     ),
-    "passes on what is cut short": Broken(
+    "passes on what is cut short": BrokenDirector(
         "from laddergw.signalling import description; "
         "description.may_be_truncated = lambda *args: False",
         "lost",
         "no media node made",
     ),
-    "answers twice": Broken(
+    "answers twice": BrokenDirector(
         "from laddergw.platform import admission as a; stand = a.Admission.start_play; "
         "a.Admission.start_play = lambda self, ply, text: "
         "(ply.viewer.write(9, ply.session, (225, text)), stand(self, ply, text))",
         "twice",
     ),
-    "never answers": Broken(
+    "never answers": BrokenDirector(
         "from laddergw.platform import admission as a; "
         "a.Admission.finish = "
         "lambda self, ply, *more: self.director.open_requests.pop(ply.session, None)",
         "lost",
     ),
-    "grows": Broken(
+    "grows": BrokenDirector(
         f"held = bytearray({int(DEFAULT_TERMS.memory_mb) << 20}); held[::4096] = held[::4096]",
         "limits",
     ),
-    "spins": Broken(
+    "spins": BrokenDirector(
         "from laddergw.loop import base; ends = base.BaseLoop.end_turn; "
         "base.BaseLoop.end_turn = lambda self: (ends(self), self.call_soon(lambda: None))",
         "limits",
         "spins",
     ),
-    "spends past its budget": Broken(
+    "spends past its budget": BrokenDirector(
         "from laddergw.control import plays; "
         "plays.Allocations.check_retry_budget = lambda *args: None",
         "budget",
     ),
-    "fails in its calls": Broken(
+    "fails in its calls": BrokenDirector(
         "from laddergw.platform import change_log as f; "
         "f.ChangeLogClient.handle_event = lambda *args: 1 / 0",
         "crash",
@@ -83,39 +83,43 @@
 }
 
 
-def seen_in(name: str) -> tuple[str, int, str]:
+def first_detection(name: str) -> tuple[str, int, str]:
     """The name, the first seed in which a rule is broken, or 0, and what was seen."""
-    start = "import runpy; runpy.run_module('laddergw.platform', run_name='__main__')"
-    code = f"{HOLDS}{BROKEN[name].code}; {start}"
+    run_director = "import runpy; runpy.run_module('laddergw.platform', run_name='__main__')"
+    code = f"{BLOCK_SIGNALS}{BROKEN[name].code}; {run_director}"
     for seed in SEEDS:
         with tempfile.TemporaryDirectory() as folder:
-            result = play(
+            result = play_plan(
                 plan.draw(seed, len(DEFAULT_TERMS.products)),
                 DEFAULT_TERMS,
                 SETTINGS,
                 folder,
                 run=f'exec {sys.executable} -c "{code}"',
             )
-        mine = [
+        expected = [
             broken
             for broken in result.breaks
-            if broken.rule == BROKEN[name].rule and BROKEN[name].seen in broken.what
+            if broken.rule == BROKEN[name].rule and BROKEN[name].text in broken.what
         ]
-        if mine:
-            return name, seed, f"{mine[0].rule}: {mine[0].what} ({len(result.breaks)} breaks)"
+        if expected:
+            return (
+                name,
+                seed,
+                f"{expected[0].rule}: {expected[0].what} ({len(result.breaks)} breaks)",
+            )
     return name, 0, "kept its rule"
 
 
 def main(names: list[str]) -> int:
-    missed = 0
+    missed_count = 0
     with multiprocessing.Pool(JOBS) as pool:
-        for name, seed, what in pool.imap_unordered(seen_in, names or list(BROKEN)):
-            missed += not seed
+        for name, seed, what in pool.imap_unordered(first_detection, names or list(BROKEN)):
+            missed_count += not seed
             print(
                 f"{name}: " + (f"seen in seed {seed}, " if seed else "NOT SEEN, ") + what[:160],
                 flush=True,
             )
-    return 1 if missed else 0
+    return 1 if missed_count else 0
 
 
 if __name__ == "__main__":
--- a/laddergw/cli/progress.py
+++ b/laddergw/cli/progress.py
@@ -17,34 +17,34 @@
 
 
 @contextmanager
-def shown(expected_s: float | None, told: Callable[[], str]) -> Iterator[None]:
+def shown(expected_s: float | None, describe: Callable[[], str]) -> Iterator[None]:
     """While the body runs. `expected_s`: how long it should take; `told()`: what there is."""
-    began = time.monotonic()
+    began_at = time.monotonic()
     if sys.stderr.isatty():
         columns = TextColumn("rehearsal"), BarColumn(), TimeRemainingColumn()
         with Progress(
-            *columns, TextColumn("{task.fields[told]}"), console=Console(stderr=True)
+            *columns, TextColumn("{task.fields[status]}"), console=Console(stderr=True)
         ) as bar:
-            task = bar.add_task("rehearsal", total=expected_s, told="")
+            task = bar.add_task("rehearsal", total=expected_s, status="")
 
             def update() -> None:
-                bar.update(task, completed=time.monotonic() - began, told=told())
+                bar.update(task, completed=time.monotonic() - began_at, status=describe())
 
-            with alarm(BAR_EVERY_S, update):
+            with call_periodically(BAR_EVERY_S, update):
                 yield
         return
 
-    def line() -> None:
-        passed = time.monotonic() - began
-        whole = f" of some {expected_s:.0f} s" if expected_s is not None else " s"
-        print(f"{passed:.0f}{whole}, {told()}", file=sys.stderr, flush=True)
+    def print_line() -> None:
+        passed = time.monotonic() - began_at
+        total = f" of some {expected_s:.0f} s" if expected_s is not None else " s"
+        print(f"{passed:.0f}{total}, {describe()}", file=sys.stderr, flush=True)
 
-    with alarm(LINE_EVERY_S, line):
+    with call_periodically(LINE_EVERY_S, print_line):
         yield
 
 
 @contextmanager
-def alarm(every_s: float, call: Callable[[], None]) -> Iterator[None]:
+def call_periodically(every_s: float, call: Callable[[], None]) -> Iterator[None]:
     """Calls it again and again while the body runs, between two of its statements."""
     before = signal.signal(signal.SIGALRM, lambda *_: call())
     signal.setitimer(signal.ITIMER_REAL, every_s, every_s)
--- a/laddergw/cli/rehearse_soak.py
+++ b/laddergw/cli/rehearse_soak.py
@@ -19,16 +19,16 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from laddergw.cli.soak_input import SOCKETS, InputError, plan_of, seeds_of, settings_of
+from laddergw.cli.soak_input import SOCKETS, InputError, parse_seeds, read_plan, read_settings
 from laddergw.lab.shrink import shrink
 from laddergw.lab.soak import plan as plans
-from laddergw.lab.soak.result import Result, play
-from laddergw.lab.soak.terms import Terms, terms_of
+from laddergw.lab.soak.result import Result, play_plan
+from laddergw.lab.soak.terms import Terms, read_terms
 
-EXIT_BROKEN, EXIT_COULD_NOT = 1, 2
-SAY_EVERY_S = 30.0  # of progress, where nobody watches a terminal
-SHRINK_PLAYS = 3  # of each smaller plan: orders are not exact
-SHRINK_MOST = 60  # smaller plans
+EXIT_VIOLATION, EXIT_NOT_RUN = 1, 2
+PROGRESS_INTERVAL_S = 30.0  # of progress, where nobody watches a terminal
+PLAYS_PER_SMALLER_PLAN = 3  # of each smaller plan: orders are not exact
+MAX_SMALLER_PLANS = 60  # smaller plans
 
 
 def soak(
@@ -43,43 +43,43 @@
 ) -> None:
     """Plays the plans and ends the command: 1 where a rule is broken, 2 where it could not run."""
     try:
-        settings = settings_of(config)
-        terms = terms_of(settings, SOCKETS)
+        settings = read_settings(config)
+        terms = read_terms(settings, SOCKETS)
         chosen = (
-            [plan_of(plan)]
+            [read_plan(plan)]
             if plan is not None
-            else [plans.draw(seed, len(terms.products), sizes) for seed in seeds_of(seeds)]
+            else [plans.draw(seed, len(terms.products), sizes) for seed in parse_seeds(seeds)]
         )
     except InputError as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(EXIT_COULD_NOT) from None
+        raise typer.Exit(EXIT_NOT_RUN) from None
     with tempfile.TemporaryDirectory() as folder:
         base = str(keep) if keep else folder
-        results = played(chosen, terms, settings, base, jobs)
+        results = play_all(chosen, terms, settings, base, jobs)
         if smaller is not None and results and results[0].breaks:
             write_smaller(results[0], terms, settings, base, smaller)
-    conclude(results, len(chosen), report)
+    print_results(results, len(chosen), report)
 
 
-def one(task: tuple) -> Result | str:
+def play_task(task: tuple) -> Result | str:
     """Plays one plan in a process of its own; a text tells why it could not run."""
     chosen, terms, settings, folder = task
     try:
-        return play(chosen, terms, settings, folder)
+        return play_plan(chosen, terms, settings, folder)
     except OSError as error:
         return f"seed {chosen.seed}: {error}"
 
 
-def end_in_order() -> None:
+def set_signal_handlers() -> None:
     """In each process that plays: told to end, it ends its directors and keeps its records.
 
     An interrupt from the terminal reaches every process; the one that started them tells them.
     """
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_COULD_NOT))
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_NOT_RUN))
 
 
-def played(
+def play_all(
     chosen: list[plans.Plan], terms: Terms, settings: dict[str, Any], base: str, jobs: int
 ) -> list[Result]:
     """All results that came, in the order of their seeds, also after an interrupt."""
@@ -87,10 +87,10 @@
     results: list[Result] = []
     with (
         progress(len(tasks)) as advance,
-        multiprocessing.Pool(min(jobs, len(tasks)), end_in_order) as pool,
+        multiprocessing.Pool(min(jobs, len(tasks)), set_signal_handlers) as pool,
     ):
         try:
-            for found in pool.imap_unordered(one, tasks):
+            for found in pool.imap_unordered(play_task, tasks):
                 if isinstance(found, str):
                     typer.echo(f"could not run: {found}", err=True)
                 else:
@@ -106,43 +106,43 @@
 @contextmanager
 def progress(total: int) -> Iterator[Callable[[list[Result]], None]]:
     """Shows on standard error how far it is: a bar on a terminal, elsewhere a line now and then."""
-    said = time.monotonic()
+    printed_at = time.monotonic()
 
-    def line(results: list[Result]) -> None:
-        nonlocal said
-        if time.monotonic() - said >= SAY_EVERY_S:
-            said = time.monotonic()
+    def print_line(results: list[Result]) -> None:
+        nonlocal printed_at
+        if time.monotonic() - printed_at >= PROGRESS_INTERVAL_S:
+            printed_at = time.monotonic()
             typer.echo(
-                f"{len(results)} of {total} seeds, {asked_of(results)} plays, "
-                f"{broken_of(results)} breaks",
+                f"{len(results)} of {total} seeds, {count_plays(results)} plays, "
+                f"{count_violations(results)} breaks",
                 err=True,
             )
 
     if not sys.stderr.isatty():
-        yield line
+        yield print_line
         return
     with Progress(
         TextColumn("soak"),
         BarColumn(),
         MofNCompleteColumn(),
         TimeRemainingColumn(),
-        TextColumn("{task.fields[told]}"),
+        TextColumn("{task.fields[status]}"),
         console=Console(stderr=True),
     ) as bar:
-        task = bar.add_task("soak", total=total, told="")
+        task = bar.add_task("soak", total=total, status="")
         yield lambda results: bar.update(
             task,
             completed=len(results),
-            told=f"{asked_of(results)} plays, {broken_of(results)} breaks",
+            status=f"{count_plays(results)} plays, {count_violations(results)} breaks",
         )
 
 
-def asked_of(results: list[Result]) -> int:
+def count_plays(results: list[Result]) -> int:
     """Plays that were asked for."""
     return sum(result.asked for result in results)
 
 
-def broken_of(results: list[Result]) -> int:
+def count_violations(results: list[Result]) -> int:
     """Broken rules."""
     return sum(len(result.breaks) for result in results)
 
@@ -153,13 +153,15 @@
     """The least plan found that still breaks, as a file for `--plan`."""
 
     def fails(faults: list[plans.Fault]) -> bool:
-        tried = msgspec.structs.replace(result.plan, faults=tuple(faults))
+        smaller_plan = msgspec.structs.replace(result.plan, faults=tuple(faults))
         return any(
-            play(tried, terms, settings, os.path.join(base, f"smaller-{number}")).breaks
-            for number in range(SHRINK_PLAYS)
+            play_plan(smaller_plan, terms, settings, os.path.join(base, f"smaller-{number}")).breaks
+            for number in range(PLAYS_PER_SMALLER_PLAN)
         )
 
-    found = shrink(list(result.plan.faults), fails, SHRINK_MOST, sensible=lambda faults: faults)
+    found = shrink(
+        list(result.plan.faults), fails, MAX_SMALLER_PLANS, sensible=lambda faults: faults
+    )
     path.write_bytes(
         plans.to_json(msgspec.structs.replace(result.plan, faults=tuple(found.script)))
     )
@@ -170,9 +172,9 @@
     )
 
 
-def conclude(results: list[Result], wanted: int, report: Path | None) -> None:
+def print_results(results: list[Result], wanted: int, report: Path | None) -> None:
     for result in results:
-        typer.echo(line_of(result))
+        typer.echo(result_line(result))
         for story in result.stories:
             typer.echo(story)
     if report is not None:
@@ -197,21 +199,22 @@
         typer.echo("broken: " + ", ".join(f"{name} {n}" for name, n in sorted(rules.items())))
     typer.echo(
         f"plays {asked} played {played_} declined {declined} failed {failed} "
-        f"without-outcome {sum(result.without for result in results)} "
-        f"twice {sum(result.twice for result in results)} rules-broken {broken_of(results)}"
+        f"without-outcome {sum(result.unanswered_count for result in results)} "
+        f"twice {sum(result.duplicate_count for result in results)} "
+        f"rules-broken {count_violations(results)}"
     )
-    raise typer.Exit(EXIT_BROKEN if rules else EXIT_COULD_NOT if len(results) < wanted else 0)
+    raise typer.Exit(EXIT_VIOLATION if rules else EXIT_NOT_RUN if len(results) < wanted else 0)
 
 
-def line_of(result: Result) -> str:
+def result_line(result: Result) -> str:
     """One seed's line; a broken one tells its own command."""
-    told = (
+    text = (
         f"seed {result.plan.seed}: {result.plan.directors} directors, {result.plan.nodes} nodes, "
         f"{result.asked} plays, {result.played} played, lag {result.lag_ms:.0f} ms"
     )
     if not result.judged:
-        return told + ", not judged: this machine was too slow"
-    return told + (
+        return text + ", not judged: this machine was too slow"
+    return text + (
         f", BROKEN {len(result.breaks)}: bin/laddergw rehearse soak --seed {result.plan.seed}"
         if result.breaks
         else ", kept"
--- a/laddergw/cli/soak_input.py
+++ b/laddergw/cli/soak_input.py
@@ -9,7 +9,7 @@
 
 from laddergw.lab.soak import plan as plans
 from laddergw.lab.soak.messages import SETTINGS
-from laddergw.lab.soak.terms import terms_of
+from laddergw.lab.soak.terms import read_terms
 
 SOCKETS = 256  # descriptors that each director may hold
 SEEDS = re.compile(r"(\d{1,9})(?:-(\d{1,9}))?")
@@ -19,14 +19,14 @@
     """Input that is not taken; the text is one line that says why."""
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     match = SEEDS.fullmatch(text)
     if match is None or (match[2] and int(match[2]) < int(match[1])):
         raise InputError(f"seeds: {text!r} is neither a number nor A-B")
     return list(range(int(match[1]), int(match[2] or match[1]) + 1))
 
 
-def plan_of(path: Path) -> plans.Plan:
+def read_plan(path: Path) -> plans.Plan:
     try:
         return plans.from_json(path.read_bytes())
     except OSError as error:
@@ -35,13 +35,13 @@
         raise InputError(f"{path}: no plan: {error}") from None
 
 
-def settings_of(path: Path | None) -> dict[str, Any]:
+def read_settings(path: Path | None) -> dict[str, Any]:
     """The settings of a director's configuration file, or the trial's own."""
     if path is None:
         return SETTINGS
     try:
         found = json.loads(path.read_bytes())["settings"]
-        terms_of(found, SOCKETS)
+        read_terms(found, SOCKETS)
     except OSError as error:
         raise InputError(f"{path}: {error.strerror}") from None
     except (ValueError, KeyError, TypeError, IndexError) as error:
--- a/laddergw/lab/soak/__init__.py
+++ b/laddergw/lab/soak/__init__.py
@@ -1,3 +1,3 @@
-"""Dense trials of the platform's director: real processes, faults drawn and combined, every rule
-judged from what passed on the sockets.
+"""Soak trials of the platform's director: real processes under random, overlapping faults,
+judged by every rule of the protocol from the traffic on their sockets.
 """
--- a/laddergw/lab/soak/bad_clients.py
+++ b/laddergw/lab/soak/bad_clients.py
@@ -1,7 +1,7 @@
-"""Clients of a trial that send what cannot be used."""
+"""Clients of a trial that send malformed data."""
 
 from laddergw.lab.soak.messages import set_up
-from laddergw.lab.soak.peers import Owner
+from laddergw.lab.soak.peers import PeerConnection
 
 GARBAGE = (
     b"\xff" * 50,
@@ -13,8 +13,8 @@
 )
 
 
-class BadClient(Owner):
-    """Says something of no use and waits to be refused or closed."""
+class BadClient(PeerConnection):
+    """Sends malformed data or nothing, and waits for the director to refuse it or to close."""
 
     def __init__(self, data: bytes):
         self.data = data
--- a/laddergw/lab/soak/change_log.py
+++ b/laddergw/lab/soak/change_log.py
@@ -1,56 +1,59 @@
-"""The change log as a peer of a trial: it tells events, goes away, falls silent, breaks off within
-a line.
+"""The change log of a trial: it sends events to directors, and can go down, go silent or cut a line
+short.
 """
 
 import json
 from collections.abc import Callable
 
 from laddergw.lab.soak.messages import event
-from laddergw.lab.soak.peers import Owner
+from laddergw.lab.soak.peers import PeerConnection
 from laddergw.lab.soak.ports import HOST
 
-BEAT_MS = 1_000.0  # it writes its last number so often
+# The number of the last event is sent at this interval.
+HEARTBEAT_INTERVAL_MS = 1_000.0
 
 
-def line(one: dict) -> bytes:
-    return json.dumps(one).encode() + b"\n"
+def encode_line(event_data: dict) -> bytes:
+    return json.dumps(event_data).encode() + b"\n"
 
 
-class LogConnection(Owner):
-    """One director's connection: it asks from where it goes on, and hears all that follows."""
+class LogConnection(PeerConnection):
+    """One director's connection: the director names its last event and receives all later ones."""
 
     def __init__(self, log: "ChangeLog", director: int):
-        self.log, self.director, self.data, self.told = log, director, b"", None
+        self.log, self.director, self.data, self.sent_count = log, director, b"", None
 
     def data_received(self, stream, data: bytes) -> None:
         self.data += data
-        if self.data.endswith(b"\n") and self.told is None:
-            self.told = int(self.data.split()[1])
-            self.log.sides.append(self)
-            self.go_on()
+        if self.data.endswith(b"\n") and self.sent_count is None:
+            self.sent_count = int(self.data.split()[1])
+            self.log.connections.append(self)
+            self.send_pending()
 
-    def go_on(self) -> None:
-        """Tells what it has not told here yet."""
-        for one in self.log.events[self.told :]:
-            self.stream.write(line(self.log.addressed(one, self.director)))
-        self.told = len(self.log.events)
+    def send_pending(self) -> None:
+        """Sends the events that have not been sent on this connection yet."""
+        for event_data in self.log.events[self.sent_count :]:
+            self.stream.write(encode_line(self.log.with_addresses(event_data, self.director)))
+        self.sent_count = len(self.log.events)
 
     def closed(self, stream, why: str | None) -> None:
-        if self in self.log.sides:
-            self.log.sides.remove(self)
+        if self in self.log.connections:
+            self.log.connections.remove(self)
 
 
 class ChangeLog:
-    """Numbered events of the list of media nodes, told to every director that asks at its own port.
-    `address_for(node id, director)` gives the address at which a director reaches a node."""
+    """Serves numbered events of the list of media nodes, on a port for each director.
+
+    `address_for(node id, director)` gives the address at which a director reaches a node.
+    """
 
     def __init__(self, loop, record, ports: list[int], address_for: Callable[[str, int], str]):
         self.loop, self.record, self.ports, self.address_for = loop, record, ports, address_for
-        self.events, self.sides, self.listeners, self.silent = [], [], [], False
-        self.open()
-        self.beat()
+        self.events, self.connections, self.listeners, self.is_silent = [], [], [], False
+        self.listen()
+        self.send_heartbeat()
 
-    def open(self) -> None:
+    def listen(self) -> None:
         self.listeners = [
             self.loop.listen(
                 (HOST, port), lambda stream, number=number: LogConnection(self, number)
@@ -58,66 +61,66 @@
             for number, port in enumerate(self.ports)
         ]
 
-    def addressed(self, one: dict, director: int) -> dict:
-        """An event with the addresses of one director."""
+    def with_addresses(self, event_data: dict, director: int) -> dict:
+        """Returns an event with the node addresses that one director uses."""
         members = [
             fields | {"host_port": self.address_for(fields["id"], director)}
-            for fields in one["fleet"]["members"]
+            for fields in event_data["fleet"]["members"]
         ]
-        return one | {"fleet": one["fleet"] | {"members": members}}
-
-    def beat(self) -> None:
-        self.loop.call_later(BEAT_MS, self.beat)
-        for side in [] if self.silent else self.sides:
-            side.stream.write(line({"seq": len(self.events)}))
-
-    def publish(self, *lines: dict, whole: bool = False) -> None:
-        self.events.append(event(len(self.events) + 1, *lines, whole=whole))
-        for line in lines:
-            self.record("told", node=line["id"], state=line["phase"])
-        for side in [] if self.silent else self.sides:
-            side.go_on()
-
-    def known(self, director: int) -> dict:
-        """As that director's configuration holds it."""
+        return event_data | {"fleet": event_data["fleet"] | {"members": members}}
+
+    def send_heartbeat(self) -> None:
+        self.loop.call_later(HEARTBEAT_INTERVAL_MS, self.send_heartbeat)
+        for connection in [] if self.is_silent else self.connections:
+            connection.stream.write(encode_line({"seq": len(self.events)}))
+
+    def publish(self, *members: dict, whole: bool = False) -> None:
+        self.events.append(event(len(self.events) + 1, *members, whole=whole))
+        for member in members:
+            self.record("told", node=member["id"], state=member["phase"])
+        for connection in [] if self.is_silent else self.connections:
+            connection.send_pending()
+
+    def initial_events(self, director: int) -> dict:
+        """Returns all events so far, as they stand in that director's configuration file."""
         return {
             "seq": len(self.events),
-            "results": [self.addressed(one, director) for one in self.events],
+            "results": [self.with_addresses(event_data, director) for event_data in self.events],
         }
 
     def go_down(self) -> None:
-        """It is down: every connection ends, new ones are refused."""
+        """Goes down: every connection is aborted, new ones are refused."""
         if self.listeners:
             self.record("log away")
             listeners, self.listeners = self.listeners, []
             for listener in listeners:
                 listener.close()
-            self.cut()
+            self.abort_connections()
 
     def come_back(self) -> None:
         if not self.listeners:
-            self.open()
+            self.listen()
             self.record("log back")
 
-    def cut(self) -> None:
-        for side in list(self.sides):
-            side.stream.abort()
+    def abort_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.stream.abort()
 
     def go_silent(self) -> None:
-        """Connections stay open, also new ones, and nothing is said."""
-        if not self.silent:
+        """Sends nothing more; connections stay open and new ones are accepted."""
+        if not self.is_silent:
             self.record("log away")
-            self.silent = True
+            self.is_silent = True
 
     def resume(self) -> None:
-        if self.silent:
-            self.silent = False
+        if self.is_silent:
+            self.is_silent = False
             self.record("log back")
-            for side in self.sides:
-                side.go_on()
-
-    def break_line(self) -> None:
-        """Writes half a line on every connection and ends it."""
-        for side in list(self.sides):
-            side.stream.write(line({"seq": len(self.events)})[:4])
-            side.stream.close()
+            for connection in self.connections:
+                connection.send_pending()
+
+    def send_partial_line(self) -> None:
+        """Writes part of a line on every connection, then closes it."""
+        for connection in list(self.connections):
+            connection.stream.write(encode_line({"seq": len(self.events)})[:4])
+            connection.stream.close()
--- a/laddergw/lab/soak/director_supervisor.py
+++ b/laddergw/lab/soak/director_supervisor.py
@@ -1,5 +1,5 @@
-"""One director's place in a trial: its address, the process that has it now, and the signals that
-it gets.
+"""Runs one director of a trial: keeps its address, starts its process, restarts it when
+it ends, and sends it signals.
 """
 
 import json
@@ -12,52 +12,52 @@
 from typing import Any
 
 from laddergw.lab.soak.messages import configuration
-from laddergw.lab.soak.peers import Owner
+from laddergw.lab.soak.peers import PeerConnection
 from laddergw.lab.soak.ports import HOST, reserve_port
 from laddergw.lab.soak.terms import settings_for
 from laddergw.signalling import binary
 
 ROOT = pathlib.Path(__file__).parents[3]
-RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())[
-    "run"
-]  # the deploy file's own line
-TEST = binary.encode(binary.PING, "0" * 16, (binary.CAUSE, b"\0"))
-LOOK_MS = 50.0
-STOPPED_MS = (200.0, 400.0)  # new connections go on coming so long after the order to stop
-TICK_MS = 1000.0 / os.sysconf("SC_CLK_TCK")
+# The command of the deployment file.
+RUN_COMMAND = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
+PING_MESSAGE = binary.encode(binary.PING, "0" * 16, (binary.CAUSE, b"\0"))
+PROBE_INTERVAL_MS = 50.0
+# Range of the time after SIGTERM in which viewers still open connections.
+ACCEPT_AFTER_STOP_MS = (200.0, 400.0)
+CPU_TICK_MS = 1000.0 / os.sysconf("SC_CLK_TCK")
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") / 1024
 
 
-class Tested(Owner):
-    """Asks a director whether it takes plays; `passed` is called if so."""
+class ReadinessProbe(PeerConnection):
+    """Asks a director whether it accepts plays; calls `on_ready` if it does."""
 
-    def __init__(self, loop, address: tuple[str, int], passed):
-        self.reader, self.passed = binary.Reader(), passed
+    def __init__(self, loop, address: tuple[str, int], on_ready):
+        self.reader, self.on_ready = binary.Reader(), on_ready
         loop.dial(address, self, 1_000.0)
 
     def opened(self, stream) -> None:
         super().opened(stream)
-        stream.write(TEST)
+        stream.write(PING_MESSAGE)
 
-    def heard(self, message) -> None:
+    def handle_message(self, message) -> None:
         if message.kind == binary.PONG and message.parameters[binary.CAUSE] == b"\1":
-            self.passed()
+            self.on_ready()
         self.stream.close()
 
 
 class DirectorSupervisor:
-    """See the module. `trial` owns the loop, the records, the folder and the change log."""
+    """Runs one director; `trial` owns the loop, the records, the folder and the change log."""
 
     def __init__(self, trial: Any, number: int, run: str):
-        self.trial, self.number, self.name, self.run, self.held = (
+        self.trial, self.number, self.name, self.command, self.reserved_port = (
             trial,
             number,
             f"n{number}",
             run,
             reserve_port(),
         )
-        self.address, self.starts, self.process, self.accepts_plays, self.stopping = (
-            self.held.getsockname(),
+        self.address, self.start_count, self.process, self.accepts_plays, self.is_stopping = (
+            self.reserved_port.getsockname(),
             0,
             None,
             False,
@@ -65,43 +65,46 @@
         )
         self.start()
 
-    def path(self) -> str:
+    def configuration_path(self) -> str:
         return os.path.join(self.trial.folder, f"{self.name}.json")
 
     def write_configuration(self) -> None:
-        """A new file in place of the old one, whole at once."""
-        beside = self.path() + ".new"
-        with open(beside, "w") as stream:
+        """Replaces the configuration file atomically."""
+        new_path = self.configuration_path() + ".new"
+        with open(new_path, "w") as stream:
             json.dump(
                 configuration(
                     name=self.name,
                     listen=f"{HOST}:{self.address[1]}",
-                    seed=f"{self.starts * 1000 + self.number:x}",
+                    seed=f"{self.start_count * 1000 + self.number:x}",
                     limits={"sockets": self.trial.terms.sockets},
                     changelog=f"{HOST}:{self.trial.log.ports[self.number]}",
-                    known=self.trial.log.known(self.number),
+                    known=self.trial.log.initial_events(self.number),
                     settings=settings_for(
-                        self.trial.terms, self.trial.number, self.number, self.trial.settings
+                        self.trial.terms,
+                        self.trial.director_count,
+                        self.number,
+                        self.trial.settings,
                     ),
                 ),
                 stream,
             )
-        os.replace(beside, self.path())
+        os.replace(new_path, self.configuration_path())
 
     def start(self) -> None:
-        self.starts += 1
+        self.start_count += 1
         self.write_configuration()
         self.trial.record("director starts", director=self.name)
-        self.accepts_plays = self.stopping = False
+        self.accepts_plays = self.is_stopping = False
         environment = os.environ | {
-            "PROXY_CONFIG": self.path(),
+            "PROXY_CONFIG": self.configuration_path(),
             "PYTHONDONTWRITEBYTECODE": "1",
             "LADDERGW_LOG": self.trial.log_level,
         }
-        with open(self.log_path(self.starts), "wb") as log:
+        with open(self.log_path(self.start_count), "wb") as log:
             process = self.process = self.trial.loop.spawn(
-                ["/bin/sh", "-c", f"ulimit -n {self.trial.terms.sockets}; {self.run}"],
-                lambda status: self.ended(process, status),
+                ["/bin/sh", "-c", f"ulimit -n {self.trial.terms.sockets}; {self.command}"],
+                lambda status: self.process_ended(process, status),
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
@@ -109,40 +112,43 @@
                 env=environment,
             )
         self.trial.processes.append((self.name, process))
-        self.look(process)
+        self.probe_until_ready(process)
 
     def log_path(self, start: int) -> str:
         return os.path.join(self.trial.folder, f"{self.name}.{start}.log")
 
-    def look(self, process) -> None:
-        if self.process is process and not self.accepts_plays and not self.stopping:
-            Tested(self.trial.loop, self.address, lambda: self.ready(process))
-            self.trial.loop.call_later(LOOK_MS, lambda: self.look(process))
+    def probe_until_ready(self, process) -> None:
+        if self.process is process and not self.accepts_plays and not self.is_stopping:
+            ReadinessProbe(self.trial.loop, self.address, lambda: self.became_ready(process))
+            self.trial.loop.call_later(PROBE_INTERVAL_MS, lambda: self.probe_until_ready(process))
 
-    def ready(self, process) -> None:
-        if self.process is process and not self.accepts_plays and not self.stopping:
+    def became_ready(self, process) -> None:
+        if self.process is process and not self.accepts_plays and not self.is_stopping:
             self.accepts_plays = True
             self.trial.record("director ready", director=self.name)
 
     def stop(self) -> None:
-        """As at a planned restart: it is told; viewers go on coming for a moment, and on open
-        connections until it has ended, which it has
-        to before the earliest kill."""
-        if self.process is None or self.stopping or not self.accepts_plays:
+        """Stops the process as a planned restart does.
+
+        After SIGTERM, viewers still open connections for a moment, and use open ones until the
+        process has ended; it must end before the earliest SIGKILL.
+        """
+        if self.process is None or self.is_stopping or not self.accepts_plays:
             return
-        process, self.stopping = self.process, True
+        process, self.is_stopping = self.process, True
         self.trial.record("director told to stop", director=self.name)
         process.send_signal(signal.SIGTERM)
         self.trial.loop.call_later(
-            self.trial.draw.uniform(*STOPPED_MS), lambda: self.no_new_connections(process)
+            self.trial.draw.uniform(*ACCEPT_AFTER_STOP_MS),
+            lambda: self.stop_new_connections(process),
         )
-        self.trial.loop.call_later(self.trial.terms.kill_ms, lambda: self.kill_stopped(process))
+        self.trial.loop.call_later(self.trial.terms.kill_ms, lambda: self.kill_if_running(process))
 
-    def no_new_connections(self, process) -> None:
+    def stop_new_connections(self, process) -> None:
         if self.process is process:
             self.accepts_plays = False
 
-    def kill_stopped(self, process) -> None:
+    def kill_if_running(self, process) -> None:
         if process.poll() is None:
             self.trial.record("killed at its stop", director=self.name)
             self.trial.stopped_late.add(process.pid)
@@ -170,20 +176,20 @@
             self.write_configuration()
             self.process.send_signal(signal.SIGHUP)
 
-    def ended(self, process, status: int) -> None:
-        fine = (
+    def process_ended(self, process, status: int) -> None:
+        expected = (
             (-signal.SIGKILL,)
             if process.pid in self.trial.killed | self.trial.stopped_late
             else (0,)
         )
         if process is self.process:
             self.accepts_plays, self.process = False, None
-        self.trial.record("director ended", director=self.name, status=status, fine=fine)
-        if not self.trial.over:
+        self.trial.record("director ended", director=self.name, status=status, fine=expected)
+        if not self.trial.is_over:
             self.start()
 
-    def measure(self) -> None:
-        """Descriptors, resident memory and processor time of its process."""
+    def record_usage(self) -> None:
+        """Records open descriptors, resident memory (MB) and processor time (ms) of the process."""
         if self.process is None or not self.accepts_plays:
             return
         try:
@@ -198,13 +204,13 @@
             director=self.name,
             descriptors=descriptors,
             memory_mb=pages * PAGE_KB / 1024,
-            cpu_ms=(int(user) + int(system)) * TICK_MS,
+            cpu_ms=(int(user) + int(system)) * CPU_TICK_MS,
         )
 
-    def troubles(self) -> list[str]:
-        """Lines of its logs that tell of a fault in the program."""
+    def list_logged_faults(self) -> list[str]:
+        """Returns the lines of its logs that report a fault of the program."""
         found = []
-        for start in range(1, self.starts + 1):
+        for start in range(1, self.start_count + 1):
             with open(self.log_path(start)) as log:
                 found += [
                     line.strip()[:200]
@@ -214,5 +220,5 @@
         return found
 
 
-def default_run() -> str:
-    return RUN.replace(".venv/bin/python", sys.executable)
+def default_command() -> str:
+    return RUN_COMMAND.replace(".venv/bin/python", sys.executable)
--- a/laddergw/lab/soak/judge.py
+++ b/laddergw/lab/soak/judge.py
@@ -1,226 +1,248 @@
-"""Judges what passed between processes of the platform's director and their peers: records in,
-broken rules out. No I/O.
+"""Finds rule violations in the records of what passed between directors and their peers. No I/O.
 
-A record is (ms, what, facts). The times are those of the one process that plays all peers; `lag` is
-how long that process itself may
-have kept something unread, which is nobody's fault but its own. Rules on releases stand in
-judge_releases.py.
+A record is (ms, event, fields). All times are those of the one process that plays all peers. `lag`
+is how long that process itself may have left the data unread; the director is not blamed for it.
+The rules on releases are in judge_releases.py.
 """
 
 import math
 from collections import defaultdict
 from collections.abc import Iterable
 
-from laddergw.lab.soak.judge_cold import cold
-from laddergw.lab.soak.judge_drains import drains
-from laddergw.lab.soak.judge_limits import further_attempts, spinning
-from laddergw.lab.soak.judge_releases import releases
+from laddergw.lab.soak.judge_cold import check_cold_starts
+from laddergw.lab.soak.judge_drains import check_drains
+from laddergw.lab.soak.judge_limits import check_processor_use, check_retry_budget
+from laddergw.lab.soak.judge_releases import check_releases
 from laddergw.lab.soak.terms import Terms
 from laddergw.lab.soak.violation import RuleViolation
 
-GONE_MS = 100.0  # an attempt begins no later than this after its viewer has left: the users' term,
-GONE_CASES = 3  # a break from so many cases on
-# an answer may come so long after the viewer's time, and earns nothing: the platform's page
-LATE_MS = 500.0
-EXCUSED = "left", "cut", "not taken"  # no answer is owed: its viewer, its director or its way gone
-READY_MS, READY_PART = 10_000.0, 0.9
-PASSED_ON = "product", "title", "offer"  # fields of a set-up that pass on unchanged
+# No attempt begins later than this after its viewer has left: a requirement of the users.
+LEFT_GRACE_MS = 100.0
+# Number of such late attempts from which the rule counts as broken.
+MIN_LEFT_CASES = 3
+# An answer may come this long after the viewer's wait, and earns nothing then: the platform's page.
+ANSWER_SLACK_MS = 500.0
+# No answer is due once the viewer has left, its director was killed or its connection was lost.
+NO_ANSWER_DUE = "left", "cut", "not taken"
+# This share of the starts has to be ready within the time.
+READY_MS, READY_SHARE = 10_000.0, 0.9
+# Fields of a set-up that are passed on unchanged.
+FORWARDED_FIELDS = "product", "title", "offer"
 
 
 def judge(records: Iterable[tuple], terms: Terms) -> list[RuleViolation]:
-    """All that is broken."""
+    """Returns all rule violations."""
     records = sorted(records, key=lambda record: record[0])
     rules = (
-        answers(records),
-        made(records),
-        once(records, terms.paid),
-        gone(records),
-        drains(records, terms.grace_ms),
-        cold(records, terms),
-        processes(records, terms),
-        releases(records),
-        unchanged(records),
-        refusals(records, terms.paid),
-        further_attempts(records, terms.budget),
-        spinning(records),
+        check_answers(records),
+        check_descriptions(records),
+        check_single_runs(records, terms.single_run_products),
+        check_left_viewers(records),
+        check_drains(records, terms.grace_ms),
+        check_cold_starts(records, terms),
+        check_processes(records, terms),
+        check_releases(records),
+        check_fields_unchanged(records),
+        check_refusals(records, terms.single_run_products),
+        check_retry_budget(records, terms.budget),
+        check_processor_use(records),
     )
-    return [broken for rule in rules for broken in rule]
+    return [violation for found in rules for violation in found]
 
 
-def by_session(records, *wanted: str) -> dict[str, list]:
+def by_session(records, *events: str) -> dict[str, list]:
+    """Returns the records of the given events by session."""
     found = defaultdict(list)
-    for at, what, facts in records:
-        if what in wanted:
-            found[facts["session"]].append((at, what, facts))
+    for at, event, fields in records:
+        if event in events:
+            found[fields["session"]].append((at, event, fields))
     return found
 
 
-def answers(records) -> list[RuleViolation]:
-    """One answer in time to who has not left; none that is not owed twice.
+def check_answers(records) -> list[RuleViolation]:
+    """Checks that each viewer that has not left gets one answer, in time, and nobody gets two.
 
-    A process that was stopped by a signal answers nothing.
+    The time for which a process was stopped by a signal does not count.
     """
-    broken = []
+    violations = []
     frozen = [
-        (at, at + facts["ms"], facts["director"])
-        for at, what, facts in records
-        if what == "director frozen"
+        (at, at + fields["ms"], fields["director"])
+        for at, event, fields in records
+        if event == "director frozen"
     ]
-    for session, told in by_session(records, "asked", "answered", *EXCUSED).items():
-        at, _, asked = told[0]
-        came = [(when, facts) for when, what, facts in told if what == "answered"]
-        gone_at = min((when for when, what, _ in told if what in EXCUSED), default=math.inf)
-        if len(came) > 1:
-            broken.append(RuleViolation("twice", f"answered {len(came)} times: {session}", session))
-        still = sum(
-            max(0.0, min(ends, came[0][0]) - max(begins, at))
-            for begins, ends, who in frozen
-            if came and who == asked["director"]
+    for session, history in by_session(records, "asked", "answered", *NO_ANSWER_DUE).items():
+        at, _, request = history[0]
+        answers = [(when, fields) for when, event, fields in history if event == "answered"]
+        excused_at = min(
+            (when for when, event, _ in history if event in NO_ANSWER_DUE), default=math.inf
         )
-        if came and came[0][0] > at + asked["wait_ms"] + LATE_MS + came[0][1]["lag"] + still:
-            broken.append(
+        if len(answers) > 1:
+            violations.append(
+                RuleViolation("twice", f"answered {len(answers)} times: {session}", session)
+            )
+        frozen_ms = sum(
+            max(0.0, min(ends, answers[0][0]) - max(begins, at))
+            for begins, ends, frozen_director in frozen
+            if answers and frozen_director == request["director"]
+        )
+        if (
+            answers
+            and answers[0][0]
+            > at + request["wait_ms"] + ANSWER_SLACK_MS + answers[0][1]["lag"] + frozen_ms
+        ):
+            violations.append(
                 RuleViolation(
                     "lost",
-                    f"answered {came[0][0] - at:.0f} ms after it was asked for: {session}",
+                    f"answered {answers[0][0] - at:.0f} ms after it was asked for: {session}",
                     session,
                 )
             )
-        if not came and gone_at == math.inf:
-            broken.append(
+        if not answers and excused_at == math.inf:
+            violations.append(
                 RuleViolation(
-                    "lost", f"without an answer: {session} at director {asked['director']}", session
+                    "lost",
+                    f"without an answer: {session} at director {request['director']}",
+                    session,
                 )
             )
-    return broken
+    return violations
 
 
-def made(records) -> list[RuleViolation]:
-    """A session is answered with a description that a media node gave for it."""
-    given = by_session(records, "made")
+def check_descriptions(records) -> list[RuleViolation]:
+    """Checks that each session is answered with a description that a media node made for it."""
+    descriptions = by_session(records, "made")
     return [
         RuleViolation("lost", f"an answer that no media node made: {session}", session)
-        for session, told in by_session(records, "answered").items()
-        for _, _, facts in told
-        if "text" in facts
-        and facts["text"] not in [one["text"] for _, _, one in given.get(session, ())]
+        for session, history in by_session(records, "answered").items()
+        for _, _, fields in history
+        if "text" in fields
+        and fields["text"]
+        not in [description["text"] for _, _, description in descriptions.get(session, ())]
     ]
 
 
-def unchanged(records) -> list[RuleViolation]:
-    """Product, title and description reach a media node as the viewer sent them."""
-    sent, broken = {}, []
-    for _, what, facts in records:
-        if what in ("asked", "asked again"):
-            sent[facts["session"]] = facts
-        elif what == "arrived" and facts["session"] in sent:
-            asked = sent[facts["session"]]
-            changed = [name for name in PASSED_ON if asked.get(name) != facts.get(name)]
+def check_fields_unchanged(records) -> list[RuleViolation]:
+    """Checks that product, title and description reach a media node as the viewer sent them."""
+    requests, violations = {}, []
+    for _, event, fields in records:
+        if event in ("asked", "asked again"):
+            requests[fields["session"]] = fields
+        elif event == "arrived" and fields["session"] in requests:
+            request = requests[fields["session"]]
+            changed = [name for name in FORWARDED_FIELDS if request.get(name) != fields.get(name)]
             if changed:
-                broken.append(
+                violations.append(
                     RuleViolation(
                         "lost",
-                        f"changed on its way, {', '.join(changed)}: {facts['session']}",
-                        facts["session"],
+                        f"changed in transit, {', '.join(changed)}: {fields['session']}",
+                        fields["session"],
                     )
                 )
-    return broken
+    return violations
 
 
-def refusals(records, paid: set[str]) -> list[RuleViolation]:
-    """Nobody is told that trying again is harmless of a product that runs once and may have run."""
-    broken = []
-    for session, told in by_session(records, "arrived", "over", "answered").items():
+def check_refusals(records, single_run_products: set[str]) -> list[RuleViolation]:
+    """Checks that no play that runs once and may have run is declined, that is, safe to retry."""
+    violations = []
+    for session, history in by_session(records, "arrived", "over", "answered").items():
         may_have_run = sum(
-            what == "arrived" and facts["product"] in paid for _, what, facts in told
-        ) - sum(what == "over" and facts.get("never_ran", False) for _, what, facts in told)
+            event == "arrived" and fields["product"] in single_run_products
+            for _, event, fields in history
+        ) - sum(event == "over" and fields.get("never_ran", False) for _, event, fields in history)
         if may_have_run > 0 and any(
-            what == "answered" and facts["answer"] == "declined" for _, what, facts in told
+            event == "answered" and fields["answer"] == "declined" for _, event, fields in history
         ):
-            broken.append(
+            violations.append(
                 RuleViolation("dup", f"declined, though it may have run: {session}", session)
             )
-    return broken
+    return violations
 
 
-def once(records, paid: set[str]) -> list[RuleViolation]:
-    """No product that runs once is set up a second time where the first may have run; no play is
-    out at two nodes.
+def check_single_runs(records, single_run_products: set[str]) -> list[RuleViolation]:
+    """Checks that no play is open at two nodes, and that no product that runs once is set up a
+    second time where the first may have run.
     """
-    broken = []
-    for session, told in by_session(records, "arrived", "over").items():
-        out, may_have_run = set(), 0
-        ends = {
-            (at, facts["node"]) for at, what, facts in told if what == "over"
-        }  # read in one turn, here, an end may come second
-        for at, what, facts in told:
-            if what == "over":
-                out.discard(facts["node"])
-                may_have_run -= facts.get("never_ran", False)
+    violations = []
+    for session, history in by_session(records, "arrived", "over").items():
+        running_at, may_have_run = set(), 0
+        # Of events that this process read in one turn, an attempt's end may be recorded second.
+        ends = {(at, fields["node"]) for at, event, fields in history if event == "over"}
+        for at, event, fields in history:
+            if event == "over":
+                running_at.discard(fields["node"])
+                may_have_run -= fields.get("never_ran", False)
                 continue
-            if both := [node for node in out if (at, node) not in ends]:
-                broken.append(
+            if others := [node for node in running_at if (at, node) not in ends]:
+                violations.append(
                     RuleViolation(
                         "twice",
-                        f"out at {facts['node']} and at {', '.join(both)}: {session}",
+                        f"open at {fields['node']} and at {', '.join(others)}: {session}",
                         session,
                     )
                 )
-            out.add(facts["node"])
+            running_at.add(fields["node"])
             may_have_run += 1
-            if may_have_run > 1 and facts["product"] in paid:
-                broken.append(
+            if may_have_run > 1 and fields["product"] in single_run_products:
+                violations.append(
                     RuleViolation("twice", f"a paid play set up a second time: {session}", session)
                 )
-    return broken
+    return violations
 
 
-def gone(records) -> list[RuleViolation]:
-    """No attempt begins long after its viewer has left."""
+def check_left_viewers(records) -> list[RuleViolation]:
+    """Checks that no attempt begins long after its viewer has left."""
     left, late = {}, []
-    for at, what, facts in records:
-        if what == "left":
-            left[facts["session"]] = at
+    for at, event, fields in records:
+        if event == "left":
+            left[fields["session"]] = at
         elif (
-            what == "arrived" and at - left.get(facts["session"], math.inf) - facts["lag"] > GONE_MS
+            event == "arrived"
+            and at - left.get(fields["session"], math.inf) - fields["lag"] > LEFT_GRACE_MS
         ):
             late.append(
-                f"{facts['session']} {at - left[facts['session']]:.0f} ms after its viewer had left"
+                f"{fields['session']} {at - left[fields['session']]:.0f} ms "
+                "after its viewer had left"
             )
     return (
-        [RuleViolation("gone", f"attempts for who has gone: {', '.join(late)}")]
-        if len(late) >= GONE_CASES
+        [RuleViolation("gone", f"attempts for viewers that have left: {', '.join(late)}")]
+        if len(late) >= MIN_LEFT_CASES
         else []
     )
 
 
-def processes(records, terms: Terms) -> list[RuleViolation]:
-    """Directors start in time, end well, keep their limits and log no trouble."""
-    broken, since, took = [], {}, []
-    for at, what, facts in records:
-        if what == "director starts":
-            since[facts["director"]] = at
-        elif what == "director ready" and since.get(facts["director"]) is not None:
-            took.append(at - since.pop(facts["director"]))
-        elif what == "director ended" and facts["status"] not in facts["fine"]:
-            broken.append(
-                RuleViolation("crash", f"director {facts['director']} ended with {facts['status']}")
+def check_processes(records, terms: Terms) -> list[RuleViolation]:
+    """Checks that directors start in time, exit cleanly, keep their limits and log no faults."""
+    violations, starting, start_ms = [], {}, []
+    for at, event, fields in records:
+        if event == "director starts":
+            starting[fields["director"]] = at
+        elif event == "director ready" and starting.get(fields["director"]) is not None:
+            start_ms.append(at - starting.pop(fields["director"]))
+        elif event == "director ended" and fields["status"] not in fields["fine"]:
+            violations.append(
+                RuleViolation(
+                    "crash", f"director {fields['director']} ended with {fields['status']}"
+                )
+            )
+        elif event == "trouble in a log":
+            violations.append(
+                RuleViolation("crash", f"director {fields['director']}: {fields['line']}")
             )
-        elif what == "trouble in a log":
-            broken.append(RuleViolation("crash", f"director {facts['director']}: {facts['line']}"))
-        elif what == "held" and (
-            facts["descriptors"] > terms.sockets or facts["memory_mb"] > terms.memory_mb
+        elif event == "held" and (
+            fields["descriptors"] > terms.sockets or fields["memory_mb"] > terms.memory_mb
         ):
-            broken.append(
+            violations.append(
                 RuleViolation(
                     "limits",
-                    f"director {facts['director']} holds {facts['descriptors']} descriptors, "
-                    f"{facts['memory_mb']:.0f} MB",
+                    f"director {fields['director']} holds {fields['descriptors']} descriptors, "
+                    f"{fields['memory_mb']:.0f} MB",
                 )
             )
-    if sum(ms <= READY_MS for ms in took) < READY_PART * (len(took) + len(since)):
-        broken.append(
+    if sum(ms <= READY_MS for ms in start_ms) < READY_SHARE * (len(start_ms) + len(starting)):
+        violations.append(
             RuleViolation(
-                "crash", f"{len(since)} never ready, the others after {sorted(map(round, took))} ms"
+                "crash",
+                f"{len(starting)} never ready, the others after {sorted(map(round, start_ms))} ms",
             )
         )
-    return broken
+    return violations
--- a/laddergw/lab/soak/judge_cold.py
+++ b/laddergw/lab/soak/judge_cold.py
@@ -1,5 +1,5 @@
-"""Judges what cold media nodes were sent: the sum over all directors within what the settings allow
-and chance explains. No I/O.
+"""Checks the set-ups sent to cold media nodes: the sum over all directors may not exceed what the
+settings allow and chance explains. No I/O.
 """
 
 import math
@@ -9,8 +9,8 @@
 from laddergw.lab.soak.violation import RuleViolation
 
 
-def allowed(now: float, started: float, terms: Terms) -> float:
-    """N: what the settings allow a cold node within the span that ends now."""
+def allowed_set_ups(now: float, started: float, terms: Terms) -> float:
+    """Returns N: how many set-ups the settings allow a cold node in the window that ends now."""
     warmth = terms.cold_from + (1 - terms.cold_from) * min(
         max(now - terms.fall_ms / 2 - started, 0) / terms.warm_ms, 1
     )
@@ -18,30 +18,31 @@
 
 
 def cold_start_excess(records, terms: Terms) -> float:
-    """The most that any span of the settings' time held, at any node that is still cold, over N + 2
-    roots of N + 2.
+    """Returns the largest excess of the set-ups of any window of the settings, at any node that is
+    still cold, over N + 2 * sqrt(N) + 2.
     """
-    started, sent, most = {}, defaultdict(list), -math.inf
-    for at, what, facts in records:
-        if what == "started":
-            started[facts["node"]] = at
-        elif what == "arrived" and at - started.get(facts["node"], -math.inf) < terms.warm_ms:
-            sent[facts["node"]].append(at)
-            n = allowed(at, started[facts["node"]], terms)
-            most = max(
-                most,
-                sum(at - when < terms.fall_ms for when in sent[facts["node"]])
-                - n
-                - 2 * math.sqrt(n)
+    started, sent, largest = {}, defaultdict(list), -math.inf
+    for at, event, fields in records:
+        if event == "started":
+            started[fields["node"]] = at
+        elif event == "arrived" and at - started.get(fields["node"], -math.inf) < terms.warm_ms:
+            sent[fields["node"]].append(at)
+            allowed = allowed_set_ups(at, started[fields["node"]], terms)
+            largest = max(
+                largest,
+                sum(at - when < terms.fall_ms for when in sent[fields["node"]])
+                - allowed
+                - 2 * math.sqrt(allowed)
                 - 2,
             )
-    return most
+    return largest
 
 
-def cold(records, terms: Terms) -> list[RuleViolation]:
-    over = cold_start_excess(records, terms)
+def check_cold_starts(records, terms: Terms) -> list[RuleViolation]:
+    """Checks that no cold node is sent more set-ups than allowed and explained by chance."""
+    excess = cold_start_excess(records, terms)
     return (
-        [RuleViolation("failback", f"a cold node was sent {over:.1f} over what chance explains")]
-        if over > 0
+        [RuleViolation("failback", f"a cold node was sent {excess:.1f} over what chance explains")]
+        if excess > 0
         else []
     )
--- a/laddergw/lab/soak/judge_drains.py
+++ b/laddergw/lab/soak/judge_drains.py
@@ -1,53 +1,64 @@
-"""Judges what was sent to media nodes that drain, from when that counts as told. No I/O."""
+"""Checks what is sent to draining media nodes, from when directors count as informed. No I/O."""
 
 import math
 
 from laddergw.lab.soak.violation import SLACK_MS, RuleViolation
 
-DRAIN_LEAST_MS = 250.0  # nothing new to a node so long after a director was told that it drains
-UNTOLD_MS = 4_000.0  # what the change log cannot tell counts as told so long after it went away,
-UNREACHED_MS = (
-    6_000.0  # or so long after it had it and could be reached, where it stayed away for longer
-)
+# From this time after a director was told that a node drains, it sends the node nothing new.
+MIN_DRAIN_NOTICE_MS = 250.0
+# A change that an unreachable change log cannot send counts as told this long after the log became
+# unreachable,
+UNREACHABLE_NOTICE_MS = 4_000.0
+# or, if the log was unreachable for longer than that, this long after it has the change and can be
+# reached again.
+RECONNECT_NOTICE_MS = 6_000.0
 
 
-def told_at(at: float, away: list[list[float]]) -> float:
-    """When a change that discovery had at that time counts as told, by the spans in which it could
-    not be reached: 4 s after such a
-    span began, or 6 s after it could be reached again where that was later."""
-    for begins, ends in away:
-        if begins <= at < max(ends, begins + UNTOLD_MS):
+def notice_at(at: float, outages: list[list[float]]) -> float:
+    """Returns when a change that the change log had at a time counts as told to directors.
+
+    `outages` are the spans in which the log could not be reached. A change of an outage counts as
+    told 4 s after the outage began, or 6 s after its end if the outage was longer than those 4 s.
+    """
+    for begins, ends in outages:
+        if begins <= at < max(ends, begins + UNREACHABLE_NOTICE_MS):
             return (
-                ends + UNREACHED_MS if begins + UNTOLD_MS < ends < math.inf else begins + UNTOLD_MS
+                ends + RECONNECT_NOTICE_MS
+                if begins + UNREACHABLE_NOTICE_MS < ends < math.inf
+                else begins + UNREACHABLE_NOTICE_MS
             )
     return at
 
 
-def drains(records, grace_ms: float) -> list[RuleViolation]:
-    """Nothing new goes to a node that drains, once that counts as told."""
-    away: list[list[float]] = []
-    told: dict[str, float] = {}
-    broken = []
-    for at, what, _ in records:
-        if what == "log away":
-            away.append([at, math.inf])
-        elif what == "log back" and away:
-            away[-1][1] = at
-    for at, what, facts in records:
-        if what == "told" and facts["state"] != "SERVING":
-            told[facts["node"]] = min(told.get(facts["node"], math.inf), told_at(at, away))
+def check_drains(records, grace_ms: float) -> list[RuleViolation]:
+    """Checks that a draining node is sent nothing new once directors count as told of the drain."""
+    outages: list[list[float]] = []
+    noticed_at: dict[str, float] = {}
+    violations = []
+    for at, event, _ in records:
+        if event == "log away":
+            outages.append([at, math.inf])
+        elif event == "log back" and outages:
+            outages[-1][1] = at
+    for at, event, fields in records:
+        if event == "told" and fields["state"] != "SERVING":
+            noticed_at[fields["node"]] = min(
+                noticed_at.get(fields["node"], math.inf), notice_at(at, outages)
+            )
         elif (
-            what == "arrived"
-            and at - facts["lag"]
-            > told.get(facts["node"], math.inf) + max(grace_ms, DRAIN_LEAST_MS) + SLACK_MS
+            event == "arrived"
+            and at - fields["lag"]
+            > noticed_at.get(fields["node"], math.inf)
+            + max(grace_ms, MIN_DRAIN_NOTICE_MS)
+            + SLACK_MS
         ):
-            since = at - told[facts["node"]]
-            broken.append(
+            since = at - noticed_at[fields["node"]]
+            violations.append(
                 RuleViolation(
                     "drain",
-                    f"{facts['session']} to {facts['node']}, "
+                    f"{fields['session']} to {fields['node']}, "
                     f"{since:.0f} ms after it was told to drain",
-                    facts["session"],
+                    fields["session"],
                 )
             )
-    return broken
+    return violations
--- a/laddergw/lab/soak/judge_limits.py
+++ b/laddergw/lab/soak/judge_limits.py
@@ -1,59 +1,63 @@
-"""Judges what directors may take: further attempts in their budget, processor time. No I/O."""
+"""Checks the limits on what directors use: the retry budget and processor time. No I/O."""
 
 from collections import deque
 
 from laddergw.lab.soak.terms import Budget
 from laddergw.lab.soak.violation import RuleViolation
 
-BUDGET_SLACK, BUDGET_MORE = 1.15, 1.0  # the budget grows by this, by the protocol page
-SPINS_MS, SPINS_SHARE = 2_000.0, 0.95  # so long at this share of a processor
+# The protocol page allows the budget this factor and this many attempts more.
+BUDGET_TOLERANCE, BUDGET_EXTRA_ATTEMPTS = 1.15, 1.0
+# A director spins if it uses this share of a processor for this long.
+SPIN_MS, SPIN_SHARE = 2_000.0, 0.95
 
 
-def further_attempts(records: list[tuple], budget: Budget | None) -> list[RuleViolation]:
-    """In no window does a director send more further attempts than its budget allows."""
+def check_retry_budget(records: list[tuple], budget: Budget | None) -> list[RuleViolation]:
+    """Checks that in no window a director sends more retries than its budget allows."""
     if budget is None:
         return []
     director_of: dict[str, str] = {}
-    asked: dict[str, deque[float]] = {}
-    further: dict[str, deque[float]] = {}
-    tried: set[str] = set()
-    broken = []
-    for at, what, facts in records:
-        if what == "director starts":
-            asked[facts["director"]], further[facts["director"]] = deque(), deque()
-        elif what == "asked":
-            director_of[facts["session"]] = facts["director"]
-            asked.setdefault(facts["director"], deque()).append(at)
-        elif what == "arrived" and facts["session"] not in tried:
-            tried.add(facts["session"])
-        elif what == "arrived" and (director := director_of.get(facts["session"])) is not None:
-            spent = further.setdefault(director, deque())
-            spent.append(at)
-            taken = asked.setdefault(director, deque())
-            for times in spent, taken:
+    requests_of: dict[str, deque[float]] = {}
+    retries: dict[str, deque[float]] = {}
+    attempted: set[str] = set()
+    violations = []
+    for at, event, fields in records:
+        if event == "director starts":
+            requests_of[fields["director"]], retries[fields["director"]] = deque(), deque()
+        elif event == "asked":
+            director_of[fields["session"]] = fields["director"]
+            requests_of.setdefault(fields["director"], deque()).append(at)
+        elif event == "arrived" and fields["session"] not in attempted:
+            attempted.add(fields["session"])
+        elif event == "arrived" and (director := director_of.get(fields["session"])) is not None:
+            sent = retries.setdefault(director, deque())
+            sent.append(at)
+            requests = requests_of.setdefault(director, deque())
+            for times in sent, requests:
                 while times and times[0] <= at - budget.window_ms:
                     times.popleft()
-            allowed = (budget.free + budget.share * len(taken)) * BUDGET_SLACK + BUDGET_MORE
-            if len(spent) > allowed:
-                what_was = f"{len(spent)} further attempts, {allowed:.1f} allowed: {director}"
-                broken.append(RuleViolation("budget", what_was, facts["session"]))
-    return broken
+            allowed = (
+                budget.free + budget.share * len(requests)
+            ) * BUDGET_TOLERANCE + BUDGET_EXTRA_ATTEMPTS
+            if len(sent) > allowed:
+                text = f"{len(sent)} retries, {allowed:.1f} allowed: {director}"
+                violations.append(RuleViolation("budget", text, fields["session"]))
+    return violations
 
 
-def spinning(records: list[tuple]) -> list[RuleViolation]:
-    """No director uses up a processor for long."""
+def check_processor_use(records: list[tuple]) -> list[RuleViolation]:
+    """Checks that no director uses up a processor for long."""
     since: dict[str, tuple[float, float]] = {}
-    broken = []
-    for at, what, facts in records:
-        if what != "held" or "cpu_ms" not in facts:
+    violations = []
+    for at, event, fields in records:
+        if event != "held" or "cpu_ms" not in fields:
             continue
-        director, used = facts["director"], facts["cpu_ms"]
-        begun, used_then = since.setdefault(director, (at, used))
-        if used < used_then or used - used_then < SPINS_SHARE * (at - begun):
+        director, used = fields["director"], fields["cpu_ms"]
+        since_ms, used_then = since.setdefault(director, (at, used))
+        if used < used_then or used - used_then < SPIN_SHARE * (at - since_ms):
             since[director] = at, used
-        elif at - begun >= SPINS_MS:
-            broken.append(
+        elif at - since_ms >= SPIN_MS:
+            violations.append(
                 RuleViolation("limits", f"director {director} spins: {used - used_then:.0f} ms")
             )
             since[director] = at, used
-    return broken
+    return violations
--- a/laddergw/lab/soak/messages.py
+++ b/laddergw/lab/soak/messages.py
@@ -1,5 +1,5 @@
-"""What peers of a director send: its configuration, events of the change log, viewers' set-ups,
-media nodes' answers. No I/O.
+"""Builds what a director receives: its configuration, events of the change log, viewers' set-ups
+and media nodes' answers. No I/O.
 """
 
 from typing import Any
@@ -33,13 +33,14 @@
         "SeenAfter": 500_000,
     },
 }
-PLAYED_TITLE = "7f3a"  # of the address in a media node's own messages: free, by the protocol
+# Address in the requests that a media node sends; the protocol leaves it free.
+PLAYED_TITLE = "7f3a"
 
 
 def member(
     name: str, port: int, phase: str = "SERVING", cell: int = 0, since: float = 0
 ) -> dict[str, Any]:
-    """One media node of an event of the change log; `since` in Unix ms, or 0."""
+    """Returns one media node's entry in an event of the change log; `since` in Unix ms, or 0."""
     return {
         "id": name,
         "host_port": f"{name}:{port}",
@@ -60,7 +61,7 @@
 
 
 def configuration(**changes: Any) -> dict[str, Any]:
-    """A director's configuration file; `changes` replace its first-level entries."""
+    """Returns a director's configuration file; `changes` replace its first-level entries."""
     return {
         "name": "n0",
         "listen": "director:5060",
@@ -84,7 +85,7 @@
     hint: str = "30000.0",
     text: bytes = b"v=0\r\n",
 ) -> bytes:
-    """A viewer's set-up; `patience` and `hint` in ms, `text` its description."""
+    """Encodes a viewer's set-up; `wait_limit_ms` and `hint` in ms, `text` is its description."""
     return binary.encode(
         binary.SET_UP,
         f"{session:016x}",
@@ -98,7 +99,7 @@
 
 
 def answer(session: str, status: int = 200, body: bytes = b"v=0\r\n", more: str = "") -> bytes:
-    """A media node's answer to a set-up; `more` holds further header lines."""
+    """Encodes a media node's answer to a set-up; `more` holds further header lines."""
     return (
         f"RTSP/1.0 {status} X\r\nCSeq: 1\r\nSession: {session}\r\n"
         f"{more}Content-Length: {len(body)}\r\n\r\n".encode()
@@ -107,7 +108,7 @@
 
 
 def release(session: int, cause: int) -> bytes:
-    """A media node's release of a session."""
+    """Encodes a media node's release of a session."""
     return rtsp.encode_request(
         "TEARDOWN", PLAYED_TITLE, f"{session:016x}", (("Reason", f"cause={cause}"),)
     )
--- a/laddergw/lab/soak/node_connection.py
+++ b/laddergw/lab/soak/node_connection.py
@@ -1,62 +1,64 @@
-"""One connection from a director to a media node of a trial: set-ups, answers, and answers that are
-spoilt.
-"""
+"""A connection from a director to a media node of a trial: set-ups, answers and corrupt answers."""
 
 import re
 from typing import TYPE_CHECKING
 
 from laddergw.lab.soak.messages import answer, release
-from laddergw.lab.soak.peers import Owner, PieceWriter
+from laddergw.lab.soak.peers import PeerConnection, PieceWriter
 from laddergw.signalling import rtsp
 
 if TYPE_CHECKING:
     from laddergw.lab.soak.nodes import Node
 
 ANSWER_MS, REFUSE_MS = (20.0, 120.0), (20.0, 500.0)
-FULL, FAILS, MUTE = (
-    0.08,
-    0.03,
-    0.01,
-)  # parts of set-ups that a node refuses, fails, and never answers
-SPOILT = 0.4  # part of the good answers that are spoilt while answers are
-ENDED, LEFT = 16, 31  # causes of a release: the session has come to its end; its viewer has left
-ANY_TEXT = re.compile(
-    rb"([A-Za-z0-9-]{1,40}): ?([^\r\n]*)"
-)  # a header's line: products have names in any language
-ADDRESSES = "rtsp://media/"  # begins every address
+# Shares of the set-ups that a node refuses, fails, and never answers.
+REFUSE_SHARE, FAIL_SHARE, SILENT_SHARE = 0.08, 0.03, 0.01
+# Share of the good answers that are corrupted under the condition `spoilt_answers`.
+CORRUPT_SHARE = 0.4
+# Causes of a release: the session has come to its end; its viewer has left.
+CAUSE_ENDED, CAUSE_VIEWER_LEFT = 16, 31
+# A header line. Its value may hold any text, as products have names in any language.
+HEADER_PATTERN = re.compile(rb"([A-Za-z0-9-]{1,40}): ?([^\r\n]*)")
+# Precedes the title in every address.
+ADDRESS_PREFIX = "rtsp://media/"
 
 
 class Conditions:
-    """What holds for all peers of a trial at the moment, by the plan's windows."""
+    """The conditions of the plan that hold for all peers of a trial at the moment."""
 
     def __init__(self) -> None:
-        self.now: set[str] = set()
+        self.active: set[str] = set()
 
     def __contains__(self, kind: str) -> bool:
-        return kind in self.now
+        return kind in self.active
 
 
-class NodeConnection(Owner):
-    """One connection from a director, by its number."""
+class NodeConnection(PeerConnection):
+    """A node's end of a connection from the director with a given number."""
 
     def __init__(self, node: "Node", director: int):
-        self.node, self.director, self.reader, self.out = node, director, rtsp.Reader(ANY_TEXT), {}
+        self.node, self.director, self.reader, self.attempts = (
+            node,
+            director,
+            rtsp.Reader(HEADER_PATTERN),
+            {},
+        )
         self.writer = PieceWriter(node.loop, node.draw)
 
     def opened(self, stream) -> None:
         super().opened(stream)
-        self.node.sides.append(self)
-        for session, cause in self.node.untold.get(self.director, {}).items():
+        self.node.connections.append(self)
+        for session, cause in self.node.unacknowledged.get(self.director, {}).items():
             self.write(release(int(session, 16), cause))
 
     def write(self, data: bytes) -> None:
         self.writer.write(
             self.stream,
             data,
-            self.writer.drawn_cuts(data) if "pieces" in self.node.conditions else (),
+            self.writer.draw_cuts(data) if "pieces" in self.node.conditions else (),
         )
 
-    def heard(self, message) -> None:
+    def handle_message(self, message) -> None:
         node, session = self.node, message.headers["session"]
         if message.method == "SETUP":
             node.record(
@@ -64,80 +66,82 @@
                 session=session,
                 node=node.id,
                 product=message.headers["subject"],
-                title=message.target.removeprefix(ADDRESSES),
+                title=message.target.removeprefix(ADDRESS_PREFIX),
                 offer=message.body.decode(errors="replace"),
             )
-            self.out[session] = message.headers["subject"]
-            self.decide(session)
+            self.attempts[session] = message.headers["subject"]
+            self.schedule_answer(session)
         elif message.method == "TEARDOWN":
-            node.torn_down(self, session)
-        elif message.method == "OPTIONS" and not node.still:
+            node.handle_teardown(self, session)
+        elif message.method == "OPTIONS" and not node.is_hung:
             self.write(rtsp.encode_response(200, "OK", "3", session))
-        elif message.status == 200 and session in node.untold.get(self.director, ()):
-            del node.untold[self.director][session]
+        elif message.status == 200 and session in node.unacknowledged.get(self.director, ()):
+            del node.unacknowledged[self.director][session]
             node.record("release acknowledged", session=session, node=node.id)
 
-    def decide(self, session: str) -> None:
+    def schedule_answer(self, session: str) -> None:
         draw = self.node.draw.random()
-        low, high = (
-            REFUSE_MS if draw < FULL else ANSWER_MS
-        )  # a further try is due when some viewers have left
+        # Refusals may come late, so that some viewers have left when a retry is due.
+        low, high = REFUSE_MS if draw < REFUSE_SHARE else ANSWER_MS
         status = (
             453
-            if draw < FULL
+            if draw < REFUSE_SHARE
             else 500
-            if draw < FULL + FAILS
+            if draw < REFUSE_SHARE + FAIL_SHARE
             else None
-            if draw < FULL + FAILS + MUTE
+            if draw < REFUSE_SHARE + FAIL_SHARE + SILENT_SHARE
             else 200
         )
         self.node.loop.call_later(
-            self.node.draw.uniform(low, high), lambda: status and self.answer(session, status)
+            self.node.draw.uniform(low, high), lambda: status and self.send_answer(session, status)
         )
 
-    def over(self, session: str, never_ran: bool = False) -> None:
-        """An attempt is out no more."""
-        if self.out.pop(session, None):
+    def attempt_ended(self, session: str, never_ran: bool = False) -> None:
+        """Records that an attempt is no longer open."""
+        if self.attempts.pop(session, None):
             self.node.record("over", session=session, node=self.node.id, never_ran=never_ran)
 
-    def answer(self, session: str, status: int) -> None:
-        if session not in self.out or self.node.still:
+    def send_answer(self, session: str, status: int) -> None:
+        if session not in self.attempts or self.node.is_hung:
             return
         if status != 200:
-            self.over(session, status == 453)
+            self.attempt_ended(session, status == 453)
             return self.write(answer(session, status, b""))
         text = self.node.description(session)
-        if "spoilt_answers" in self.node.conditions and self.node.draw.random() < SPOILT:
-            return self.spoil(session, text)
-        self.node.play(session, self)
+        if "spoilt_answers" in self.node.conditions and self.node.draw.random() < CORRUPT_SHARE:
+            return self.send_corrupt_answer(session, text)
+        self.node.start_play(session, self)
         self.node.record("made", session=session, node=self.node.id, text=text.decode())
         self.write(answer(session, 200, text))
         if "release_at_once" in self.node.conditions and self.node.draw.random() < 0.5:
-            self.node.end(session, self.node.draw.choice((ENDED, LEFT)))
+            self.node.end_play(session, self.node.draw.choice((CAUSE_ENDED, CAUSE_VIEWER_LEFT)))
         return None
 
-    def spoil(self, session: str, text: bytes) -> None:
-        """It has run, and its answer cannot be used."""
+    def send_corrupt_answer(self, session: str, text: bytes) -> None:
+        """Answers an attempt that has run with an answer that cannot be used."""
         whole = answer(session, 200, text)
         size = self.node.draw.randrange(1, len(text))
         short = whole.replace(b"Content-Length: %d" % len(text), b"Content-Length: %d" % size)
-        way = self.node.draw.choice(("short", "short", "noise", "broken off", "empty", "huge"))
-        self.over(session)
-        if way == "broken off":
+        corruption = self.node.draw.choice(
+            ("short", "short", "noise", "broken off", "empty", "huge")
+        )
+        self.attempt_ended(session)
+        if corruption == "broken off":
             self.stream.write(whole[: self.node.draw.randrange(1, len(whole))])
             return self.stream.abort()
-        if way == "short":  # what shows that its length is wrong comes a moment later
+        # The bytes beyond the declared length, which reveal the error, follow a moment later.
+        if corruption == "short":
             return self.writer.write(self.stream, short, [len(short) - len(text) + size])
         return self.write(
             {
                 "noise": b"\x00\xff" * 20,
                 "empty": answer(session, 200, b""),
                 "huge": whole.replace(b"Content-Length: ", b"Content-Length: 99999"),
-            }[way]
+            }[corruption]
         )
 
     def closed(self, stream, why: str | None) -> None:
-        if self in self.node.sides:
-            self.node.sides.remove(self)
-        for session in [session for session in self.out if session not in self.node.playing]:
-            self.over(session)
+        if self in self.node.connections:
+            self.node.connections.remove(self)
+        for session in [session for session in self.attempts if session not in self.node.playing]:
+            self.attempt_ended(session)
--- a/laddergw/lab/soak/nodes.py
+++ b/laddergw/lab/soak/nodes.py
@@ -1,5 +1,5 @@
-"""Media nodes as peers of a trial: they answer set-ups, play, say when a play is over, and fail as
-the plan tells.
+"""Media nodes of a trial: they answer set-ups, play, report the end of plays, and fail as the plan
+says.
 """
 
 import random
@@ -8,20 +8,26 @@
 import time
 
 from laddergw.lab.soak.messages import member, release
-from laddergw.lab.soak.node_connection import ENDED, Conditions, NodeConnection
+from laddergw.lab.soak.node_connection import CAUSE_ENDED, Conditions, NodeConnection
 from laddergw.lab.soak.ports import HOST, reserve_port
 from laddergw.signalling import rtsp
 
-LENGTH_MS = 400.0, 2_000.0  # of a play
-STILL_MS = 120.0  # pace of looking whether it stands still no more
-QUEUE = 1024  # connections that wait to be accepted
-FILLERS = 2  # connections that fill a queue of none
+# Range of the length of a play.
+PLAY_LENGTH_MS = 400.0, 2_000.0
+# Interval of checks whether a hung node has resumed.
+HANG_POLL_MS = 120.0
+# Connections that may wait to be accepted.
+ACCEPT_BACKLOG = 1024
+# Connections that fill an accept queue of length 0.
+FILLER_CONNECTIONS = 2
 
 
 class Node:
-    """One media node, with an address for each director. What it has to say of a session it says
-    until it is acknowledged, on every
-    connection from its director that opens."""
+    """One media node, with an address for each director.
+
+    It repeats the release of a session on every new connection from its director until the
+    director acknowledges it.
+    """
 
     def __init__(
         self,
@@ -42,10 +48,17 @@
             name,
             cell,
         )
-        self.sides, self.playing, self.still, self.gone, self.fillers = [], {}, False, False, []
-        # by director: sessions whose end it has not acknowledged, with the cause
-        self.untold: dict[int, dict[str, int]] = {}
-        # held past its death: its ports must refuse, and never be another trial's
+        self.connections, self.playing, self.is_hung, self.has_died, self.fillers = (
+            [],
+            {},
+            False,
+            False,
+            [],
+        )
+        # By director: sessions whose release it has not acknowledged, with the cause.
+        self.unacknowledged: dict[int, dict[str, int]] = {}
+        # Reserved beyond the node's death: the ports must refuse connections, and no other trial
+        # may be given them.
         self.ports = [reserve_port() for _ in range(directors)]
         self.listeners = [
             loop.listen(
@@ -53,13 +66,13 @@
             )
             for number, port in enumerate(self.ports)
         ]
-        self.since = time.time() * 1000 if cold else 0
+        self.up_since_ms = time.time() * 1000 if cold else 0
         if cold:
             record("started", node=name)
 
     def list_entry(self, phase: str) -> dict:
-        """Of the list of media nodes; the address is filled in for each director."""
-        return member(self.id, 1, phase, self.cell, self.since)
+        """Returns its entry of the node list; the address is filled in for each director."""
+        return member(self.id, 1, phase, self.cell, self.up_since_ms)
 
     def address_for(self, director: int) -> str:
         return f"{HOST}:{self.listeners[director].address[1]}"
@@ -69,65 +82,65 @@
         text = f"{session}\r\nc=IN IP4 10.0.0.{host}\r\nm=audio {port} RTP/AVP 0 8 101\r\n"
         return text.encode()
 
-    def play(self, session: str, side: NodeConnection) -> None:
-        self.playing[session] = side
-        self.loop.call_later(self.draw.uniform(*LENGTH_MS), lambda: self.end(session))
+    def start_play(self, session: str, connection: NodeConnection) -> None:
+        self.playing[session] = connection
+        self.loop.call_later(self.draw.uniform(*PLAY_LENGTH_MS), lambda: self.end_play(session))
 
-    def end(self, session: str, cause: int = ENDED) -> None:
-        """What plays there is over; its director hears of it until it says so."""
-        side = self.playing.get(session)
-        if side is None or self.gone:
+    def end_play(self, session: str, cause: int = CAUSE_ENDED) -> None:
+        """Ends a play and reports it to its director until the director acknowledges it."""
+        connection = self.playing.get(session)
+        if connection is None or self.has_died:
             return
-        if self.still:
-            self.loop.call_later(STILL_MS, lambda: self.end(session, cause))
+        if self.is_hung:
+            self.loop.call_later(HANG_POLL_MS, lambda: self.end_play(session, cause))
             return
         del self.playing[session]
-        side.over(session)
-        self.untold.setdefault(side.director, {})[session] = cause
+        connection.attempt_ended(session)
+        self.unacknowledged.setdefault(connection.director, {})[session] = cause
         self.record("ended by its node", session=session, node=self.id)
-        speaker = (
-            side
-            if side in self.sides
-            else next((one for one in self.sides if one.director == side.director), None)
+        sender = (
+            connection
+            if connection in self.connections
+            else next(
+                (other for other in self.connections if other.director == connection.director), None
+            )
         )
-        if speaker is not None:
-            speaker.write(release(int(session, 16), cause))
+        if sender is not None:
+            sender.write(release(int(session, 16), cause))
 
-    def torn_down(self, side: NodeConnection, session: str) -> None:
-        for one in {side, self.playing.pop(session, side)}:
-            one.over(session)
-        self.untold.get(side.director, {}).pop(session, None)
+    def handle_teardown(self, connection: NodeConnection, session: str) -> None:
+        for other in {connection, self.playing.pop(session, connection)}:
+            other.attempt_ended(session)
+        self.unacknowledged.get(connection.director, {}).pop(session, None)
         self.record("torn down", session=session, node=self.id)
-        side.write(rtsp.encode_response(200, "OK", "2", session))
+        connection.write(rtsp.encode_response(200, "OK", "2", session))
 
     def reset(self) -> None:
-        """Resets every connection; what plays goes on."""
-        for side in list(self.sides):
-            side.stream.abort()
+        """Resets every connection; plays go on."""
+        for connection in list(self.connections):
+            connection.stream.abort()
 
     def close_early(self) -> None:
-        """Ends every connection in good order, whatever is open on it."""
-        for side in list(self.sides):
-            side.stream.close()
+        """Closes every connection in good order, whatever is open on it."""
+        for connection in list(self.connections):
+            connection.stream.close()
 
     def hang(self) -> None:
-        """Answers nothing, begins nothing and ends nothing; what comes is taken by its system all
-        the same.
-        """
-        self.still = True
+        """Answers, starts and ends nothing; its system still accepts connections and data."""
+        self.is_hung = True
 
     def resume(self) -> None:
-        self.still = False
+        self.is_hung = False
 
     def stop_accepting(self) -> None:
-        """New connections stay on their way: the queue to be accepted is full."""
-        if self.gone or self.fillers:
+        """Leaves new connections unfinished: the accept queue is full."""
+        if self.has_died or self.fillers:
             return
         for listener in self.listeners:
             listener.sock.listen(0)
             self.loop.selector.unregister(listener.sock)
-            self.fillers += [socket.socket() for _ in range(FILLERS)]
-            for filler in self.fillers[-FILLERS:]:
+            self.fillers += [socket.socket() for _ in range(FILLER_CONNECTIONS)]
+            for filler in self.fillers[-FILLER_CONNECTIONS:]:
                 filler.setblocking(False)
                 filler.connect_ex(listener.address)
 
@@ -135,19 +148,19 @@
         fillers, self.fillers = self.fillers, []
         for filler in fillers:
             filler.close()
-        for listener in self.listeners if fillers and not self.gone else ():
-            listener.sock.listen(QUEUE)
+        for listener in self.listeners if fillers and not self.has_died else ():
+            listener.sock.listen(ACCEPT_BACKLOG)
             self.loop.selector.register(listener.sock, selectors.EVENT_READ, listener)
 
     def die(self) -> None:
-        """Its process ends: its port refuses, its connections are reset, its plays are over."""
-        if self.gone:
+        """Ends its process: its ports refuse, its connections are reset, its plays are over."""
+        if self.has_died:
             return
         self.accept_again()
-        self.gone = True
+        self.has_died = True
         for listener in self.listeners:
             listener.close()
-        for session, side in list(self.playing.items()):
-            side.over(session)
+        for session, connection in list(self.playing.items()):
+            connection.attempt_ended(session)
             self.record("died with it", session=session, node=self.id)
         self.reset()
--- a/laddergw/lab/soak/peers.py
+++ b/laddergw/lab/soak/peers.py
@@ -1,15 +1,17 @@
-"""What every peer's end of a connection shares, and writes that leave in pieces."""
+"""The base class of a peer's end of a connection, and a writer that sends messages in pieces."""
 
 import random
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-PIECES = (2, 4)  # of one message
-PIECE_MS = (0.0, 30.0)  # between two pieces
+# Range of the pieces of one message.
+PIECE_COUNT = (2, 4)
+# Range of the pause between two pieces.
+PIECE_PAUSE_MS = (0.0, 30.0)
 
 
-class Owner:
-    """A peer's end of a connection: whole messages come out of its reader and go to `heard`."""
+class PeerConnection:
+    """A peer's end of a connection: its reader's messages go to `handle_message`."""
 
     reader: Any = None
     stream: Any = None
@@ -23,9 +25,9 @@
     def data_received(self, stream, data: bytes) -> None:
         self.reader.feed(data)
         while (message := self.reader.next()) is not None:
-            self.heard(message)
+            self.handle_message(message)
 
-    def heard(self, message) -> None:
+    def handle_message(self, message) -> None:
         raise NotImplementedError
 
     def closed(self, stream, why: str | None) -> None:
@@ -33,25 +35,26 @@
 
 
 class Piece(NamedTuple):
-    """A part of a message that waits to be written; `done` is called behind its last one."""
+    """A queued part of a message; `on_written` is called after the last part is written."""
 
     data: bytes
-    done: Callable[[], None] | None
+    on_written: Callable[[], None] | None
 
 
-PAUSE = Piece(b"", None)  # stands in front while a pause lasts: what is written queues behind it
+# Heads the queue while a pause lasts, so that further writes queue behind it.
+PAUSE_MARKER = Piece(b"", None)
 
 
 class PieceWriter:
-    """Writes messages to one stream, whole or in pieces; never one within another."""
+    """Writes messages to one stream, whole or in pieces, without interleaving them."""
 
     def __init__(self, loop, draw: random.Random):
         self.loop, self.draw = loop, draw
-        self.waiting: list[Piece] = []
+        self.queue: list[Piece] = []
 
-    def drawn_cuts(self, data: bytes) -> list[int]:
-        """Where to cut a message."""
-        pieces = self.draw.randint(*PIECES)
+    def draw_cuts(self, data: bytes) -> list[int]:
+        """Draws the offsets at which to cut a message."""
+        pieces = self.draw.randint(*PIECE_COUNT)
         return sorted(self.draw.randrange(1, len(data)) for _ in range(pieces - 1))
 
     def write(
@@ -59,28 +62,30 @@
         stream,
         data: bytes,
         cuts: Sequence[int] = (),
-        done: Callable[[], None] = lambda: None,
+        on_written: Callable[[], None] = lambda: None,
     ) -> None:
-        """Writes a message with a pause at each cut; `done` is called behind its last byte."""
-        idle = not self.waiting
+        """Writes a message with a pause at each cut; calls `on_written` after its last byte."""
+        is_idle = not self.queue
         ends = [*cuts, len(data)]
         for start, end in zip([0, *cuts], ends, strict=True):
-            self.waiting.append(Piece(data[start:end], done if end == len(data) else None))
-        if idle:
-            self.go_on(stream)
-
-    def go_on(self, stream) -> None:
-        """Writes until the next pause."""
-        while self.waiting and stream.sock is not None:
-            piece = self.waiting.pop(0)
+            self.queue.append(Piece(data[start:end], on_written if end == len(data) else None))
+        if is_idle:
+            self.write_until_pause(stream)
+
+    def write_until_pause(self, stream) -> None:
+        """Writes queued pieces until the next pause."""
+        while self.queue and stream.sock is not None:
+            piece = self.queue.pop(0)
             stream.write(piece.data)
-            if piece.done is None:
-                self.waiting.insert(0, PAUSE)
-                self.loop.call_later(self.draw.uniform(*PIECE_MS), lambda: self.after_pause(stream))
+            if piece.on_written is None:
+                self.queue.insert(0, PAUSE_MARKER)
+                self.loop.call_later(
+                    self.draw.uniform(*PIECE_PAUSE_MS), lambda: self.pause_ended(stream)
+                )
                 return
-            piece.done()
+            piece.on_written()
 
-    def after_pause(self, stream) -> None:
-        """A pause is over."""
-        del self.waiting[:1]
-        self.go_on(stream)
+    def pause_ended(self, stream) -> None:
+        """Goes on writing after a pause."""
+        del self.queue[:1]
+        self.write_until_pause(stream)
--- a/laddergw/lab/soak/plan.py
+++ b/laddergw/lab/soak/plan.py
@@ -1,5 +1,5 @@
-"""Draws the plan of a trial from its seed: the fleet, the load, and faults placed at one another's
-edges. Pure: the same seed, the same plan.
+"""Draws the plan of a trial from its seed: the fleet, the load, and faults placed at the beginning
+or end of one another. Deterministic: the same seed gives the same plan.
 """
 
 import random
@@ -7,24 +7,28 @@
 
 import msgspec
 
-SECONDS = 7.0
-DIRECTORS, NODES, RATE = (
-    (3, 5),
-    (6, 10),
-    (40.0, 90.0),
-)  # drawn between these; requests a second over the fleet
-LIMITS_MS = (300.0, 600.0, 1_500.0, 3_000.0, 5_000.0)  # of which a product's time limit is drawn
-SCENES = (2, 3)  # edges of a plan
-KINDS_OF_SCENE = (2, 4)  # faults at one edge
-FIRST_MS = 800.0  # the fleet serves undisturbed so long
-OFFSETS_MS = (-60.0, -10.0, -1.0, 0.0, 1.0, 10.0, 60.0, 250.0)  # of a fault from its edge
-WINDOW_MS = (300.0, 2_500.0)  # of a fault that lasts
-
-# Faults that happen to a director, a media node, the change log, and to everyone for a while
-DIRECTOR = ("stop", "kill", "freeze", "reconfigure")
-NODE = ("replace", "drain", "hang", "die", "reset", "late_accept", "close_early")
-CHANGE_LOG = ("log_away", "log_silent", "log_broken_line")
-WINDOWS = (
+DURATION_S = 7.0
+# Numbers of directors and nodes, and requests a second over the fleet, are drawn from these ranges.
+DIRECTOR_RANGE, NODE_RANGE, RATE_RANGE = (3, 5), (6, 10), (40.0, 90.0)
+# A product's time limit is drawn from these.
+LIMITS_MS = (300.0, 600.0, 1_500.0, 3_000.0, 5_000.0)
+# Range of the edges (points in time around which faults meet) of a plan.
+SCENE_RANGE = (2, 3)
+# Range of the kinds of faults at one edge.
+FAULTS_PER_SCENE = (2, 4)
+# Edges keep this distance from the trial's start and end; no fault begins in its first half.
+QUIET_START_MS = 800.0
+# Offsets of a fault from its edge.
+OFFSETS_MS = (-60.0, -10.0, -1.0, 0.0, 1.0, 10.0, 60.0, 250.0)
+# Range of the duration of a fault that lasts.
+LASTING_MS = (300.0, 2_500.0)
+
+# Faults of a director, a media node and the change log, and conditions that hold for all peers for
+# a while.
+DIRECTOR_FAULTS = ("stop", "kill", "freeze", "reconfigure")
+NODE_FAULTS = ("replace", "drain", "hang", "die", "reset", "late_accept", "close_early")
+CHANGE_LOG_FAULTS = ("log_away", "log_silent", "log_broken_line")
+CONDITIONS = (
     "crowd",
     "bad_clients",
     "spoilt_answers",
@@ -33,13 +37,14 @@
     "repeat_at_once",
     "release_at_once",
 )
-KINDS = DIRECTOR + NODE + CHANGE_LOG + WINDOWS
-LASTING = {"freeze", "hang", "late_accept", "log_away", "log_silent", *WINDOWS}
+FAULT_KINDS = DIRECTOR_FAULTS + NODE_FAULTS + CHANGE_LOG_FAULTS + CONDITIONS
+LASTING_KINDS = {"freeze", "hang", "late_accept", "log_away", "log_silent", *CONDITIONS}
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: its time in ms from the first request on, how long it lasts, and which director or
-    node it is drawn for.
+    """One fault: its start in ms after the first request, its duration, and its director or node.
+
+    `target` is taken modulo the number of directors or live nodes.
     """
 
     at_ms: float
@@ -48,23 +53,26 @@
     target: int
 
     def ends_ms(self) -> float:
+        """Returns the end of the fault in ms after the first request."""
         return self.at_ms + self.lasts_ms
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A whole trial."""
+    """The plan of a trial."""
 
     seed: int
     directors: int
     nodes: int
-    rate: float  # requests a second
+    # Requests a second.
+    rate: float
     seconds: float
-    limits_ms: tuple[float, ...]  # of the products; empty: the deployment's own
+    # The products' time limits; empty: the deployment's own.
+    limits_ms: tuple[float, ...]
     faults: tuple[Fault, ...]
 
 
 class Sizes(NamedTuple):
-    """What the command line fixes of a plan, or None where it is drawn.
+    """Values that the command line sets, or None where they are drawn.
 
     `own_limits`: time limits are the deployment's.
     """
@@ -78,15 +86,15 @@
 
 
 def draw(seed: int, products: int, sizes: Sizes = DRAWN_SIZES) -> Plan:
-    """The plan of a seed, for a deployment of so many products."""
-    chance = random.Random(f"soak {seed}")
-    seconds = sizes.seconds or SECONDS
-    directors = sizes.directors or chance.randint(*DIRECTORS)
-    nodes, rate = chance.randint(*NODES), chance.uniform(*RATE)
-    limits = () if sizes.own_limits else tuple(chance.choice(LIMITS_MS) for _ in range(products))
+    """Draws the plan of a seed, for a deployment with the given number of products."""
+    rng = random.Random(f"soak {seed}")
+    seconds = sizes.seconds or DURATION_S
+    directors = sizes.directors or rng.randint(*DIRECTOR_RANGE)
+    nodes, rate = rng.randint(*NODE_RANGE), rng.uniform(*RATE_RANGE)
+    limits = () if sizes.own_limits else tuple(rng.choice(LIMITS_MS) for _ in range(products))
     faults: list[Fault] = []
-    for _ in range(chance.randint(*SCENES)):
-        faults += scene(chance, faults, seconds * 1000)
+    for _ in range(rng.randint(*SCENE_RANGE)):
+        faults += draw_scene(rng, faults, seconds * 1000)
     return Plan(
         seed,
         directors,
@@ -98,55 +106,57 @@
     )
 
 
-def scene(chance: random.Random, before: list[Fault], length_ms: float) -> list[Fault]:
-    """Faults round one edge: a moment of its own, or the beginning or end of an earlier fault."""
+def draw_scene(rng: random.Random, earlier: list[Fault], length_ms: float) -> list[Fault]:
+    """Draws faults around one edge: a new time, or the beginning or end of an earlier fault."""
     edges = [
         edge
-        for fault in before
+        for fault in earlier
         for edge in (fault.at_ms, fault.ends_ms())
-        if FIRST_MS <= edge <= length_ms - FIRST_MS
+        if QUIET_START_MS <= edge <= length_ms - QUIET_START_MS
     ]
     edge = (
-        chance.choice(edges)
-        if edges and chance.random() < 0.5
-        else chance.uniform(FIRST_MS, length_ms - FIRST_MS)
+        rng.choice(edges)
+        if edges and rng.random() < 0.5
+        else rng.uniform(QUIET_START_MS, length_ms - QUIET_START_MS)
     )
-    found = [
-        one_fault(chance, edge, kind)
-        for kind in chance.sample(KINDS, chance.randint(*KINDS_OF_SCENE))
+    scene_faults = [
+        draw_fault(rng, edge, kind)
+        for kind in rng.sample(FAULT_KINDS, rng.randint(*FAULTS_PER_SCENE))
     ]
-    series = [fault for fault in found if fault.kind in ("stop", "reconfigure")]
-    for fault in series:  # one director after the other, or one file after the other
-        if chance.random() < 0.5:
-            found.append(
+    repeatable = [fault for fault in scene_faults if fault.kind in ("stop", "reconfigure")]
+    # The next director may be stopped, or have its file changed, shortly after.
+    for fault in repeatable:
+        if rng.random() < 0.5:
+            scene_faults.append(
                 Fault(
-                    fault.at_ms + chance.choice((5.0, 300.0, 900.0)),
+                    fault.at_ms + rng.choice((5.0, 300.0, 900.0)),
                     fault.kind,
                     0.0,
                     fault.target + 1,
                 )
             )
-    return found
+    return scene_faults
 
 
-def one_fault(chance: random.Random, edge: float, kind: str) -> Fault:
-    """A fault that begins at an edge, or ends there."""
-    lasts = chance.uniform(*WINDOW_MS) if kind in LASTING else 0.0
-    offset = chance.choice(OFFSETS_MS)
-    begins = edge + offset - (lasts if chance.random() < 0.5 else 0.0)
+def draw_fault(rng: random.Random, edge: float, kind: str) -> Fault:
+    """Draws a fault that begins or ends at an edge."""
+    lasts = rng.uniform(*LASTING_MS) if kind in LASTING_KINDS else 0.0
+    offset = rng.choice(OFFSETS_MS)
+    begins = edge + offset - (lasts if rng.random() < 0.5 else 0.0)
     return Fault(
-        round(max(begins, FIRST_MS / 2), 1), kind, round(lasts, 1), chance.randrange(1_000)
+        round(max(begins, QUIET_START_MS / 2), 1), kind, round(lasts, 1), rng.randrange(1_000)
     )
 
 
 def to_json(plan: Plan) -> bytes:
+    """Encodes a plan as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=1)
 
 
 def from_json(text: bytes) -> Plan:
-    """Raises msgspec.ValidationError or msgspec.DecodeError for what is no plan."""
+    """Decodes a plan; raises msgspec.ValidationError or msgspec.DecodeError for other input."""
     plan = msgspec.json.decode(text, type=Plan)
-    unknown = {fault.kind for fault in plan.faults} - set(KINDS)
+    unknown = {fault.kind for fault in plan.faults} - set(FAULT_KINDS)
     if unknown:
         raise msgspec.ValidationError(f"faults of unknown kinds: {', '.join(sorted(unknown))}")
     return plan
--- a/laddergw/lab/soak/result.py
+++ b/laddergw/lab/soak/result.py
@@ -1,4 +1,4 @@
-"""Plays one plan and tells what came of it: counts, broken rules with what led to them, the trial's
+"""Plays one plan and reports its result: counts, violations with what led to them, and the trial's
 own lag.
 """
 
@@ -12,18 +12,21 @@
 from laddergw.lab.soak import judge
 from laddergw.lab.soak.plan import Plan
 from laddergw.lab.soak.terms import Terms
-from laddergw.lab.soak.trial import trial_of
-
-LAG_MOST_MS = 150.0  # a trial that held back its own peers for longer is not judged
-TOLD_MOST = 40  # lines told of one broken session
-SPAN_MS = 2_000.0  # faults that began so long before a break, or lasted into it, are told with it
+from laddergw.lab.soak.trial import create_trial
+
+# A trial that delayed its own peers for longer is not judged.
+MAX_LAG_MS = 150.0
+# Lines reported for the session of a violation, of the records and of the logs each.
+MAX_STORY_LINES = 40
+# Faults that lasted until less than this before a violation are reported with it.
+FAULT_SPAN_MS = 2_000.0
 LOG_LINE = re.compile(r"\S+ (\d\d:\d\d:\d\d,\d+) \S+ (.*)")
 
 
 class Result(msgspec.Struct):
-    """What came of one plan.
+    """The result of one plan.
 
-    `judged` is false where the trial's own process was too slow to tell whose a delay was.
+    `judged` is false if the trial's own process was too slow to attribute delays.
     """
 
     plan: Plan
@@ -33,90 +36,92 @@
     failed: int
     left: int
     set_ups: int
-    crossed: int  # set-ups that crossed a close and went again
+    # Set-ups that crossed the close of their connection and were sent again.
+    crossed: int
     lag_ms: float
     judged: bool
     breaks: list[judge.RuleViolation]
-    stories: list[
-        str
-    ]  # of the first breaks: the session's lines over all processes, and the faults then open
+    # Of the first violations: the session's lines of all processes, and the faults of that time.
+    stories: list[str]
 
     @property
-    def without(self) -> int:
-        return sum("without an answer" in broken.what for broken in self.breaks)
+    def unanswered_count(self) -> int:
+        """Plays that got no answer."""
+        return sum("without an answer" in violation.what for violation in self.breaks)
 
     @property
-    def twice(self) -> int:
-        return sum(broken.rule == "twice" for broken in self.breaks)
+    def duplicate_count(self) -> int:
+        """Violations of the rules against answers and set-ups that are given twice."""
+        return sum(violation.rule == "twice" for violation in self.breaks)
 
 
-def play(
+def play_plan(
     plan: Plan, terms: Terms, settings: dict[str, Any], folder: str, run: str | None = None
 ) -> Result:
     """Plays a plan with real processes; logs and the directors' files go into `folder`."""
-    trial = trial_of(plan, terms, settings=settings, keep=folder, log_level="DEBUG", run=run)
+    trial = create_trial(plan, terms, settings=settings, keep=folder, log_level="DEBUG", run=run)
     try:
         records = trial.run()
     finally:
-        keep_records(trial.records, folder)
-    judged = trial.worst_lag <= LAG_MOST_MS
+        write_records(trial.records, folder)
+    judged = trial.max_lag_ms <= MAX_LAG_MS
     breaks = judge.judge(records, trial.terms) if judged else []
-    whats = Counter(what for _, what, _ in records)
-    answers = Counter(facts["answer"] for _, what, facts in records if what == "answered")
+    event_counts = Counter(event for _, event, _ in records)
+    answer_counts = Counter(fields["answer"] for _, event, fields in records if event == "answered")
     return Result(
         plan,
-        whats["asked"],
-        answers["plays"],
-        answers["declined"],
-        answers["failed"],
-        whats["left"] + whats["cut"],
-        whats["arrived"],
-        whats["crossed a close"],
-        round(trial.worst_lag, 1),
+        event_counts["asked"],
+        answer_counts["plays"],
+        answer_counts["declined"],
+        answer_counts["failed"],
+        event_counts["left"] + event_counts["cut"],
+        event_counts["arrived"],
+        event_counts["crossed a close"],
+        round(trial.max_lag_ms, 1),
         judged,
         breaks,
-        [story(broken, records, folder) for broken in breaks[:3]],
+        [describe_violation(violation, records, folder) for violation in breaks[:3]],
     )
 
 
-def keep_records(records: list[tuple], folder: str) -> None:
-    """Writes what was recorded, also of a trial that was interrupted."""
+def write_records(records: list[tuple], folder: str) -> None:
+    """Writes the records, also those of an interrupted trial, to `records.jsonl`."""
     with open(os.path.join(folder, "records.jsonl"), "wb") as stream:
         for record in records:
             stream.write(msgspec.json.encode(record) + b"\n")
 
 
-def story(broken: judge.RuleViolation, records: list[tuple], folder: str) -> str:
-    """What led to a break, a line each, at most so many."""
-    seen = [
-        (at, what, facts)
-        for at, what, facts in records
-        if broken.session and facts.get("session") == broken.session
+def describe_violation(violation: judge.RuleViolation, records: list[tuple], folder: str) -> str:
+    """Returns what led to a violation: the records and log lines of its session, one a line."""
+    session_records = [
+        (at, event, fields)
+        for at, event, fields in records
+        if violation.session and fields.get("session") == violation.session
     ]
-    last = seen[-1][0] if seen else records[-1][0]
+    last_ms = session_records[-1][0] if session_records else records[-1][0]
     faults = [
-        (at, what, facts)
-        for at, what, facts in records
-        if what == "fault" and at <= last and at + facts["lasts_ms"] >= last - SPAN_MS
+        (at, event, fields)
+        for at, event, fields in records
+        if event == "fault" and at <= last_ms and at + fields["lasts_ms"] >= last_ms - FAULT_SPAN_MS
     ]
     lines = [
-        f"{at:10.1f} {what} "
+        f"{at:10.1f} {event} "
         + " ".join(
-            f"{name}={value!r}" for name, value in facts.items() if name not in ("session", "lag")
+            f"{name}={value!r}" for name, value in fields.items() if name not in ("session", "lag")
         )
-        for at, what, facts in sorted([*seen, *faults], key=lambda record: record[0])
+        for at, event, fields in sorted([*session_records, *faults], key=lambda record: record[0])
     ]
     return "\n".join(
         [
-            f"{broken.rule}: {broken.what}",
-            *lines[:TOLD_MOST],
-            *log_lines(broken.session, folder)[:TOLD_MOST],
+            f"{violation.rule}: {violation.what}",
+            *lines[:MAX_STORY_LINES],
+            *log_lines(violation.session, folder)[:MAX_STORY_LINES],
         ]
     )
 
 
 def log_lines(session: str, folder: str) -> list[str]:
-    """What the directors' logs say of a session, in the order of their clock."""
+    """Returns the lines of the directors' logs on a session, in the order of their timestamps."""
     found = []
     for name in sorted(os.listdir(folder)) if session else ():
         if name.endswith(".log"):
--- a/laddergw/lab/soak/terms.py
+++ b/laddergw/lab/soak/terms.py
@@ -1,40 +1,40 @@
-"""The terms that a trial is judged by, read from a director's settings. No I/O."""
+"""The terms by which a trial is judged, read from a director's settings. No I/O."""
 
 from typing import Any, NamedTuple
 
 from laddergw import settings
 from laddergw.lab.soak.messages import SETTINGS, configuration
 
-LONGEST_COUNTED_MS = 3_000.0  # a longer time limit counts as this for a stop, by the protocol page
-KILL_AFTER_MS = 700.0  # SIGKILL comes no sooner than this past the longest time limit after SIGTERM
+# At a stop a longer time limit counts as this, by the protocol page.
+MAX_COUNTED_LIMIT_MS = 3_000.0
+# SIGKILL comes no sooner than the longest time limit and this after SIGTERM.
+KILL_AFTER_MS = 700.0
 CELLS = 6
-PRODUCT_SHARES = (
-    0.6,
-    0.4,
-)  # of the requests, from the first product on; the last product has the rest
-TIMES = {
-    "warm_ms": "WarmWithin",
-    "fall_ms": "Fall",
-    "grace_ms": "StopSendingWithin",
-}  # in microseconds there
-PATIENCE_SHARE = 0.5  # of a product's time limit that its viewers wait
+# Shares of the requests of the first products; the last product has the rest.
+PRODUCT_SHARES = (0.6, 0.4)
+# Terms and the settings, in microseconds, that they are read from.
+TIME_SETTINGS = {"warm_ms": "WarmWithin", "fall_ms": "Fall", "grace_ms": "StopSendingWithin"}
+# Share of a product's time limit for which its viewers wait.
+WAIT_SHARE = 0.5
 
 
 class Product(NamedTuple):
-    """A product as viewers ask for it. Time limit in ms."""
+    """A product as viewers request it. Its time limit is in ms."""
 
     name: str
     share: float
     limit_ms: float
-    once: bool  # a set-up that may have run must not be sent again
+    # A set-up that may have run must not be sent again.
+    runs_once: bool
 
     @property
     def wait_ms(self) -> float:
-        return PATIENCE_SHARE * self.limit_ms
+        """How long its viewers wait for an answer."""
+        return WAIT_SHARE * self.limit_ms
 
 
 class Budget(NamedTuple):
-    """Further attempts that a director may send within any window: `free`, and a share."""
+    """Retries that a director may send in any window: `free`, and a share of its requests."""
 
     free: float
     share: float
@@ -42,7 +42,7 @@
 
 
 class Terms(NamedTuple):
-    """What the rules need to know of a deployment. Times in ms."""
+    """The values of a deployment that the rules need. Times are in ms."""
 
     products: tuple[Product, ...]
     streams: float = 30.0
@@ -53,24 +53,27 @@
     grace_ms: float = 250.0
     sockets: int = 256
     memory_mb: float = 192.0
-    budget: Budget | None = Budget(1.0, 0.02, 10_000.0)  # None where they are not limited
+    # None where retries are not limited.
+    budget: Budget | None = Budget(1.0, 0.02, 10_000.0)
 
     @property
-    def paid(self) -> set[str]:
-        return {product.name for product in self.products if product.once}
+    def single_run_products(self) -> set[str]:
+        """Names of the products that run once."""
+        return {product.name for product in self.products if product.runs_once}
 
     @property
-    def longest_ms(self) -> float:
+    def longest_limit_ms(self) -> float:
+        """The longest time limit of any product."""
         return max(product.limit_ms for product in self.products)
 
     @property
     def kill_ms(self) -> float:
-        """From SIGTERM to the earliest SIGKILL."""
-        return min(self.longest_ms, LONGEST_COUNTED_MS) + KILL_AFTER_MS
+        """The time from SIGTERM to the earliest SIGKILL."""
+        return min(self.longest_limit_ms, MAX_COUNTED_LIMIT_MS) + KILL_AFTER_MS
 
 
-def products_of(tree: dict[str, Any]) -> tuple[Product, ...]:
-    """Of nested settings, with the shares in which their viewers come."""
+def read_products(tree: dict[str, Any]) -> tuple[Product, ...]:
+    """Reads the products of nested settings, and gives them their shares of the requests."""
     reader = settings.SettingsReader(settings.flatten(tree))
     grades = tree["Grades"]
     shares = [*PRODUCT_SHARES[: len(grades) - 1]]
@@ -85,34 +88,34 @@
     )
 
 
-def budget_of(rules: dict[str, Any]) -> Budget | None:
-    """Of the settings' rules."""
+def read_budget(rules: dict[str, Any]) -> Budget | None:
+    """Reads the retry budget of the settings' rules."""
     if "FreeResends" not in rules:
         return None
     return Budget(rules["FreeResends"], rules.get("ExtraRatio", 0.0), rules["CountedOver"] / 1000)
 
 
-def terms_of(tree: dict[str, Any], sockets: int) -> Terms:
-    """Of nested settings, as far as they tell rules; `sockets` that a director may hold."""
-    rules, terms = tree.get("Rules", {}), Terms(products_of(tree), sockets=sockets)
-    told = {field: rules[key] / 1000 for field, key in TIMES.items() if key in rules}
-    told |= {
+def read_terms(tree: dict[str, Any], sockets: int) -> Terms:
+    """Reads the terms of nested settings; `sockets` is the number that a director may hold."""
+    rules, terms = tree.get("Rules", {}), Terms(read_products(tree), sockets=sockets)
+    values = {field: rules[key] / 1000 for field, key in TIME_SETTINGS.items() if key in rules}
+    values |= {
         field: rules[key]
         for field, key in (("cold_from", "ColdFrom"), ("multiple", "FallMultiple"))
         if key in rules
     }
     if rules:
-        told["streams"] = float(min(tree["Specifics"]["KindSlots"]))
-        told["budget"] = budget_of(rules)
-    return terms._replace(**told)
+        values["streams"] = float(min(tree["Specifics"]["KindSlots"]))
+        values["budget"] = read_budget(rules)
+    return terms._replace(**values)
 
 
 def settings_for(
     terms: Terms, directors: int, number: int, base: dict[str, Any] = SETTINGS
 ) -> dict[str, Any]:
-    """The settings of one director of so many:
+    """Returns the settings of director `number` of `directors`.
 
-    `base` with the terms' rules and room for the trial's fleet.
+    They are `base` with the terms' rules and room for the trial's fleet.
     """
     specifics = base["Specifics"] | {
         "Positions": CELLS,
@@ -147,4 +150,4 @@
     }
 
 
-DEFAULT_TERMS = terms_of(configuration()["settings"], 256)
+DEFAULT_TERMS = read_terms(configuration()["settings"], 256)
--- a/laddergw/lab/soak/trial.py
+++ b/laddergw/lab/soak/trial.py
@@ -1,7 +1,7 @@
-"""One trial: directors as real processes, their peers in this process, faults by a plan or a
-script; what passed, as records.
+"""A trial: directors as real processes, their peers in this process, and faults from a plan or a
+script; it records what passed between them.
 
-One clock for all that is recorded: this process's.
+All recorded times are by the clock of this process.
 """
 
 import os
@@ -13,8 +13,8 @@
 from typing import Any
 
 from laddergw.lab.soak.change_log import ChangeLog
-from laddergw.lab.soak.director_supervisor import DirectorSupervisor, default_run
-from laddergw.lab.soak.faults import Faults
+from laddergw.lab.soak.director_supervisor import DirectorSupervisor, default_command
+from laddergw.lab.soak.faults import FaultInjector
 from laddergw.lab.soak.messages import SETTINGS
 from laddergw.lab.soak.node_connection import Conditions
 from laddergw.lab.soak.nodes import Node
@@ -24,19 +24,22 @@
 from laddergw.lab.soak.viewer_group import ViewerGroup
 from laddergw.loop.sockets import SocketLoop
 
-PATIENCE_S = 60.0
-SETTLE_MS = 9_000.0  # past the last request: what stood is over, and 8 s for its release
-LEAST_TAIL_MS = 2_500.0
-LOOK_MS = 250.0  # pace of measuring processes and of closing idle connections
+WAIT_LIMIT_S = 60.0
+# The trial ends at most this long after the last request: running plays are over by then, and their
+# releases may take 8 s.
+MAX_SETTLE_MS = 9_000.0
+MIN_SETTLE_MS = 2_500.0
+# Interval of sampling the processes' use of resources and of closing idle connections.
+SAMPLE_INTERVAL_MS = 250.0
 
 Script = list[tuple[float, Callable[["Trial"], Any]]]
 
 
 class Trial:
-    """See the module.
+    """Runs directors and their peers, and records what passes between them.
 
-    `script`: (ms from the first request on, a call that takes the trial); a plan's faults come
-    besides.
+    `script` holds pairs of a time in ms after the first request and a function that takes the
+    trial; the faults of a plan are such a script.
     """
 
     def __init__(
@@ -60,9 +63,14 @@
             set(),
             set(),
         )
-        self.over, self.turned, self.worst_lag, self.log_level = False, 0.0, 0.0, log_level
+        self.is_over, self.turn_ended_at, self.max_lag_ms, self.log_level = (
+            False,
+            0.0,
+            0.0,
+            log_level,
+        )
         self.processes: list = []
-        self.terms, self.settings, self.number, self.rate, self.seconds, self.script = (
+        self.terms, self.settings, self.director_count, self.rate, self.seconds, self.script = (
             terms,
             settings,
             directors,
@@ -70,16 +78,16 @@
             seconds,
             script,
         )
-        self.asked, self.conditions, self.ends = 0, Conditions(), 0.0
-        self.folder_held = None if keep else tempfile.TemporaryDirectory()
-        self.folder = keep or self.folder_held.name
+        self.request_count, self.conditions, self.load_ends_at = 0, Conditions(), 0.0
+        self.temporary_folder = None if keep else tempfile.TemporaryDirectory()
+        self.folder = keep or self.temporary_folder.name
         os.makedirs(self.folder, exist_ok=True)
-        self.logs_held = [reserve_port() for _ in range(directors)]
+        self.log_ports = [reserve_port() for _ in range(directors)]
         self.nodes: dict[str, Node] = {}
         self.log = ChangeLog(
             self.loop,
             self.record,
-            [held.getsockname()[1] for held in self.logs_held],
+            [port.getsockname()[1] for port in self.log_ports],
             lambda name, director: self.nodes[name].address_for(director),
         )
         self.log.publish(
@@ -87,117 +95,130 @@
             whole=True,
         )
         self.directors = [
-            DirectorSupervisor(self, number, run or default_run()) for number in range(directors)
+            DirectorSupervisor(self, number, run or default_command())
+            for number in range(directors)
         ]
-        self.fronts = [
+        self.viewer_groups = [
             ViewerGroup(
-                self.loop, self.draw, self.record, self.conditions, place, self.next_session
+                self.loop, self.draw, self.record, self.conditions, director, self.next_session
             )
-            for place in self.directors
+            for director in self.directors
         ]
-        self.loop.on_turn_end(self.turn_ends)
+        self.loop.on_turn_end(self.finish_turn)
 
-    def turn_ends(self) -> None:
-        """What comes now may have lain there since the last turn's end."""
-        self.worst_lag = max(self.worst_lag, self.loop.read_clock() - self.loop.now)
-        self.turned = self.loop.read_clock()
+    def finish_turn(self) -> None:
+        """Notes the end of a turn: data read in the next turn may have waited since then."""
+        self.max_lag_ms = max(self.max_lag_ms, self.loop.read_clock() - self.loop.now)
+        self.turn_ended_at = self.loop.read_clock()
 
-    def record(self, what: str, **facts: Any) -> None:
+    def record(self, event: str, **fields: Any) -> None:
         self.records.append(
-            (self.loop.now, what, facts | {"lag": max(0.0, self.loop.now - self.turned)})
+            (self.loop.now, event, fields | {"lag": max(0.0, self.loop.now - self.turn_ended_at)})
         )
 
     def add_node(self, name: str, cell: int, cold: bool) -> Node:
         node = self.nodes[name] = Node(
-            self.loop, self.draw, self.record, self.conditions, name, cell, cold, self.number
+            self.loop,
+            self.draw,
+            self.record,
+            self.conditions,
+            name,
+            cell,
+            cold,
+            self.director_count,
         )
         return node
 
     def next_session(self) -> str:
-        self.asked += 1
-        return f"{self.asked:016x}"
+        self.request_count += 1
+        return f"{self.request_count:016x}"
 
-    def arrive(self) -> None:
-        """The next request: of a product by its share, at a director that takes requests."""
-        if self.loop.now >= self.ends:
+    def send_next_request(self) -> None:
+        """Sends the next request, of a product drawn by its share, to an available director."""
+        if self.loop.now >= self.load_ends_at:
             return
-        crowded = "crowd" in self.conditions
+        is_crowded = "crowd" in self.conditions
         self.loop.call_later(
-            self.draw.expovariate(self.rate * (3 if crowded else 1) / 1000), self.arrive
+            self.draw.expovariate(self.rate * (3 if is_crowded else 1) / 1000),
+            self.send_next_request,
         )
-        able = [front for front in self.fronts if front.place.accepts_plays or front.place.stopping]
-        if able:
-            front = able[0] if crowded else self.draw.choice(able)
-            front.ask(
+        available = [
+            group
+            for group in self.viewer_groups
+            if group.director.accepts_plays or group.director.is_stopping
+        ]
+        if available:
+            group = available[0] if is_crowded else self.draw.choice(available)
+            group.request_play(
                 self.draw.choices(
                     self.terms.products, [product.share for product in self.terms.products]
                 )[0]
             )
         if "bad_clients" in self.conditions and self.draw.random() < 0.5:
-            self.draw.choice(self.fronts).misbehave()
+            self.draw.choice(self.viewer_groups).send_garbage()
 
-    def look(self) -> None:
-        self.loop.call_later(LOOK_MS, self.look)
-        for place, front in zip(self.directors, self.fronts, strict=True):
-            place.measure()
-            front.close_idle()
+    def sample(self) -> None:
+        self.loop.call_later(SAMPLE_INTERVAL_MS, self.sample)
+        for director, group in zip(self.directors, self.viewer_groups, strict=True):
+            director.record_usage()
+            group.close_idle()
 
-    def wait(self, done: Callable[[], bool]) -> bool:
-        latest = time.monotonic() + PATIENCE_S
-        while not done() and time.monotonic() < latest:
+    def run_until(self, done: Callable[[], bool]) -> bool:
+        deadline = time.monotonic() + WAIT_LIMIT_S
+        while not done() and time.monotonic() < deadline:
             self.loop.turn()
         return done()
 
-    def settled(self) -> bool:
-        """Nothing plays and nobody waits, or the time for that is over."""
-        if self.loop.now < self.ends + LEAST_TAIL_MS or not all(
-            place.accepts_plays for place in self.directors
+    def is_settled(self) -> bool:
+        """Tells whether no play runs any more, or the time to wait for that is over."""
+        if self.loop.now < self.load_ends_at + MIN_SETTLE_MS or not all(
+            director.accepts_plays for director in self.directors
         ):
             return False
-        return self.loop.now >= self.ends + SETTLE_MS or not any(
-            front.standing for front in self.fronts
+        return self.loop.now >= self.load_ends_at + MAX_SETTLE_MS or not any(
+            group.playing for group in self.viewer_groups
         )
 
     def run(self) -> list[tuple]:
-        """Plays all of it; the records."""
+        """Runs the whole trial and returns the records."""
         try:
-            self.wait(lambda: all(place.accepts_plays for place in self.directors))
-            began, self.ends = self.loop.now, self.loop.now + self.seconds * 1000
+            self.run_until(lambda: all(director.accepts_plays for director in self.directors))
+            began_at, self.load_ends_at = self.loop.now, self.loop.now + self.seconds * 1000
             for at, act in self.script:
-                self.loop.call_at(began + at, lambda act=act: act(self))
-            self.arrive()
-            self.look()
-            self.wait(self.settled)
-            self.over = True
-            for place in self.directors:
-                if place.process is not None:
-                    place.process.send_signal(signal.SIGTERM)
-            self.wait(lambda: all(process.poll() is not None for _, process in self.processes))
+                self.loop.call_at(began_at + at, lambda act=act: act(self))
+            self.send_next_request()
+            self.sample()
+            self.run_until(self.is_settled)
+            self.is_over = True
+            for director in self.directors:
+                if director.process is not None:
+                    director.process.send_signal(signal.SIGTERM)
+            self.run_until(lambda: all(process.poll() is not None for _, process in self.processes))
         finally:
-            self.end()
+            self.clean_up()
         return self.records
 
-    def end(self) -> None:
-        self.over = True
+    def clean_up(self) -> None:
+        self.is_over = True
         for name, process in self.processes:
             if process.poll() is None:
                 self.record("director ended", director=name, status="never", fine=(0,))
                 process.kill()
                 process.wait()
-        for place in self.directors:
-            place.held.close()
-            for line in place.troubles():
-                self.record("trouble in a log", director=place.name, line=line)
+        for director in self.directors:
+            director.reserved_port.close()
+            for line in director.list_logged_faults():
+                self.record("trouble in a log", director=director.name, line=line)
         self.loop.close()
         node_ports = [port for node in self.nodes.values() for port in node.ports]
-        for held in [*self.logs_held, *node_ports]:
-            held.close()
-        if self.folder_held is not None:
-            self.folder_held.cleanup()
+        for reserved in [*self.log_ports, *node_ports]:
+            reserved.close()
+        if self.temporary_folder is not None:
+            self.temporary_folder.cleanup()
 
 
-def trial_of(plan: Plan, terms: Terms, **options: Any) -> Trial:
-    """The trial of a plan: its faults become the script."""
+def create_trial(plan: Plan, terms: Terms, **options: Any) -> Trial:
+    """Creates the trial of a plan; its faults become the script."""
     products = (
         tuple(
             product._replace(limit_ms=limit)
@@ -206,7 +227,7 @@
         or terms.products
     )
     script = [
-        (fault.at_ms, lambda trial, fault=fault: Faults(trial).begin(fault))
+        (fault.at_ms, lambda trial, fault=fault: FaultInjector(trial).begin(fault))
         for fault in plan.faults
     ]
     return Trial(
--- a/laddergw/lab/soak/viewer_connection.py
+++ b/laddergw/lab/soak/viewer_connection.py
@@ -1,69 +1,76 @@
-"""One connection from viewers to a director, and the requests on it."""
+"""A connection from viewers to a director, and the requests on it."""
 
 from typing import TYPE_CHECKING
 
 from laddergw.lab.soak.messages import set_up
-from laddergw.lab.soak.peers import Owner, PieceWriter
+from laddergw.lab.soak.peers import PeerConnection, PieceWriter
 from laddergw.lab.soak.terms import CELLS, Product
 from laddergw.signalling import binary
 
 if TYPE_CHECKING:
     from laddergw.lab.soak.viewer_group import ViewerGroup
 
-REFUSALS = 34, 42, 102  # causes that let a viewer come again
-LEAVES, LEAVES_MS = 0.3, 300.0  # part of the viewers that leave before their answer, within so long
-LEAVES_EARLY = 0.6  # the same while viewers leave early
-ENDS, ENDS_MS = 0.1, 1_500.0  # part of the viewers that end what plays, within so long
-REPEATS = 0.8  # part of those turned away that ask again at once, while they do
-TITLES = 60
+# Causes of a release after which a viewer may request the play again.
+RETRY_CAUSES = 34, 42, 102
+LEAVE_SHARE, LEAVE_MS = (
+    0.3,
+    300.0,
+)  # part of the viewers that leave before their answer, within so long
+# The same share under the condition `leave_early`.
+EARLY_LEAVE_SHARE = 0.6
+END_SHARE, END_MS = 0.1, 1_500.0  # part of the viewers that end what plays, within so long
+# Share of the rejected viewers that retry at once under the condition `repeat_at_once`.
+REPEAT_SHARE = 0.8
+TITLE_COUNT = 60
 
 
 class Request:
-    """One viewer's request, from its last byte to its release."""
+    """One viewer's request, from its set-up to its release."""
 
     def __init__(self, session: str, product: Product):
         self.session, self.product, self.title = session, product, ""
-        self.asked_ms: float | None = None
+        self.sent_at_ms: float | None = None
         self.crossed = False
-        self.state = "waits"  # then "plays", "over"
+        # "waits", then "plays", then "over"; some states may be skipped.
+        self.state = "waits"
 
 
 def offer_of(session: str) -> str:
-    """The description that a viewer sends for a session."""
+    """Returns the session description that a viewer sends."""
     return f"{session}\r\nc=IN IP4 10.0.0.9\r\nm=audio 31000 RTP/AVP 0\r\n"
 
 
-class ViewerConnection(Owner):
+class ViewerConnection(PeerConnection):
     """One connection to a director's process."""
 
-    def __init__(self, front: "ViewerGroup"):
-        self.front, self.reader, self.requests = front, binary.Reader(), {}
-        self.process, self.writer, self.waiting = (
-            front.place.process,
-            PieceWriter(front.loop, front.draw),
+    def __init__(self, group: "ViewerGroup"):
+        self.group, self.reader, self.requests = group, binary.Reader(), {}
+        self.process, self.writer, self.queued = (
+            group.director.process,
+            PieceWriter(group.loop, group.draw),
             [],
         )
-        self.used_ms = front.loop.now
-        self.number = next(front.numbers)
+        self.last_used_ms = group.loop.now
+        self.number = next(group.connection_numbers)
 
     def opened(self, stream) -> None:
         super().opened(stream)
-        self.front.sides.append(self)
-        waiting, self.waiting = self.waiting, []
-        for request in waiting:
+        self.group.connections.append(self)
+        queued, self.queued = self.queued, []
+        for request in queued:
             self.send(request)
 
-    def ask(self, request: Request) -> None:
+    def submit(self, request: Request) -> None:
         self.requests[request.session] = request
         if self.stream is None:
-            self.waiting.append(request)
+            self.queued.append(request)
         else:
             self.send(request)
 
     def send(self, request: Request) -> None:
-        self.used_ms = self.front.loop.now
-        draw, product = self.front.draw, request.product
-        request.title = f"{draw.randrange(TITLES):016x}"
+        self.last_used_ms = self.group.loop.now
+        draw, product = self.group.draw, request.product
+        request.title = f"{draw.randrange(TITLE_COUNT):016x}"
         message = set_up(
             int(request.session, 16),
             product.name,
@@ -73,29 +80,32 @@
             "1200.0",
             offer_of(request.session).encode(),
         )
-        cuts = self.writer.drawn_cuts(message) if "pieces" in self.front.conditions else ()
-        self.writer.write(self.stream, message, cuts, lambda: self.asked(request))
+        cuts = self.writer.draw_cuts(message) if "pieces" in self.group.conditions else ()
+        self.writer.write(self.stream, message, cuts, lambda: self.request_sent(request))
 
-    def asked(self, request: Request) -> None:
-        request.asked_ms = self.front.loop.now
-        self.front.record(
+    def request_sent(self, request: Request) -> None:
+        request.sent_at_ms = self.group.loop.now
+        self.group.record(
             "asked again" if request.crossed else "asked",
             session=request.session,
-            director=self.front.place.name,
+            director=self.group.director.name,
             wait_ms=request.product.wait_ms,
             product=request.product.name,
             title=request.title,
             offer=offer_of(request.session),
             connection=self.number,
         )
-        part = LEAVES_EARLY if "leave_early" in self.front.conditions else LEAVES
-        if self.front.draw.random() < part:
-            self.front.loop.call_later(
-                LEAVES_MS * self.front.draw.random(), lambda: self.leave(request)
+        leave_share = EARLY_LEAVE_SHARE if "leave_early" in self.group.conditions else LEAVE_SHARE
+        if self.group.draw.random() < leave_share:
+            self.group.loop.call_later(
+                LEAVE_MS * self.group.draw.random(), lambda: self.viewer_leaves(request)
             )
 
-    def leave(self, request: Request) -> None:
-        """The viewer waits no more: it says so, or ends a connection that carries nothing else."""
+    def viewer_leaves(self, request: Request) -> None:
+        """The viewer stops waiting.
+
+        It sends a release, or ends a connection that carries nothing else.
+        """
         if (
             request.state != "waits"
             or self.requests.get(request.session) is not request
@@ -104,66 +114,66 @@
             return
         request.state = "over"
         del self.requests[request.session]
-        self.front.record("left", session=request.session)
-        if self.requests or self.front.draw.random() < 0.5:
-            self.say(binary.RELEASE, request.session, (binary.CAUSE, b"\x10"))
-        elif self.front.draw.random() < 0.5:
+        self.group.record("left", session=request.session)
+        if self.requests or self.group.draw.random() < 0.5:
+            self.send_message(binary.RELEASE, request.session, (binary.CAUSE, b"\x10"))
+        elif self.group.draw.random() < 0.5:
             self.stream.close()
         else:
             self.stream.abort()
 
-    def say(self, kind: int, session: str, *parameters: tuple[int, bytes]) -> None:
-        """Behind what is being written in pieces."""
+    def send_message(self, kind: int, session: str, *parameters: tuple[int, bytes]) -> None:
+        """Queues a message behind one that is being written in pieces."""
         self.writer.write(self.stream, binary.encode(kind, session, *parameters))
 
-    def heard(self, message: binary.Message) -> None:
-        self.used_ms = self.front.loop.now
-        request = self.requests.get(message.session) or self.front.standing.get(message.session)
+    def handle_message(self, message: binary.Message) -> None:
+        self.last_used_ms = self.group.loop.now
+        request = self.requests.get(message.session) or self.group.playing.get(message.session)
         if message.kind == binary.ANSWER:
             text = message.parameters[binary.DESCRIPTION].decode(errors="replace")
-            self.front.record("answered", session=message.session, answer="plays", text=text)
+            self.group.record("answered", session=message.session, answer="plays", text=text)
             if request is not None:
-                self.stands(request)
+                self.play_started(request)
         elif message.kind == binary.RELEASE:
-            self.say(binary.RELEASE_ACK, message.session)
-            self.released(message, request)
+            self.send_message(binary.RELEASE_ACK, message.session)
+            self.handle_release(message, request)
         elif message.kind == binary.MOVE and request is not None and request.state == "plays":
-            self.front.over(request)
+            self.group.play_ended(request)
 
-    def stands(self, request: Request) -> None:
+    def play_started(self, request: Request) -> None:
         request.state = "plays"
-        self.front.standing[request.session] = request
-        if self.front.draw.random() < ENDS:
-            self.front.loop.call_later(
-                ENDS_MS * self.front.draw.random(), lambda: self.front.end(request)
+        self.group.playing[request.session] = request
+        if self.group.draw.random() < END_SHARE:
+            self.group.loop.call_later(
+                END_MS * self.group.draw.random(), lambda: self.group.end_play(request)
             )
 
-    def released(self, message: binary.Message, request: Request | None) -> None:
+    def handle_release(self, message: binary.Message, request: Request | None) -> None:
         if request is None or request.state == "over":
             return
         self.requests.pop(request.session, None)
         if request.state == "plays":
-            return self.front.over(request)
+            return self.group.play_ended(request)
         cause = message.parameters[binary.CAUSE][0]
         request.state = "over"
-        self.front.record(
+        self.group.record(
             "answered",
             session=request.session,
-            answer="declined" if cause in REFUSALS else "failed",
+            answer="declined" if cause in RETRY_CAUSES else "failed",
         )
         if (
-            cause in REFUSALS
-            and "repeat_at_once" in self.front.conditions
-            and self.front.draw.random() < REPEATS
+            cause in RETRY_CAUSES
+            and "repeat_at_once" in self.group.conditions
+            and self.group.draw.random() < REPEAT_SHARE
         ):
-            self.front.ask(request.product)
+            self.group.request_play(request.product)
 
     def closed(self, stream, why: str | None) -> None:
-        if self in self.front.sides:
-            self.front.sides.remove(self)
-            self.front.record(
-                "connection ended", director=self.front.place.name, connection=self.number
+        if self in self.group.connections:
+            self.group.connections.remove(self)
+            self.group.record(
+                "connection ended", director=self.group.director.name, connection=self.number
             )
         for request in list(self.requests.values()):
             if request.state == "waits":
-                self.front.cut_off(self, request)
+                self.group.connection_lost(self, request)
--- a/laddergw/lab/soak/viewer_group.py
+++ b/laddergw/lab/soak/viewer_group.py
@@ -1,4 +1,4 @@
-"""The viewers of one director's place: they keep connections to it and ask for plays on them."""
+"""The viewers of one director: they keep connections to it and request plays on them."""
 
 import itertools
 import random
@@ -10,102 +10,110 @@
 from laddergw.lab.soak.viewer_connection import Request, ViewerConnection
 from laddergw.signalling import binary
 
-DIAL_MS = 2_000.0
-IDLE_MS = 4_000.0  # a connection without a session on it is closed after this
-CROSS_MS = 50.0  # a set-up that crosses a close within this goes again on a new connection, once
-ON_OPEN = 0.7  # part of the requests that go on a connection that is open already
+DIAL_TIMEOUT_MS = 2_000.0
+# A connection that carries no session is closed after this idle time.
+IDLE_CLOSE_MS = 4_000.0
+# A set-up that crosses the close of its connection within this time is sent again, once, on a new
+# connection.
+CROSSED_CLOSE_MS = 50.0
+# Share of the requests that use a connection that is already open.
+REUSE_SHARE = 0.7
 
 
 class ViewerGroup:
-    """The viewers of one director's place."""
+    """The viewers of one director."""
 
     def __init__(
-        self, loop, draw: random.Random, record, conditions: Conditions, place: Any, next_session
+        self, loop, draw: random.Random, record, conditions: Conditions, director: Any, next_session
     ):
-        self.loop, self.draw, self.record, self.conditions, self.place, self.next_session = (
+        self.loop, self.draw, self.record, self.conditions, self.director, self.next_session = (
             loop,
             draw,
             record,
             conditions,
-            place,
+            director,
             next_session,
         )
-        self.sides: list[ViewerConnection] = []
-        self.numbers = itertools.count()
-        self.standing: dict[str, Request] = {}
+        self.connections: list[ViewerConnection] = []
+        self.connection_numbers = itertools.count()
+        self.playing: dict[str, Request] = {}
 
-    def ask(self, product: Product) -> None:
-        """A new viewer's request, on an open connection or on a new one; nobody comes where no
-        process is.
+    def request_play(self, product: Product) -> None:
+        """Sends a new viewer's request, on an open or a new connection.
+
+        Does nothing while the director has no process.
         """
-        if self.place.process is not None:
-            self.carrier().ask(Request(self.next_session(), product))
+        if self.director.process is not None:
+            self.choose_connection().submit(Request(self.next_session(), product))
 
-    def carrier(self) -> ViewerConnection:
+    def choose_connection(self) -> ViewerConnection:
         usable = [
-            side
-            for side in self.sides
-            if side.process is self.place.process and side.stream.sock is not None
+            connection
+            for connection in self.connections
+            if connection.process is self.director.process and connection.stream.sock is not None
         ]
-        if usable and (not self.place.accepts_plays or self.draw.random() < ON_OPEN):
+        if usable and (not self.director.accepts_plays or self.draw.random() < REUSE_SHARE):
             return self.draw.choice(usable)
-        side = ViewerConnection(self)
-        self.loop.dial(self.place.address, side, DIAL_MS)
-        return side
+        connection = ViewerConnection(self)
+        self.loop.dial(self.director.address, connection, DIAL_TIMEOUT_MS)
+        return connection
 
-    def end(self, request: Request) -> None:
-        """A viewer ends what plays, on any connection."""
-        if request.state == "plays" and self.sides:
+    def end_play(self, request: Request) -> None:
+        """A viewer ends a running play, over any connection."""
+        if request.state == "plays" and self.connections:
             self.record("ended by its viewer", session=request.session)
             request.state = "over"
-            self.standing.pop(request.session, None)
-            self.draw.choice(self.sides).say(
+            self.playing.pop(request.session, None)
+            self.draw.choice(self.connections).send_message(
                 binary.RELEASE, request.session, (binary.CAUSE, b"\x10")
             )
 
-    def over(self, request: Request) -> None:
+    def play_ended(self, request: Request) -> None:
         request.state = "over"
-        self.standing.pop(request.session, None)
+        self.playing.pop(request.session, None)
         self.record("released", session=request.session)
 
-    def cut_off(self, side: ViewerConnection, request: Request) -> None:
-        """A connection ended with a request on it that has no answer."""
-        if request.asked_ms is None:
-            request.state = "over"  # its last byte never left
+    def connection_lost(self, connection: ViewerConnection, request: Request) -> None:
+        """Handles the end of a connection that carries a request without an answer."""
+        if request.sent_at_ms is None:
+            # Its last byte was never sent.
+            request.state = "over"
             if request.crossed:
                 self.record("not taken", session=request.session)
-        elif side.process.pid in self.place.trial.killed:
+        elif connection.process.pid in self.director.trial.killed:
             request.state = "over"
             self.record("cut", session=request.session)
         elif (
-            self.loop.now - request.asked_ms <= CROSS_MS
+            self.loop.now - request.sent_at_ms <= CROSSED_CLOSE_MS
             and not request.crossed
-            and self.place.process is not None
+            and self.director.process is not None
         ):
             self.record(
                 "crossed a close",
                 session=request.session,
-                director=self.place.name,
-                stopping=self.place.stopping,
+                director=self.director.name,
+                stopping=self.director.is_stopping,
             )
-            request.crossed, request.asked_ms = True, None
-            again = ViewerConnection(self)
-            self.loop.dial(self.place.address, again, DIAL_MS)
-            again.ask(request)
+            request.crossed, request.sent_at_ms = True, None
+            new_connection = ViewerConnection(self)
+            self.loop.dial(self.director.address, new_connection, DIAL_TIMEOUT_MS)
+            new_connection.submit(request)
         else:
             request.state = "over"
             self.record("closed without an answer", session=request.session)
 
     def close_idle(self) -> None:
-        """Ends connections with no session on them; called by the trial now and then."""
-        for side in list(self.sides):
+        """Closes idle connections that carry no session; the trial calls it periodically."""
+        for connection in list(self.connections):
             if (
-                not any(request.state != "over" for request in side.requests.values())
-                and self.loop.now - side.used_ms >= IDLE_MS
+                not any(request.state != "over" for request in connection.requests.values())
+                and self.loop.now - connection.last_used_ms >= IDLE_CLOSE_MS
             ):
-                side.stream.close()
+                connection.stream.close()
 
-    def misbehave(self) -> None:
-        """One client that sends what cannot be used, and reads what comes."""
-        if self.place.accepts_plays:
-            self.loop.dial(self.place.address, BadClient(self.draw.choice(GARBAGE)), DIAL_MS)
+    def send_garbage(self) -> None:
+        """Connects a client that sends malformed data and reads the replies."""
+        if self.director.accepts_plays:
+            self.loop.dial(
+                self.director.address, BadClient(self.draw.choice(GARBAGE)), DIAL_TIMEOUT_MS
+            )
--- a/laddergw/lab/soak/violation.py
+++ b/laddergw/lab/soak/violation.py
@@ -1,12 +1,13 @@
-"""What a judge says of a broken rule."""
+"""Rule violations that the judge finds in the records of a trial."""
 
 from typing import NamedTuple
 
-SLACK_MS = 50.0  # each of the protocol's time limits grows by this
+# Tolerance added to each time limit of the protocol.
+SLACK_MS = 50.0
 
 
 class RuleViolation(NamedTuple):
-    """One broken rule: its name, what was seen, and on which session, or an empty text."""
+    """One broken rule: its name, what was observed, and the session, or an empty text."""
 
     rule: str
     what: str
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,12 +12,12 @@
 from laddergw.cli import rehearse_soak
 from laddergw.lab.soak import plan
 from laddergw.lab.soak.messages import SETTINGS
-from laddergw.lab.soak.result import play
+from laddergw.lab.soak.result import play_plan
 from laddergw.lab.soak.terms import DEFAULT_TERMS
 
 SEEDS = 14, 25, 40  # each with restarts, drains and an outage of the change log; some 12 s each
 # of the requests of a plan without its crowds: a fleet that refuses everybody keeps every rule
-LEAST_PLAYED = 0.2
+MIN_PLAYED_SHARE = 0.2
 
 
 class Soak(unittest.TestCase):
@@ -32,10 +32,10 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 drawn = plan.draw(seed, len(DEFAULT_TERMS.products))
-                result = play(drawn, DEFAULT_TERMS, SETTINGS, str(self.folder / str(seed)))
+                result = play_plan(drawn, DEFAULT_TERMS, SETTINGS, str(self.folder / str(seed)))
                 self.assertTrue(result.judged, f"its own lag was {result.lag_ms} ms")
                 self.assertEqual(result.breaks, [], "\n\n".join(result.stories))
-                self.assertGreater(result.played, LEAST_PLAYED * drawn.rate * drawn.seconds)
+                self.assertGreater(result.played, MIN_PLAYED_SHARE * drawn.rate * drawn.seconds)
                 print(
                     f"soak seed {seed}: {result.asked} plays, {result.played} played, "
                     f"lag {result.lag_ms} ms",
@@ -45,24 +45,24 @@
     def test_bad_input_is_one_line_and_exit_code_2(self):
         wrong = self.folder / "wrong.json"
         wrong.write_text("{}")
-        nothing = self.folder / "nothing.json"
+        absent = self.folder / "nothing.json"
         for seeds, plan_file, config in (
             ("x", None, None),
             ("9-3", None, None),
             ("1", wrong, None),
-            ("1", nothing, None),
+            ("1", absent, None),
             ("1", None, wrong),
-            ("1", None, nothing),
+            ("1", None, absent),
         ):
             with (
                 self.subTest(seeds=seeds, plan=plan_file, config=config),
-                contextlib.redirect_stderr(io.StringIO()) as said,
+                contextlib.redirect_stderr(io.StringIO()) as stderr,
             ):
                 with self.assertRaises(typer.Exit) as ended:
                     rehearse_soak.soak(seeds, plan_file, plan.Sizes(), config, None, None, 1, None)
                 self.assertEqual(
-                    (ended.exception.exit_code, said.getvalue().count("\n")),
-                    (rehearse_soak.EXIT_COULD_NOT, 1),
+                    (ended.exception.exit_code, stderr.getvalue().count("\n")),
+                    (rehearse_soak.EXIT_NOT_RUN, 1),
                 )
 
 
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -2,68 +2,88 @@
 
 import unittest
 
-from laddergw.lab.soak.judge import GONE_CASES, judge
+from laddergw.lab.soak.judge import MIN_LEFT_CASES, judge
 from laddergw.lab.soak.terms import DEFAULT_TERMS as TERMS
-from tests.soak_records import GOOD, JudgeTest, answered, arrived, asked, at, over, told
-
-
-class Judged(JudgeTest):
+from tests.soak_records import (
+    COMPLIANT_RECORDS,
+    JudgeTest,
+    answered,
+    arrived,
+    asked,
+    attempt_ended,
+    draining,
+    record,
+)
+
+
+class JudgeRulesTest(JudgeTest):
     """Records just inside and just outside of each rule."""
 
     def test_a_good_day_breaks_nothing(self):
-        self.assertEqual(judge(GOOD, TERMS), [])
+        self.assertEqual(judge(COMPLIANT_RECORDS, TERMS), [])
 
     def test_each_broken_term_is_seen(self):
-        self.broken(asked(0, "3"), part="without an answer")
-        self.broken(
-            asked(0, "3"), at(50, "closed without an answer", session="3"), part="without an answer"
+        self.assert_violation(asked(0, "3"), text="without an answer")
+        self.assert_violation(
+            asked(0, "3"),
+            record(50, "closed without an answer", session="3"),
+            text="without an answer",
         )
-        self.broken(asked(0, "3"), answered(10, "3"), answered(20, "3"), part="answered 2 times")
-        self.broken(asked(0, "3"), answered(1_501, "3"), part="answered 1501 ms after")
-        self.broken(
+        self.assert_violation(
+            asked(0, "3"), answered(10, "3"), answered(20, "3"), text="answered 2 times"
+        )
+        self.assert_violation(asked(0, "3"), answered(1_501, "3"), text="answered 1501 ms after")
+        self.assert_violation(
             arrived(0, "3", "a", "paid"),
-            over(10, "3"),
+            attempt_ended(10, "3"),
             arrived(20, "3", "b", "paid"),
-            part="a second time",
+            text="a second time",
         )
-        self.broken(arrived(0, "3"), arrived(20, "3", "b"), part="out at b and at a")
-        self.broken(arrived(801, "3"), part="after it was told to drain")
-        self.broken(
+        self.assert_violation(arrived(0, "3"), arrived(20, "3", "b"), text="open at b and at a")
+        self.assert_violation(arrived(801, "3"), text="after it was told to drain")
+        self.assert_violation(
             *(arrived(1_600 + n, f"{n + 30}", "c") for n in range(3)),
-            part="over what chance explains",
+            text="over what chance explains",
+        )
+        self.assert_violation(
+            record(5, "director ended", director="n1", status=-6, fine=(0,)), text="ended with -6"
         )
-        self.broken(
-            at(5, "director ended", director="n1", status=-6, fine=(0,)), part="ended with -6"
+        self.assert_violation(
+            record(5, "director ended", director="n1", status=-9, fine=(0,)), text="ended with -9"
         )
-        self.broken(
-            at(5, "director ended", director="n1", status=-9, fine=(0,)), part="ended with -9"
+        self.assert_violation(
+            record(5, "trouble in a log", director="n1", line="Traceback"), text="Traceback"
         )
-        self.broken(at(5, "trouble in a log", director="n1", line="Traceback"), part="Traceback")
-        self.broken(at(5, "director starts", director="n1"), part="1 never ready")
-        self.broken(
-            at(5, "director starts", director="n1"),
-            at(10_006, "director ready", director="n1"),
-            part="the others after",
+        self.assert_violation(record(5, "director starts", director="n1"), text="1 never ready")
+        self.assert_violation(
+            record(5, "director starts", director="n1"),
+            record(10_006, "director ready", director="n1"),
+            text="the others after",
         )
 
     def test_who_has_gone_counts_from_the_third_case(self):
         cases = [
-            record
-            for n in range(GONE_CASES)
-            for record in (
+            case
+            for n in range(MIN_LEFT_CASES)
+            for case in (
                 asked(0, f"g{n}"),
-                at(100, "left", session=f"g{n}"),
+                record(100, "left", session=f"g{n}"),
                 arrived(201, f"g{n}", "d"),
             )
         ]
-        self.broken(*cases, part="for who has gone")
-        self.assertEqual(judge([*GOOD, *cases[3:]], TERMS), [])
+        self.assert_violation(*cases, text="for viewers that have left")
+        self.assertEqual(judge([*COMPLIANT_RECORDS, *cases[3:]], TERMS), [])
 
     def test_a_set_up_that_crossed_a_close_and_found_nobody_then_is_not_lost(self):
-        crossed = asked(0, "3"), at(1, "crossed a close", session="3", director="n0")
-        self.assertEqual(judge([*GOOD, *crossed, at(3, "not taken", session="3")], TERMS), [])
-        self.broken(
-            *crossed, at(3, "closed without an answer", session="3"), part="without an answer"
+        crossed_close = asked(0, "3"), record(1, "crossed a close", session="3", director="n0")
+        self.assertEqual(
+            judge([*COMPLIANT_RECORDS, *crossed_close, record(3, "not taken", session="3")], TERMS),
+            [],
+        )
+        self.assert_violation(
+            *crossed_close,
+            record(3, "closed without an answer", session="3"),
+            text="without an answer",
         )
 
     def test_what_lay_unread_here_is_nobodys_fault(self):
@@ -71,7 +91,7 @@
         self.assertEqual(
             judge(
                 [
-                    *GOOD,
+                    *COMPLIANT_RECORDS,
                     asked(0, "3"),
                     answered(1_600, "3", lag=100.0),
                     arrived(850, "4", lag=50.0),
@@ -83,67 +103,107 @@
 
     def test_an_end_read_in_the_turn_of_the_next_set_up(self):
         self.assertEqual(
-            judge([*GOOD, arrived(0, "3"), arrived(20, "3", "b"), over(20, "3")], TERMS), []
+            judge(
+                [
+                    *COMPLIANT_RECORDS,
+                    arrived(0, "3"),
+                    arrived(20, "3", "b"),
+                    attempt_ended(20, "3"),
+                ],
+                TERMS,
+            ),
+            [],
         )
 
     def test_while_the_change_log_is_away_its_words_count_four_seconds_after(self):
-        away = at(400, "log away")
-        self.assertEqual(judge([*GOOD, away, told(450, "d"), arrived(4_690, "5", "d")], TERMS), [])
-        self.broken(
-            away, told(450, "d"), arrived(4_701, "5", "d"), part="after it was told to drain"
+        away = record(400, "log away")
+        self.assertEqual(
+            judge([*COMPLIANT_RECORDS, away, draining(450, "d"), arrived(4_690, "5", "d")], TERMS),
+            [],
+        )
+        self.assert_violation(
+            away, draining(450, "d"), arrived(4_701, "5", "d"), text="after it was told to drain"
         )
 
     def test_a_change_just_after_the_change_log_is_back_counts_like_one_before(self):
         """Directors ask again a moment after it is back."""
-        back = at(400, "log away"), at(1_200, "log back")
+        outage = record(400, "log away"), record(1_200, "log back")
         self.assertEqual(
-            judge([*GOOD, *back, told(1_250, "d"), arrived(4_690, "5", "d")], TERMS), []
+            judge(
+                [*COMPLIANT_RECORDS, *outage, draining(1_250, "d"), arrived(4_690, "5", "d")], TERMS
+            ),
+            [],
         )
-        self.broken(
-            *back, told(1_250, "d"), arrived(4_701, "5", "d"), part="after it was told to drain"
+        self.assert_violation(
+            *outage,
+            draining(1_250, "d"),
+            arrived(4_701, "5", "d"),
+            text="after it was told to drain",
         )
-        self.broken(
-            *back, told(4_401, "d"), arrived(4_702, "5", "d"), part="after it was told to drain"
+        self.assert_violation(
+            *outage,
+            draining(4_401, "d"),
+            arrived(4_702, "5", "d"),
+            text="after it was told to drain",
         )
 
     def test_a_change_log_that_is_away_for_long_counts_from_its_return(self):
-        back = at(400, "log away"), at(5_000, "log back")
+        outage = record(400, "log away"), record(5_000, "log back")
         self.assertEqual(
-            judge([*GOOD, *back, told(450, "d"), arrived(11_290, "5", "d")], TERMS), []
+            judge(
+                [*COMPLIANT_RECORDS, *outage, draining(450, "d"), arrived(11_290, "5", "d")], TERMS
+            ),
+            [],
         )
-        self.broken(
-            *back, told(450, "d"), arrived(11_301, "5", "d"), part="after it was told to drain"
+        self.assert_violation(
+            *outage,
+            draining(450, "d"),
+            arrived(11_301, "5", "d"),
+            text="after it was told to drain",
         )
 
     def test_fields_pass_on_unchanged(self):
-        sent = asked(0, "8", title="t", offer="o"), answered(500, "8")
-        came = at(
+        request = asked(0, "8", title="t", offer="o"), answered(500, "8")
+        set_up = record(
             20, "arrived", session="8", node="a", product="guide", title="t", offer="o", lag=0.0
         )
-        self.assertEqual(judge([*GOOD, *sent, came], TERMS), [])
+        self.assertEqual(judge([*COMPLIANT_RECORDS, *request, set_up], TERMS), [])
         for name in "title", "offer", "product":
-            self.broken(
-                *sent, (20, "arrived", came[2] | {name: "x"}), part=f"changed on its way, {name}"
+            self.assert_violation(
+                *request,
+                (20, "arrived", set_up[2] | {name: "x"}),
+                text=f"changed in transit, {name}",
             )
 
     def test_what_may_have_run_once_is_not_called_harmless_to_try_again(self):
-        sent = asked(0, "8", product="paid"), arrived(20, "8", product="paid")
+        request = asked(0, "8", product="paid"), arrived(20, "8", product="paid")
         self.assertEqual(
             judge(
-                [*GOOD, *sent, over(40, "8", never_ran=True), answered(50, "8", answer="declined")],
+                [
+                    *COMPLIANT_RECORDS,
+                    *request,
+                    attempt_ended(40, "8", never_ran=True),
+                    answered(50, "8", answer="declined"),
+                ],
                 TERMS,
             ),
             [],
         )
-        self.broken(*sent, over(40, "8"), answered(50, "8", answer="declined"), part="may have run")
+        self.assert_violation(
+            *request,
+            attempt_ended(40, "8"),
+            answered(50, "8", answer="declined"),
+            text="may have run",
+        )
 
     def test_limits(self):
-        self.broken(
-            at(5, "held", director="n0", descriptors=TERMS.sockets + 1, memory_mb=10.0),
-            part="descriptors",
+        self.assert_violation(
+            record(5, "held", director="n0", descriptors=TERMS.sockets + 1, memory_mb=10.0),
+            text="descriptors",
         )
-        self.broken(
-            at(5, "held", director="n0", descriptors=10, memory_mb=TERMS.memory_mb + 1), part="MB"
+        self.assert_violation(
+            record(5, "held", director="n0", descriptors=10, memory_mb=TERMS.memory_mb + 1),
+            text="MB",
         )
 
 
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from laddergw.lab.soak import plan
-from laddergw.lab.soak.faults import Faults
+from laddergw.lab.soak.faults import FaultInjector
 
 
-class Plans(unittest.TestCase):
+class PlanTest(unittest.TestCase):
     """Plans as values."""
 
     def test_a_seed_gives_the_same_plan_to_the_byte(self):
@@ -32,24 +32,28 @@
         """In most plans three faults or more begin or end within a fifth of a second of one
         another.
         """
-        met = 0
+        plans_with_meeting_faults = 0
         for seed in range(50):
             edges = sorted(
                 (edge, number)
                 for number, fault in enumerate(plan.draw(seed, 2).faults)
                 for edge in (fault.at_ms, fault.ends_ms())
             )
-            met += any(
+            plans_with_meeting_faults += any(
                 len({number for edge, number in edges if begins <= edge <= begins + 200.0}) >= 3
                 for begins, _ in edges
             )
-        self.assertGreater(met, 25)
+        self.assertGreater(plans_with_meeting_faults, 25)
 
     def test_each_kind_is_drawn_and_carried_out(self):
         drawn = {fault.kind for seed in range(100) for fault in plan.draw(seed, 2).faults}
-        self.assertEqual(drawn, set(plan.KINDS))
+        self.assertEqual(drawn, set(plan.FAULT_KINDS))
         self.assertEqual(
-            [kind for kind in plan.KINDS if kind not in plan.WINDOWS and not hasattr(Faults, kind)],
+            [
+                kind
+                for kind in plan.FAULT_KINDS
+                if kind not in plan.CONDITIONS and not hasattr(FaultInjector, kind)
+            ],
             [],
         )
 
