--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -1,10 +1,10 @@
-"""Dense trials of directors broken on purpose, one way each: whether the judge sees it within ten
-seeds, and by which rule.
+"""Soak trials of directors with one deliberate fault each: checks that the judge finds the fault
+within ten seeds, and by which rule.
 
-usage: python -m benchmarks.broken_soak [NAME ...], from the repository's root. A seed takes some 12
-s; four ways side by side.
-Ends with 1 if a broken director keeps every rule for ten seeds, or is seen by another rule than its
-own.
+usage: python -m benchmarks.broken_soak [NAME ...], from the repository's root. A seed takes about
+12 s; four faults are tried in parallel.
+Exits with 1 if a director with a fault keeps every rule for ten seeds, or breaks only other rules
+than its own.
 """
 
 import multiprocessing
@@ -24,11 +24,12 @@
 
 
 class BrokenDirector(NamedTuple):
-    """A way to break a director: statements run before its start, the rule that has to see it."""
+    """A deliberate fault: statements run before a director's start, and the rule it breaks."""
 
     code: str
     rule: str
-    text: str = ""  # a part of what the rule says, where the rule has several
+    # Part of the violation's text, where the rule has several texts.
+    text: str = ""
 
 
 BROKEN = {
@@ -49,15 +50,15 @@
         "no media node made",
     ),
     "answers twice": BrokenDirector(
-        "from laddergw.platform import admission as a; stand = a.Admission.start_play; "
-        "a.Admission.start_play = lambda self, ply, text: "
-        "(ply.viewer.write(9, ply.session, (225, text)), stand(self, ply, text))",
+        "from laddergw.platform import admission as a; start = a.Admission.start_play; "
+        "a.Admission.start_play = lambda self, play, text: "
+        "(play.viewer.write(9, play.session, (225, text)), start(self, play, text))",
         "twice",
     ),
     "never answers": BrokenDirector(
         "from laddergw.platform import admission as a; "
         "a.Admission.finish = "
-        "lambda self, ply, *more: self.director.open_requests.pop(ply.session, None)",
+        "lambda self, play, *more: self.director.open_requests.pop(play.session, None)",
         "lost",
     ),
     "grows": BrokenDirector(
@@ -84,7 +85,7 @@
 
 
 def first_detection(name: str) -> tuple[str, int, str]:
-    """The name, the first seed in which a rule is broken, or 0, and what was seen."""
+    """Returns the name, the first seed that breaks the rule, or 0, and the violation found."""
     run_director = "import runpy; runpy.run_module('laddergw.platform', run_name='__main__')"
     code = f"{BLOCK_SIGNALS}{BROKEN[name].code}; {run_director}"
     for seed in SEEDS:
@@ -97,9 +98,9 @@
                 run=f'exec {sys.executable} -c "{code}"',
             )
         expected = [
-            broken
-            for broken in result.breaks
-            if broken.rule == BROKEN[name].rule and BROKEN[name].text in broken.what
+            violation
+            for violation in result.breaks
+            if violation.rule == BROKEN[name].rule and BROKEN[name].text in violation.what
         ]
         if expected:
             return (
@@ -113,10 +114,10 @@
 def main(names: list[str]) -> int:
     missed_count = 0
     with multiprocessing.Pool(JOBS) as pool:
-        for name, seed, what in pool.imap_unordered(first_detection, names or list(BROKEN)):
+        for name, seed, outcome in pool.imap_unordered(first_detection, names or list(BROKEN)):
             missed_count += not seed
             print(
-                f"{name}: " + (f"seen in seed {seed}, " if seed else "NOT SEEN, ") + what[:160],
+                f"{name}: " + (f"seen in seed {seed}, " if seed else "NOT SEEN, ") + outcome[:160],
                 flush=True,
             )
     return 1 if missed_count else 0
--- a/laddergw/cli/progress.py
+++ b/laddergw/cli/progress.py
@@ -1,6 +1,7 @@
-"""Shows on standard error how far a rehearsal is: a bar on a terminal, elsewhere a line at times.
+"""Shows the progress of a rehearsal on standard error: a bar on a terminal, elsewhere a line at
+times.
 
-Driven by the process's interval timer: a rehearsal that knows nothing of it can be watched.
+The process's interval timer drives it, so that the rehearsal needs no code for it.
 """
 
 import signal
@@ -18,7 +19,10 @@
 
 @contextmanager
 def shown(expected_s: float | None, describe: Callable[[], str]) -> Iterator[None]:
-    """While the body runs. `expected_s`: how long it should take; `told()`: what there is."""
+    """Shows progress while the body runs.
+
+    `expected_s` is how long the body should take, `describe()` returns its present state.
+    """
     began_at = time.monotonic()
     if sys.stderr.isatty():
         columns = TextColumn("rehearsal"), BarColumn(), TimeRemainingColumn()
@@ -35,9 +39,9 @@
         return
 
     def print_line() -> None:
-        passed = time.monotonic() - began_at
+        elapsed_s = time.monotonic() - began_at
         total = f" of some {expected_s:.0f} s" if expected_s is not None else " s"
-        print(f"{passed:.0f}{total}, {describe()}", file=sys.stderr, flush=True)
+        print(f"{elapsed_s:.0f}{total}, {describe()}", file=sys.stderr, flush=True)
 
     with call_periodically(LINE_EVERY_S, print_line):
         yield
@@ -45,11 +49,11 @@
 
 @contextmanager
 def call_periodically(every_s: float, call: Callable[[], None]) -> Iterator[None]:
-    """Calls it again and again while the body runs, between two of its statements."""
-    before = signal.signal(signal.SIGALRM, lambda *_: call())
+    """Calls `call` periodically while the body runs, between two of its statements."""
+    previous_handler = signal.signal(signal.SIGALRM, lambda *_: call())
     signal.setitimer(signal.ITIMER_REAL, every_s, every_s)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0.0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous_handler)
--- a/laddergw/cli/rehearse_soak.py
+++ b/laddergw/cli/rehearse_soak.py
@@ -1,4 +1,4 @@
-"""laddergw rehearse soak: dense trials of the platform's director over seeds, judged by the rules
+"""laddergw rehearse soak: dense trials of the platform's director, one a seed, judged by the rules
 of its protocol.
 """
 
@@ -26,9 +26,11 @@
 from laddergw.lab.soak.terms import Terms, read_terms
 
 EXIT_VIOLATION, EXIT_NOT_RUN = 1, 2
-PROGRESS_INTERVAL_S = 30.0  # of progress, where nobody watches a terminal
-PLAYS_PER_SMALLER_PLAN = 3  # of each smaller plan: orders are not exact
-MAX_SMALLER_PLANS = 60  # smaller plans
+# Interval of lines of progress where standard error is no terminal.
+PROGRESS_INTERVAL_S = 30.0
+# Each smaller plan is played this often, as the order of events differs from run to run.
+PLAYS_PER_SMALLER_PLAN = 3
+MAX_SMALLER_PLANS = 60
 
 
 def soak(
@@ -41,11 +43,11 @@
     jobs: int,
     smaller: Path | None,
 ) -> None:
-    """Plays the plans and ends the command: 1 where a rule is broken, 2 where it could not run."""
+    """Plays the plans and exits: with 1 if a rule is broken, with 2 if not every plan could run."""
     try:
         settings = read_settings(config)
         terms = read_terms(settings, SOCKETS)
-        chosen = (
+        selected = (
             [read_plan(plan)]
             if plan is not None
             else [plans.draw(seed, len(terms.products), sizes) for seed in parse_seeds(seeds)]
@@ -55,35 +57,36 @@
         raise typer.Exit(EXIT_NOT_RUN) from None
     with tempfile.TemporaryDirectory() as folder:
         base = str(keep) if keep else folder
-        results = play_all(chosen, terms, settings, base, jobs)
+        results = play_all(selected, terms, settings, base, jobs)
         if smaller is not None and results and results[0].breaks:
             write_smaller(results[0], terms, settings, base, smaller)
-    print_results(results, len(chosen), report)
+    print_results(results, len(selected), report)
 
 
 def play_task(task: tuple) -> Result | str:
-    """Plays one plan in a process of its own; a text tells why it could not run."""
-    chosen, terms, settings, folder = task
+    """Plays one plan in a worker process; returns its result, or a text on why it could not run."""
+    selected, terms, settings, folder = task
     try:
-        return play_plan(chosen, terms, settings, folder)
+        return play_plan(selected, terms, settings, folder)
     except OSError as error:
-        return f"seed {chosen.seed}: {error}"
+        return f"seed {selected.seed}: {error}"
 
 
 def set_signal_handlers() -> None:
-    """In each process that plays: told to end, it ends its directors and keeps its records.
+    """Lets a worker process end its directors and keep its records when it is terminated.
 
-    An interrupt from the terminal reaches every process; the one that started them tells them.
+    An interrupt from the terminal reaches every process: workers ignore it, and the process that
+    started them terminates them.
     """
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_NOT_RUN))
 
 
 def play_all(
-    chosen: list[plans.Plan], terms: Terms, settings: dict[str, Any], base: str, jobs: int
+    selected: list[plans.Plan], terms: Terms, settings: dict[str, Any], base: str, jobs: int
 ) -> list[Result]:
-    """All results that came, in the order of their seeds, also after an interrupt."""
-    tasks = [(plan, terms, settings, os.path.join(base, f"seed-{plan.seed}")) for plan in chosen]
+    """Plays all plans; returns the results so far, by seed, also after an interrupt."""
+    tasks = [(plan, terms, settings, os.path.join(base, f"seed-{plan.seed}")) for plan in selected]
     results: list[Result] = []
     with (
         progress(len(tasks)) as advance,
@@ -99,13 +102,13 @@
         except KeyboardInterrupt:
             pool.terminate()
             pool.join()
-            typer.echo("interrupted: what has ended so far is told", err=True)
+            typer.echo("interrupted: the results so far follow", err=True)
     return sorted(results, key=lambda result: result.plan.seed)
 
 
 @contextmanager
 def progress(total: int) -> Iterator[Callable[[list[Result]], None]]:
-    """Shows on standard error how far it is: a bar on a terminal, elsewhere a line now and then."""
+    """Shows progress on standard error: a bar on a terminal, elsewhere a line at times."""
     printed_at = time.monotonic()
 
     def print_line(results: list[Result]) -> None:
@@ -138,19 +141,19 @@
 
 
 def count_plays(results: list[Result]) -> int:
-    """Plays that were asked for."""
+    """Returns the number of plays that were requested."""
     return sum(result.asked for result in results)
 
 
 def count_violations(results: list[Result]) -> int:
-    """Broken rules."""
+    """Returns the number of violations."""
     return sum(len(result.breaks) for result in results)
 
 
 def write_smaller(
     result: Result, terms: Terms, settings: dict[str, Any], base: str, path: Path
 ) -> None:
-    """The least plan found that still breaks, as a file for `--plan`."""
+    """Writes the smallest plan found that still breaks a rule, as a file for `--plan`."""
 
     def fails(faults: list[plans.Fault]) -> bool:
         smaller_plan = msgspec.structs.replace(result.plan, faults=tuple(faults))
@@ -172,7 +175,8 @@
     )
 
 
-def print_results(results: list[Result], wanted: int, report: Path | None) -> None:
+def print_results(results: list[Result], planned: int, report: Path | None) -> None:
+    """Prints the results, writes the report and ends the command."""
     for result in results:
         typer.echo(result_line(result))
         for story in result.stories:
@@ -184,11 +188,11 @@
         for name in ("asked", "played", "declined", "failed")
     )
     rules, kinds = (
-        Counter(broken.rule for result in results for broken in result.breaks),
+        Counter(violation.rule for result in results for violation in result.breaks),
         Counter(fault.kind for result in results for fault in result.plan.faults),
     )
     typer.echo(
-        f"{len(results)} of {wanted} seeds ended, "
+        f"{len(results)} of {planned} seeds ended, "
         f"{sum(not result.judged for result in results)} not judged; "
         f"{played_ / max(asked, 1):.0%} of the plays got a session; "
         f"{sum(result.set_ups for result in results)} set-ups, "
@@ -203,11 +207,11 @@
         f"twice {sum(result.duplicate_count for result in results)} "
         f"rules-broken {count_violations(results)}"
     )
-    raise typer.Exit(EXIT_VIOLATION if rules else EXIT_NOT_RUN if len(results) < wanted else 0)
+    raise typer.Exit(EXIT_VIOLATION if rules else EXIT_NOT_RUN if len(results) < planned else 0)
 
 
 def result_line(result: Result) -> str:
-    """One seed's line; a broken one tells its own command."""
+    """Returns the line of one seed; after a violation with the command that repeats the trial."""
     text = (
         f"seed {result.plan.seed}: {result.plan.directors} directors, {result.plan.nodes} nodes, "
         f"{result.asked} plays, {result.played} played, lag {result.lag_ms:.0f} ms"
--- a/laddergw/cli/soak_input.py
+++ b/laddergw/cli/soak_input.py
@@ -1,4 +1,4 @@
-"""Reads what `laddergw rehearse soak` is given: seeds, plans, a deployment's settings."""
+"""Reads the input of `laddergw rehearse soak`: seeds, plans, a deployment's settings."""
 
 import json
 import re
@@ -11,15 +11,17 @@
 from laddergw.lab.soak.messages import SETTINGS
 from laddergw.lab.soak.terms import read_terms
 
-SOCKETS = 256  # descriptors that each director may hold
+# Descriptors that each director may hold.
+SOCKETS = 256
 SEEDS = re.compile(r"(\d{1,9})(?:-(\d{1,9}))?")
 
 
 class InputError(Exception):
-    """Input that is not taken; the text is one line that says why."""
+    """Input that cannot be used; the text is one line with the reason."""
 
 
 def parse_seeds(text: str) -> list[int]:
+    """Parses a seed or a range A-B. Raises InputError."""
     match = SEEDS.fullmatch(text)
     if match is None or (match[2] and int(match[2]) < int(match[1])):
         raise InputError(f"seeds: {text!r} is neither a number nor A-B")
@@ -27,16 +29,20 @@
 
 
 def read_plan(path: Path) -> plans.Plan:
+    """Reads the file of a plan. Raises InputError."""
     try:
         return plans.from_json(path.read_bytes())
     except OSError as error:
         raise InputError(f"{path}: {error.strerror}") from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
-        raise InputError(f"{path}: no plan: {error}") from None
+        raise InputError(f"{path}: not a plan: {error}") from None
 
 
 def read_settings(path: Path | None) -> dict[str, Any]:
-    """The settings of a director's configuration file, or the trial's own."""
+    """Reads the settings of a director's configuration file; without one, returns the trial's own.
+
+    Raises InputError.
+    """
     if path is None:
         return SETTINGS
     try:
@@ -45,5 +51,5 @@
     except OSError as error:
         raise InputError(f"{path}: {error.strerror}") from None
     except (ValueError, KeyError, TypeError, IndexError) as error:
-        raise InputError(f"{path}: no director's configuration: {error!r}") from None
+        raise InputError(f"{path}: not a director's configuration: {error!r}") from None
     return found
--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -1,4 +1,4 @@
-"""Records of trials for the tests of the judge, and a good day of them."""
+"""Builds records of soak trials for the tests of the judge."""
 
 import unittest
 
@@ -63,7 +63,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    """A test that holds records against the judge."""
+    """Base class of tests that give records to the judge."""
 
     def assert_violation(self, *more, text):
         found = judge([*COMPLIANT_RECORDS, *more], TERMS)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: dense trials of the same few seeds, real processes, every rule judged."""
+"""A short soak: trials of a few fixed seeds with real processes, judged by every rule."""
 
 import contextlib
 import io
@@ -15,13 +15,15 @@
 from laddergw.lab.soak.result import play_plan
 from laddergw.lab.soak.terms import DEFAULT_TERMS
 
-SEEDS = 14, 25, 40  # each with restarts, drains and an outage of the change log; some 12 s each
-# of the requests of a plan without its crowds: a fleet that refuses everybody keeps every rule
+# Each has restarts, drains and an outage of the change log, and takes about 12 s.
+SEEDS = 14, 25, 40
+# Share of the requests of a plan, without its crowds, that have to be played: a fleet that refuses
+# every viewer would keep every rule.
 MIN_PLAYED_SHARE = 0.2
 
 
-class Soak(unittest.TestCase):
-    """The trials themselves, and what the command refuses."""
+class SoakTest(unittest.TestCase):
+    """Trials of real directors, and the input that the command rejects."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -1,4 +1,4 @@
-"""The judge of many processes itself: it sees each broken term, and nothing where all are kept."""
+"""The judge of soak trials: it finds each violation, and nothing where every rule is kept."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 class JudgeRulesTest(JudgeTest):
     """Records just inside and just outside of each rule."""
 
-    def test_a_good_day_breaks_nothing(self):
+    def test_compliant_records_have_no_violation(self):
         self.assertEqual(judge(COMPLIANT_RECORDS, TERMS), [])
 
-    def test_each_broken_term_is_seen(self):
+    def test_each_violation_is_found(self):
         self.assert_violation(asked(0, "3"), text="without an answer")
         self.assert_violation(
             asked(0, "3"),
@@ -61,7 +61,7 @@
             text="the others after",
         )
 
-    def test_who_has_gone_counts_from_the_third_case(self):
+    def test_late_attempts_for_viewers_that_left_count_from_the_third_one(self):
         cases = [
             case
             for n in range(MIN_LEFT_CASES)
@@ -74,7 +74,7 @@
         self.assert_violation(*cases, text="for viewers that have left")
         self.assertEqual(judge([*COMPLIANT_RECORDS, *cases[3:]], TERMS), [])
 
-    def test_a_set_up_that_crossed_a_close_and_found_nobody_then_is_not_lost(self):
+    def test_a_set_up_that_crossed_a_close_and_was_not_taken_again_is_not_lost(self):
         crossed_close = asked(0, "3"), record(1, "crossed a close", session="3", director="n0")
         self.assertEqual(
             judge([*COMPLIANT_RECORDS, *crossed_close, record(3, "not taken", session="3")], TERMS),
@@ -86,8 +86,8 @@
             text="without an answer",
         )
 
-    def test_what_lay_unread_here_is_nobodys_fault(self):
-        """An answer and a set-up that this process read late are as old as they may be."""
+    def test_time_unread_in_this_process_is_not_blamed_on_directors(self):
+        """An answer and a set-up that this process read late are just within their limits."""
         self.assertEqual(
             judge(
                 [
@@ -101,7 +101,7 @@
             [],
         )
 
-    def test_an_end_read_in_the_turn_of_the_next_set_up(self):
+    def test_an_attempts_end_read_in_the_same_turn_as_the_next_set_up(self):
         self.assertEqual(
             judge(
                 [
@@ -115,7 +115,7 @@
             [],
         )
 
-    def test_while_the_change_log_is_away_its_words_count_four_seconds_after(self):
+    def test_an_event_during_an_outage_of_the_change_log_counts_four_seconds_after_its_start(self):
         away = record(400, "log away")
         self.assertEqual(
             judge([*COMPLIANT_RECORDS, away, draining(450, "d"), arrived(4_690, "5", "d")], TERMS),
@@ -125,8 +125,8 @@
             away, draining(450, "d"), arrived(4_701, "5", "d"), text="after it was told to drain"
         )
 
-    def test_a_change_just_after_the_change_log_is_back_counts_like_one_before(self):
-        """Directors ask again a moment after it is back."""
+    def test_an_event_just_after_an_outage_counts_like_one_during_it(self):
+        """Directors reconnect a moment after the change log is back."""
         outage = record(400, "log away"), record(1_200, "log back")
         self.assertEqual(
             judge(
@@ -147,7 +147,7 @@
             text="after it was told to drain",
         )
 
-    def test_a_change_log_that_is_away_for_long_counts_from_its_return(self):
+    def test_an_event_during_a_long_outage_counts_from_its_end(self):
         outage = record(400, "log away"), record(5_000, "log back")
         self.assertEqual(
             judge(
@@ -162,7 +162,7 @@
             text="after it was told to drain",
         )
 
-    def test_fields_pass_on_unchanged(self):
+    def test_fields_are_passed_on_unchanged(self):
         request = asked(0, "8", title="t", offer="o"), answered(500, "8")
         set_up = record(
             20, "arrived", session="8", node="a", product="guide", title="t", offer="o", lag=0.0
@@ -175,7 +175,7 @@
                 text=f"changed in transit, {name}",
             )
 
-    def test_what_may_have_run_once_is_not_called_harmless_to_try_again(self):
+    def test_a_single_run_play_that_may_have_run_is_not_declined(self):
         request = asked(0, "8", product="paid"), arrived(20, "8", product="paid")
         self.assertEqual(
             judge(
@@ -196,7 +196,7 @@
             text="may have run",
         )
 
-    def test_limits(self):
+    def test_limits_of_descriptors_and_memory(self):
         self.assert_violation(
             record(5, "held", director="n0", descriptors=TERMS.sockets + 1, memory_mb=10.0),
             text="descriptors",
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a trial: drawn from its seed alone, kept as a file, refused where it is none."""
+"""The plan of a trial: drawn from its seed alone, written to a file and read from it."""
 
 import unittest
 
@@ -9,17 +9,17 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Plans as values."""
+    """Draws, encodes and decodes plans."""
 
     def test_a_seed_gives_the_same_plan_to_the_byte(self):
         self.assertEqual(plan.to_json(plan.draw(7, 2)), plan.to_json(plan.draw(7, 2)))
         self.assertNotEqual(plan.draw(7, 2).faults, plan.draw(8, 2).faults)
 
-    def test_a_plan_comes_back_from_its_file(self):
+    def test_a_plan_decodes_to_what_was_encoded(self):
         drawn = plan.draw(7, 2)
         self.assertEqual(plan.from_json(plan.to_json(drawn)), drawn)
 
-    def test_what_is_no_plan_is_refused(self):
+    def test_input_that_is_not_a_plan_is_rejected(self):
         unknown = plan.to_json(plan.draw(7, 2)).replace(b'"kind": "', b'"kind": "un')
         for text in b"", b"{}", b"[1]", b'{"seed": "x"}', unknown:
             with (
@@ -28,10 +28,8 @@
             ):
                 plan.from_json(text)
 
-    def test_faults_meet(self):
-        """In most plans three faults or more begin or end within a fifth of a second of one
-        another.
-        """
+    def test_faults_overlap_closely(self):
+        """In most plans at least three faults begin or end within 200 ms of one another."""
         plans_with_meeting_faults = 0
         for seed in range(50):
             edges = sorted(
@@ -45,7 +43,7 @@
             )
         self.assertGreater(plans_with_meeting_faults, 25)
 
-    def test_each_kind_is_drawn_and_carried_out(self):
+    def test_each_kind_is_drawn_and_implemented(self):
         drawn = {fault.kind for seed in range(100) for fault in plan.draw(seed, 2).faults}
         self.assertEqual(drawn, set(plan.FAULT_KINDS))
         self.assertEqual(
