--- a/benchmarks/broken_soak.py
+++ b/benchmarks/broken_soak.py
@@ -106,7 +106,7 @@
             return (
                 name,
                 seed,
-                f"{expected[0].rule}: {expected[0].what} ({len(result.breaks)} breaks)",
+                f"{expected[0].rule}: {expected[0].what} ({len(result.breaks)} violations)",
             )
     return name, 0, "kept its rule"
 
--- a/laddergw/cli/rehearse_soak.py
+++ b/laddergw/cli/rehearse_soak.py
@@ -117,7 +117,7 @@
             printed_at = time.monotonic()
             typer.echo(
                 f"{len(results)} of {total} seeds, {count_plays(results)} plays, "
-                f"{count_violations(results)} breaks",
+                f"{count_violations(results)} violations",
                 err=True,
             )
 
@@ -136,7 +136,7 @@
         yield lambda results: bar.update(
             task,
             completed=len(results),
-            status=f"{count_plays(results)} plays, {count_violations(results)} breaks",
+            status=f"{count_plays(results)} plays, {count_violations(results)} violations",
         )
 
 
--- a/laddergw/lab/soak/change_log.py
+++ b/laddergw/lab/soak/change_log.py
@@ -14,6 +14,7 @@
 
 
 def encode_line(event_data: dict) -> bytes:
+    """Encodes one line of the change log."""
     return json.dumps(event_data).encode() + b"\n"
 
 
@@ -54,6 +55,7 @@
         self.send_heartbeat()
 
     def listen(self) -> None:
+        """Opens a listener on each director's port."""
         self.listeners = [
             self.loop.listen(
                 (HOST, port), lambda stream, number=number: LogConnection(self, number)
@@ -70,11 +72,13 @@
         return event_data | {"fleet": event_data["fleet"] | {"members": members}}
 
     def send_heartbeat(self) -> None:
+        """Sends the number of the last event to every director, periodically."""
         self.loop.call_later(HEARTBEAT_INTERVAL_MS, self.send_heartbeat)
         for connection in [] if self.is_silent else self.connections:
             connection.stream.write(encode_line({"seq": len(self.events)}))
 
     def publish(self, *members: dict, whole: bool = False) -> None:
+        """Adds an event of the given members and sends it; `whole` if it lists all nodes."""
         self.events.append(event(len(self.events) + 1, *members, whole=whole))
         for member in members:
             self.record("told", node=member["id"], state=member["phase"])
@@ -98,11 +102,13 @@
             self.abort_connections()
 
     def come_back(self) -> None:
+        """Listens again after `go_down`."""
         if not self.listeners:
             self.listen()
             self.record("log back")
 
     def abort_connections(self) -> None:
+        """Resets every connection."""
         for connection in list(self.connections):
             connection.stream.abort()
 
@@ -113,6 +119,7 @@
             self.is_silent = True
 
     def resume(self) -> None:
+        """Sends again after `go_silent`, beginning with the missed events."""
         if self.is_silent:
             self.is_silent = False
             self.record("log back")
--- a/laddergw/lab/soak/director_supervisor.py
+++ b/laddergw/lab/soak/director_supervisor.py
@@ -66,6 +66,7 @@
         self.start()
 
     def configuration_path(self) -> str:
+        """Path of its configuration file."""
         return os.path.join(self.trial.folder, f"{self.name}.json")
 
     def write_configuration(self) -> None:
@@ -92,6 +93,7 @@
         os.replace(new_path, self.configuration_path())
 
     def start(self) -> None:
+        """Starts a new process with a new configuration file."""
         self.start_count += 1
         self.write_configuration()
         self.trial.record("director starts", director=self.name)
@@ -115,14 +117,17 @@
         self.probe_until_ready(process)
 
     def log_path(self, start: int) -> str:
+        """Path of the log of the process with that start number."""
         return os.path.join(self.trial.folder, f"{self.name}.{start}.log")
 
     def probe_until_ready(self, process) -> None:
+        """Asks the process repeatedly until it accepts plays."""
         if self.process is process and not self.accepts_plays and not self.is_stopping:
             ReadinessProbe(self.trial.loop, self.address, lambda: self.became_ready(process))
             self.trial.loop.call_later(PROBE_INTERVAL_MS, lambda: self.probe_until_ready(process))
 
     def became_ready(self, process) -> None:
+        """Notes that the process accepts plays."""
         if self.process is process and not self.accepts_plays and not self.is_stopping:
             self.accepts_plays = True
             self.trial.record("director ready", director=self.name)
@@ -139,22 +144,25 @@
         self.trial.record("director told to stop", director=self.name)
         process.send_signal(signal.SIGTERM)
         self.trial.loop.call_later(
-            self.trial.draw.uniform(*ACCEPT_AFTER_STOP_MS),
+            self.trial.rng.uniform(*ACCEPT_AFTER_STOP_MS),
             lambda: self.stop_new_connections(process),
         )
         self.trial.loop.call_later(self.trial.terms.kill_ms, lambda: self.kill_if_running(process))
 
     def stop_new_connections(self, process) -> None:
+        """Ends the time in which viewers still open connections to a stopping process."""
         if self.process is process:
             self.accepts_plays = False
 
     def kill_if_running(self, process) -> None:
+        """Kills a process that has not ended in time after SIGTERM."""
         if process.poll() is None:
             self.trial.record("killed at its stop", director=self.name)
             self.trial.stopped_late.add(process.pid)
             process.kill()
 
     def kill(self) -> None:
+        """Kills the process without notice."""
         if self.process is None or self.process.poll() is not None:
             return
         process, self.process, self.accepts_plays = self.process, None, False
@@ -163,6 +171,7 @@
         process.kill()
 
     def freeze(self, ms: float) -> None:
+        """Stops the process by SIGSTOP for a time in ms."""
         process = self.process
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGSTOP)
@@ -172,11 +181,13 @@
             )
 
     def reconfigure(self) -> None:
+        """Writes a new configuration file and has the process read it."""
         if self.process is not None and self.process.poll() is None and self.accepts_plays:
             self.write_configuration()
             self.process.send_signal(signal.SIGHUP)
 
     def process_ended(self, process, status: int) -> None:
+        """Records the end of a process, and starts the next one unless the trial is over."""
         expected = (
             (-signal.SIGKILL,)
             if process.pid in self.trial.killed | self.trial.stopped_late
@@ -221,4 +232,5 @@
 
 
 def default_command() -> str:
+    """Returns the deployment file's command with this Python interpreter."""
     return RUN_COMMAND.replace(".venv/bin/python", sys.executable)
--- a/laddergw/lab/soak/messages.py
+++ b/laddergw/lab/soak/messages.py
@@ -54,6 +54,7 @@
 
 
 def event(number: int, *members: dict[str, Any], whole: bool = False) -> dict[str, Any]:
+    """Returns an event of the change log; `whole` if it lists all media nodes."""
     return {
         "seq": number,
         "fleet": {"revision": number, "complete": whole, "members": list(members)},
--- a/laddergw/lab/soak/node_connection.py
+++ b/laddergw/lab/soak/node_connection.py
@@ -43,7 +43,7 @@
             rtsp.Reader(HEADER_PATTERN),
             {},
         )
-        self.writer = PieceWriter(node.loop, node.draw)
+        self.writer = PieceWriter(node.loop, node.rng)
 
     def opened(self, stream) -> None:
         super().opened(stream)
@@ -52,6 +52,7 @@
             self.write(release(int(session, 16), cause))
 
     def write(self, data: bytes) -> None:
+        """Writes a message, in pieces under the condition `pieces`."""
         self.writer.write(
             self.stream,
             data,
@@ -80,20 +81,21 @@
             node.record("release acknowledged", session=session, node=node.id)
 
     def schedule_answer(self, session: str) -> None:
-        draw = self.node.draw.random()
+        """Draws how and when an attempt is answered: refused, failed, never, or with a play."""
+        outcome = self.node.rng.random()
         # Refusals may come late, so that some viewers have left when a retry is due.
-        low, high = REFUSE_MS if draw < REFUSE_SHARE else ANSWER_MS
+        low, high = REFUSE_MS if outcome < REFUSE_SHARE else ANSWER_MS
         status = (
             453
-            if draw < REFUSE_SHARE
+            if outcome < REFUSE_SHARE
             else 500
-            if draw < REFUSE_SHARE + FAIL_SHARE
+            if outcome < REFUSE_SHARE + FAIL_SHARE
             else None
-            if draw < REFUSE_SHARE + FAIL_SHARE + SILENT_SHARE
+            if outcome < REFUSE_SHARE + FAIL_SHARE + SILENT_SHARE
             else 200
         )
         self.node.loop.call_later(
-            self.node.draw.uniform(low, high), lambda: status and self.send_answer(session, status)
+            self.node.rng.uniform(low, high), lambda: status and self.send_answer(session, status)
         )
 
     def attempt_ended(self, session: str, never_ran: bool = False) -> None:
@@ -102,32 +104,33 @@
             self.node.record("over", session=session, node=self.node.id, never_ran=never_ran)
 
     def send_answer(self, session: str, status: int) -> None:
+        """Answers an attempt that is still open, unless the node hangs."""
         if session not in self.attempts or self.node.is_hung:
             return
         if status != 200:
             self.attempt_ended(session, status == 453)
             return self.write(answer(session, status, b""))
         text = self.node.description(session)
-        if "spoilt_answers" in self.node.conditions and self.node.draw.random() < CORRUPT_SHARE:
+        if "spoilt_answers" in self.node.conditions and self.node.rng.random() < CORRUPT_SHARE:
             return self.send_corrupt_answer(session, text)
         self.node.start_play(session, self)
         self.node.record("made", session=session, node=self.node.id, text=text.decode())
         self.write(answer(session, 200, text))
-        if "release_at_once" in self.node.conditions and self.node.draw.random() < 0.5:
-            self.node.end_play(session, self.node.draw.choice((CAUSE_ENDED, CAUSE_VIEWER_LEFT)))
+        if "release_at_once" in self.node.conditions and self.node.rng.random() < 0.5:
+            self.node.end_play(session, self.node.rng.choice((CAUSE_ENDED, CAUSE_VIEWER_LEFT)))
         return None
 
     def send_corrupt_answer(self, session: str, text: bytes) -> None:
         """Answers an attempt that has run with an answer that cannot be used."""
         whole = answer(session, 200, text)
-        size = self.node.draw.randrange(1, len(text))
+        size = self.node.rng.randrange(1, len(text))
         short = whole.replace(b"Content-Length: %d" % len(text), b"Content-Length: %d" % size)
-        corruption = self.node.draw.choice(
+        corruption = self.node.rng.choice(
             ("short", "short", "noise", "broken off", "empty", "huge")
         )
         self.attempt_ended(session)
         if corruption == "broken off":
-            self.stream.write(whole[: self.node.draw.randrange(1, len(whole))])
+            self.stream.write(whole[: self.node.rng.randrange(1, len(whole))])
             return self.stream.abort()
         # The bytes beyond the declared length, which reveal the error, follow a moment later.
         if corruption == "short":
--- a/laddergw/lab/soak/nodes.py
+++ b/laddergw/lab/soak/nodes.py
@@ -32,7 +32,7 @@
     def __init__(
         self,
         loop,
-        draw: random.Random,
+        rng: random.Random,
         record,
         conditions: Conditions,
         name: str,
@@ -40,9 +40,9 @@
         cold: bool,
         directors: int,
     ):
-        self.loop, self.draw, self.record, self.conditions, self.id, self.cell = (
+        self.loop, self.rng, self.record, self.conditions, self.id, self.cell = (
             loop,
-            draw,
+            rng,
             record,
             conditions,
             name,
@@ -75,16 +75,19 @@
         return member(self.id, 1, phase, self.cell, self.up_since_ms)
 
     def address_for(self, director: int) -> str:
+        """Returns the address at which a director reaches the node."""
         return f"{HOST}:{self.listeners[director].address[1]}"
 
     def description(self, session: str) -> bytes:
-        host, port = self.draw.randrange(1, 255), self.listeners[0].address[1]
+        """Returns the session description of an answer."""
+        host, port = self.rng.randrange(1, 255), self.listeners[0].address[1]
         text = f"{session}\r\nc=IN IP4 10.0.0.{host}\r\nm=audio {port} RTP/AVP 0 8 101\r\n"
         return text.encode()
 
     def start_play(self, session: str, connection: NodeConnection) -> None:
+        """Starts a play of random length."""
         self.playing[session] = connection
-        self.loop.call_later(self.draw.uniform(*PLAY_LENGTH_MS), lambda: self.end_play(session))
+        self.loop.call_later(self.rng.uniform(*PLAY_LENGTH_MS), lambda: self.end_play(session))
 
     def end_play(self, session: str, cause: int = CAUSE_ENDED) -> None:
         """Ends a play and reports it to its director until the director acknowledges it."""
@@ -109,6 +112,7 @@
             sender.write(release(int(session, 16), cause))
 
     def handle_teardown(self, connection: NodeConnection, session: str) -> None:
+        """Ends a play that its director has released."""
         for other in {connection, self.playing.pop(session, connection)}:
             other.attempt_ended(session)
         self.unacknowledged.get(connection.director, {}).pop(session, None)
@@ -130,6 +134,7 @@
         self.is_hung = True
 
     def resume(self) -> None:
+        """Ends a hang."""
         self.is_hung = False
 
     def stop_accepting(self) -> None:
@@ -145,6 +150,7 @@
                 filler.connect_ex(listener.address)
 
     def accept_again(self) -> None:
+        """Accepts connections again after `stop_accepting`."""
         fillers, self.fillers = self.fillers, []
         for filler in fillers:
             filler.close()
--- a/laddergw/lab/soak/peers.py
+++ b/laddergw/lab/soak/peers.py
@@ -17,20 +17,24 @@
     stream: Any = None
 
     def opened(self, stream) -> None:
+        """Called when the connection is open."""
         self.stream = stream
 
     def write_buffer_drained(self, stream) -> None:
         pass
 
     def data_received(self, stream, data: bytes) -> None:
+        """Passes each complete message to `handle_message`."""
         self.reader.feed(data)
         while (message := self.reader.next()) is not None:
             self.handle_message(message)
 
     def handle_message(self, message) -> None:
+        """Handles one message; subclasses implement it."""
         raise NotImplementedError
 
     def closed(self, stream, why: str | None) -> None:
+        """Called when the connection has ended."""
         pass
 
 
@@ -48,14 +52,14 @@
 class PieceWriter:
     """Writes messages to one stream, whole or in pieces, without interleaving them."""
 
-    def __init__(self, loop, draw: random.Random):
-        self.loop, self.draw = loop, draw
+    def __init__(self, loop, rng: random.Random):
+        self.loop, self.rng = loop, rng
         self.queue: list[Piece] = []
 
     def draw_cuts(self, data: bytes) -> list[int]:
         """Draws the offsets at which to cut a message."""
-        pieces = self.draw.randint(*PIECE_COUNT)
-        return sorted(self.draw.randrange(1, len(data)) for _ in range(pieces - 1))
+        pieces = self.rng.randint(*PIECE_COUNT)
+        return sorted(self.rng.randrange(1, len(data)) for _ in range(pieces - 1))
 
     def write(
         self,
@@ -80,7 +84,7 @@
             if piece.on_written is None:
                 self.queue.insert(0, PAUSE_MARKER)
                 self.loop.call_later(
-                    self.draw.uniform(*PIECE_PAUSE_MS), lambda: self.pause_ended(stream)
+                    self.rng.uniform(*PIECE_PAUSE_MS), lambda: self.pause_ended(stream)
                 )
                 return
             piece.on_written()
--- a/laddergw/lab/soak/trial.py
+++ b/laddergw/lab/soak/trial.py
@@ -56,7 +56,7 @@
         keep: str | None = None,
         log_level: str = "INFO",
     ):
-        self.loop, self.draw, self.records, self.killed, self.stopped_late = (
+        self.loop, self.rng, self.records, self.killed, self.stopped_late = (
             SocketLoop(),
             random.Random(seed),
             [],
@@ -100,7 +100,7 @@
         ]
         self.viewer_groups = [
             ViewerGroup(
-                self.loop, self.draw, self.record, self.conditions, director, self.next_session
+                self.loop, self.rng, self.record, self.conditions, director, self.next_session
             )
             for director in self.directors
         ]
@@ -112,14 +112,16 @@
         self.turn_ended_at = self.loop.read_clock()
 
     def record(self, event: str, **fields: Any) -> None:
+        """Records an event with its fields and this process's present lag in ms."""
         self.records.append(
             (self.loop.now, event, fields | {"lag": max(0.0, self.loop.now - self.turn_ended_at)})
         )
 
     def add_node(self, name: str, cell: int, cold: bool) -> Node:
+        """Creates a media node; its process starts cold or warm."""
         node = self.nodes[name] = Node(
             self.loop,
-            self.draw,
+            self.rng,
             self.record,
             self.conditions,
             name,
@@ -130,6 +132,7 @@
         return node
 
     def next_session(self) -> str:
+        """Returns a new session id."""
         self.request_count += 1
         return f"{self.request_count:016x}"
 
@@ -139,7 +142,7 @@
             return
         is_crowded = "crowd" in self.conditions
         self.loop.call_later(
-            self.draw.expovariate(self.rate * (3 if is_crowded else 1) / 1000),
+            self.rng.expovariate(self.rate * (3 if is_crowded else 1) / 1000),
             self.send_next_request,
         )
         available = [
@@ -148,22 +151,24 @@
             if group.director.accepts_plays or group.director.is_stopping
         ]
         if available:
-            group = available[0] if is_crowded else self.draw.choice(available)
+            group = available[0] if is_crowded else self.rng.choice(available)
             group.request_play(
-                self.draw.choices(
+                self.rng.choices(
                     self.terms.products, [product.share for product in self.terms.products]
                 )[0]
             )
-        if "bad_clients" in self.conditions and self.draw.random() < 0.5:
-            self.draw.choice(self.viewer_groups).send_garbage()
+        if "bad_clients" in self.conditions and self.rng.random() < 0.5:
+            self.rng.choice(self.viewer_groups).send_garbage()
 
     def sample(self) -> None:
+        """Samples the directors' use of resources and closes idle connections, periodically."""
         self.loop.call_later(SAMPLE_INTERVAL_MS, self.sample)
         for director, group in zip(self.directors, self.viewer_groups, strict=True):
             director.record_usage()
             group.close_idle()
 
     def run_until(self, done: Callable[[], bool]) -> bool:
+        """Runs the loop until a condition holds or the wait limit is over; tells if it holds."""
         deadline = time.monotonic() + WAIT_LIMIT_S
         while not done() and time.monotonic() < deadline:
             self.loop.turn()
@@ -199,6 +204,7 @@
         return self.records
 
     def clean_up(self) -> None:
+        """Ends all processes, records what their logs report, and frees ports and files."""
         self.is_over = True
         for name, process in self.processes:
             if process.poll() is None:
--- a/laddergw/lab/soak/viewer_connection.py
+++ b/laddergw/lab/soak/viewer_connection.py
@@ -47,7 +47,7 @@
         self.group, self.reader, self.requests = group, binary.Reader(), {}
         self.process, self.writer, self.queued = (
             group.director.process,
-            PieceWriter(group.loop, group.draw),
+            PieceWriter(group.loop, group.rng),
             [],
         )
         self.last_used_ms = group.loop.now
@@ -61,6 +61,7 @@
             self.send(request)
 
     def submit(self, request: Request) -> None:
+        """Sends a request, or queues it until the connection is open."""
         self.requests[request.session] = request
         if self.stream is None:
             self.queued.append(request)
@@ -68,15 +69,16 @@
             self.send(request)
 
     def send(self, request: Request) -> None:
+        """Sends a request's set-up, in pieces under the condition `pieces`."""
         self.last_used_ms = self.group.loop.now
-        draw, product = self.group.draw, request.product
-        request.title = f"{draw.randrange(TITLE_COUNT):016x}"
+        rng, product = self.group.rng, request.product
+        request.title = f"{rng.randrange(TITLE_COUNT):016x}"
         message = set_up(
             int(request.session, 16),
             product.name,
             str(int(product.wait_ms)),
             request.title,
-            f"home:{draw.randrange(CELLS)};copies:2;top:2;viewer:{request.session}",
+            f"home:{rng.randrange(CELLS)};copies:2;top:2;viewer:{request.session}",
             "1200.0",
             offer_of(request.session).encode(),
         )
@@ -84,6 +86,7 @@
         self.writer.write(self.stream, message, cuts, lambda: self.request_sent(request))
 
     def request_sent(self, request: Request) -> None:
+        """Records a request whose last byte was written; its viewer may leave later."""
         request.sent_at_ms = self.group.loop.now
         self.group.record(
             "asked again" if request.crossed else "asked",
@@ -96,9 +99,9 @@
             connection=self.number,
         )
         leave_share = EARLY_LEAVE_SHARE if "leave_early" in self.group.conditions else LEAVE_SHARE
-        if self.group.draw.random() < leave_share:
+        if self.group.rng.random() < leave_share:
             self.group.loop.call_later(
-                LEAVE_MS * self.group.draw.random(), lambda: self.viewer_leaves(request)
+                LEAVE_MS * self.group.rng.random(), lambda: self.viewer_leaves(request)
             )
 
     def viewer_leaves(self, request: Request) -> None:
@@ -115,9 +118,9 @@
         request.state = "over"
         del self.requests[request.session]
         self.group.record("left", session=request.session)
-        if self.requests or self.group.draw.random() < 0.5:
+        if self.requests or self.group.rng.random() < 0.5:
             self.send_message(binary.RELEASE, request.session, (binary.CAUSE, b"\x10"))
-        elif self.group.draw.random() < 0.5:
+        elif self.group.rng.random() < 0.5:
             self.stream.close()
         else:
             self.stream.abort()
@@ -141,14 +144,16 @@
             self.group.play_ended(request)
 
     def play_started(self, request: Request) -> None:
+        """Notes a running play, which its viewer may end later."""
         request.state = "plays"
         self.group.playing[request.session] = request
-        if self.group.draw.random() < END_SHARE:
+        if self.group.rng.random() < END_SHARE:
             self.group.loop.call_later(
-                END_MS * self.group.draw.random(), lambda: self.group.end_play(request)
+                END_MS * self.group.rng.random(), lambda: self.group.end_play(request)
             )
 
     def handle_release(self, message: binary.Message, request: Request | None) -> None:
+        """Handles the release of a request or of a running play."""
         if request is None or request.state == "over":
             return
         self.requests.pop(request.session, None)
@@ -164,7 +169,7 @@
         if (
             cause in RETRY_CAUSES
             and "repeat_at_once" in self.group.conditions
-            and self.group.draw.random() < REPEAT_SHARE
+            and self.group.rng.random() < REPEAT_SHARE
         ):
             self.group.request_play(request.product)
 
--- a/laddergw/lab/soak/viewer_group.py
+++ b/laddergw/lab/soak/viewer_group.py
@@ -24,11 +24,11 @@
     """The viewers of one director."""
 
     def __init__(
-        self, loop, draw: random.Random, record, conditions: Conditions, director: Any, next_session
+        self, loop, rng: random.Random, record, conditions: Conditions, director: Any, next_session
     ):
-        self.loop, self.draw, self.record, self.conditions, self.director, self.next_session = (
+        self.loop, self.rng, self.record, self.conditions, self.director, self.next_session = (
             loop,
-            draw,
+            rng,
             record,
             conditions,
             director,
@@ -47,13 +47,14 @@
             self.choose_connection().submit(Request(self.next_session(), product))
 
     def choose_connection(self) -> ViewerConnection:
+        """Returns an open connection to the present process, or dials a new one."""
         usable = [
             connection
             for connection in self.connections
             if connection.process is self.director.process and connection.stream.sock is not None
         ]
-        if usable and (not self.director.accepts_plays or self.draw.random() < REUSE_SHARE):
-            return self.draw.choice(usable)
+        if usable and (not self.director.accepts_plays or self.rng.random() < REUSE_SHARE):
+            return self.rng.choice(usable)
         connection = ViewerConnection(self)
         self.loop.dial(self.director.address, connection, DIAL_TIMEOUT_MS)
         return connection
@@ -64,11 +65,12 @@
             self.record("ended by its viewer", session=request.session)
             request.state = "over"
             self.playing.pop(request.session, None)
-            self.draw.choice(self.connections).send_message(
+            self.rng.choice(self.connections).send_message(
                 binary.RELEASE, request.session, (binary.CAUSE, b"\x10")
             )
 
     def play_ended(self, request: Request) -> None:
+        """Records the release of a running play."""
         request.state = "over"
         self.playing.pop(request.session, None)
         self.record("released", session=request.session)
@@ -115,5 +117,5 @@
         """Connects a client that sends malformed data and reads the replies."""
         if self.director.accepts_plays:
             self.loop.dial(
-                self.director.address, BadClient(self.draw.choice(GARBAGE)), DIAL_TIMEOUT_MS
+                self.director.address, BadClient(self.rng.choice(GARBAGE)), DIAL_TIMEOUT_MS
             )
