--- a/laddergw/director/__init__.py
+++ b/laddergw/director/__init__.py
@@ -1,1 +1,1 @@
-"""The running director: feeds the Controller what happens on sockets and carries out its verdicts."""
+"""The HTTP director: reports events on its sockets to the Controller and carries out its verdicts."""
--- a/laddergw/director/attempts.py
+++ b/laddergw/director/attempts.py
@@ -1,4 +1,4 @@
-"""Keeps what a director has in hand for one viewer's try, from its request to the end of its play."""
+"""A director's state of one viewer's attempt, from its request to the end of its play."""
 from laddergw.machines.allocation import Allocation
 from laddergw.director.frames import Request
 from laddergw.machines.play import PlayState
@@ -10,32 +10,37 @@
 
 
 class Attempt:
-    """One request for a play. `life` says what its terms allow; `budgets`: names of those that its further allocations draw on."""
-    __slots__ = ("id", "exchange", "request", "product", "earlier", "asked_at", "life", "generation", "budgets", "allocation", "call", "body",
-                 "timer", "lease_timer", "answered", "playing", "left", "asked", "node_ms", "ending", "sent_at", "deployment", "version_set")
+    """One request for a play. `play_state` decides what its terms allow; `budgets` names the retry budgets that its retries draw on."""
+    __slots__ = ("id", "exchange", "request", "product", "previous", "requested_at", "play_state", "generation", "budgets", "allocation", "call", "body",
+                 "answer_timer", "lease_timer", "answered", "playing", "viewer_gone", "sent_to_controller", "node_time_ms", "end_event", "set_up_sent_at", "deployment", "version_set")
 
-    def __init__(self, number: int, exchange: Exchange, request: Request, product: int, earlier: PreviousAttempt, life: PlayState,
+    def __init__(self, number: int, exchange: Exchange, request: Request, product: int, previous: PreviousAttempt, play_state: PlayState,
                  generation: Generation, budgets: tuple[str, ...], deployment: Deployment):
-        self.id, self.exchange, self.request, self.product, self.earlier = number, exchange, request, product, earlier
-        self.deployment = deployment              # that it was taken on: a switch does not change it
-        self.asked_at, self.life, self.generation, self.budgets = life.requested_at, life, generation, budgets
+        self.id, self.exchange, self.request, self.product, self.previous = number, exchange, request, product, previous
+        # The deployment in force at its admission: a later change of the file does not affect the attempt
+        self.deployment = deployment
+        self.requested_at, self.play_state, self.generation, self.budgets = play_state.requested_at, play_state, generation, budgets
         self.allocation: Allocation | None = None
         self.call: Call | None = None
-        self.body = self.timer = self.lease_timer = None
-        self.answered = self.playing = self.left = self.asked = False
-        self.node_ms, self.sent_at = 0.0, 0.0     # time that nodes took, to tell our own delay apart
-        self.ending: str | None = None            # what its viewer is told once its allocation is gone
-        self.version_set = ""                           # id of the versions that it was let in under, where they are audited
+        self.body = self.answer_timer = self.lease_timer = None
+        self.answered = self.playing = self.viewer_gone = self.sent_to_controller = False
+        # Time that nodes took to answer: subtracted from the total to get the director's own delay
+        self.node_time_ms, self.set_up_sent_at = 0.0, 0.0
+        # Event that its viewer gets once its allocation has ended
+        self.end_event: str | None = None
+        # Id of the set of versions that it was admitted under, if they are audited
+        self.version_set = ""
 
-    def settle(self) -> bool:
-        """Claims the one answer: True for the first who asks, and for nobody when the viewer has left."""
-        if self.answered or self.left:
+    def claim_answer(self) -> bool:
+        """Claims the only answer: True for the first caller; False for later ones and after the viewer has left."""
+        if self.answered or self.viewer_gone:
             return False
         self.answered = True
         return True
 
     def stop_timers(self) -> None:
-        for timer in self.timer, self.lease_timer:
+        """Cancels both timers."""
+        for timer in self.answer_timer, self.lease_timer:
             if timer is not None:
                 timer.cancel()
-        self.timer = self.lease_timer = None
+        self.answer_timer = self.lease_timer = None
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -8,12 +8,12 @@
 from typing import Any, Callable
 from zlib import crc32
 
-from laddergw import interface as face, peer_messages
+from laddergw import interface, peer_messages
 from laddergw.control import Controller
-from laddergw.machines import allocation as alloc
+from laddergw.machines import allocation as allocation_machine
 from laddergw.director import frames, tokens
 from laddergw.machines import admission
-from laddergw.director.allocation_calls import MOVED, STOPPED, AllocationCalls, written
+from laddergw.director.allocation_calls import MOVED, STOPPED, AllocationCalls, bytes_written
 from laddergw.director.fleet import Fleet
 from laddergw.terms.house import House
 from laddergw.machines.play import PlayState
@@ -27,10 +27,10 @@
 from laddergw.http.server import Exchange, Server
 from laddergw.terms.effect import deployment_with
 from laddergw.terms.generations import Generations, allowed, budget_names, changes
-from laddergw.terms.limits import Limits, usual as usual_terms
+from laddergw.terms.limits import Limits, usual as default_terms
 
 
-def no_word(what: str, **facts: Any) -> None:
+def ignore_event(what: str, **facts: Any) -> None:
     """The watcher of a director that nobody watches."""
 
 
@@ -39,23 +39,23 @@
     controller_class = Controller
 
     def __init__(self, loop, house: House, wall: Callable[[], float] = lambda: time.time() * 1000,
-                 tap: Callable | None = None, watch: Callable = no_word, limits: Limits | None = None):
+                 tap: Callable | None = None, watch: Callable = ignore_event, limits: Limits | None = None):
         self.loop, self.house, self.wall, self.tap, self.watch = loop, house, wall, tap, watch
         self.bounds = house.bounds
         self.products = {name: index for index, name in enumerate(house.names)}
-        usual = usual_terms(house.bounds.max_lease_ms, alloc.CONFIRM_GRACE_MS)
-        self.generations = Generations(limits or Limits("built in", usual), loop.now)
+        built_in = default_terms(house.bounds.max_lease_ms, allocation_machine.CONFIRM_GRACE_MS)
+        self.generations = Generations(limits or Limits("built in", built_in), loop.now)
         self.budgets = RetryBudgets()
         self.budgets.configure(allowed(self.limits))
-        self.room = ConcurrencyLimits(self.limits.adaptive)
-        self.most_importance = max(product.importance for product in house.deployment.products)
+        self.concurrency = ConcurrencyLimits(self.limits.adaptive)
+        self.max_importance = max(product.importance for product in house.deployment.products)
         self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
         self.name = f"d{house.number}-{crc32(b'%d %f' % (house.seed, loop.now)):08x}"    # of this process, not of its place
         self.attempts: dict[int, Attempt] = {}
         self.attempts_by_allocation: dict[str, Attempt] = {}
         self.attempts_by_node: dict[int, dict[str, Attempt]] = {}
-        self.dirty: dict[Link, None] = {}
-        self.numbers = self.waiting = self.active_plays = self.draws = 0
+        self.links_to_flush: dict[Link, None] = {}
+        self.last_attempt_id = self.waiting = self.active_plays = self.random_draws = 0
         self.stopping = False
         self.observer, self.closed_rejection = None, lambda: None    # of admissions, ends and notes: a planner's edge side; why nothing is let in at all
         self.reload_files: Callable[[], None] = lambda: None    # what SIGHUP does
@@ -63,11 +63,11 @@
         self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.max_connections), tap)
         self.address = self.server.address
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request,
-                                                                             ("POST", "/v1/mail"): self.mail_came}
-        self.post = DirectorMessages(loop, house.number, house.peers, lambda: self.house.keys, wall)
-        loop.on_turn_end(self.turn_ends)
+                                                                             ("POST", "/v1/mail"): self.peer_message_received}
+        self.messages = DirectorMessages(loop, house.number, house.peers, lambda: self.house.keys, wall)
+        loop.on_turn_end(self.finish_turn)
         if not house.deployment.must_ask:
-            self.fleet.follow()
+            self.fleet.request_list()
         self.feed(self.controller.wake, loop.now)
 
     @property
@@ -80,7 +80,7 @@
         changed = changes(self.limits, limits)
         self.generations.switch(limits, self.loop.now)
         self.budgets.configure(allowed(limits))
-        self.room.change_kind(limits.adaptive)
+        self.concurrency.change_kind(limits.adaptive)
         self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
         self.watch("limits changed", generation=self.generations.current.number, lines=len(changed))
         if self.tap is not None:
@@ -95,8 +95,8 @@
             return
         self.house = self.house._replace(names=house.names, deployment=house.deployment, peers=house.peers)
         self.products = {name: index for index, name in enumerate(house.names)}
-        self.most_importance = max(product.importance for product in house.deployment.products)
-        self.post.reach(house.peers)
+        self.max_importance = max(product.importance for product in house.deployment.products)
+        self.messages.set_peers(house.peers)
         self.feed(self.controller.update_deployment, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
         self.watch("deployment changed", products=len(house.names), held=self.active_plays, waiting=self.waiting)
         if self.tap is not None:
@@ -111,29 +111,29 @@
 
     # Turns, and the module's failure
 
-    def turn_ends(self) -> None:
+    def finish_turn(self) -> None:
         self.decide()
-        dirty, self.dirty = self.dirty, {}
-        for link in dirty:
+        links_to_flush, self.links_to_flush = self.links_to_flush, {}
+        for link in links_to_flush:
             link.flush()
         if self.stopping and not self.attempts and not self.broken:
             self.shut_down()
 
     def fail_all_plays(self) -> None:
         self.broken = self.stopping = True
-        for ply in list(self.attempts.values()):
-            if ply.playing:
-                self.release(ply)
-                ply.exchange.push(frames.event(STOPPED))
-                ply.exchange.finish()
+        for attempt in list(self.attempts.values()):
+            if attempt.playing:
+                self.release(attempt)
+                attempt.exchange.push(frames.event(STOPPED))
+                attempt.exchange.finish()
             else:
-                self.finish(ply, face.FAILED, None, "director failed")
+                self.finish(attempt, interface.FAILED, None, "director failed")
         self.server.stop_accepting()
         self.loop.call_later(100, self.loop.stop)
 
     def random_fraction(self) -> float:
-        self.draws += 1
-        return crc32(b"%d door %d" % (self.house.seed, self.draws)) / 2 ** 32
+        self.random_draws += 1
+        return crc32(b"%d door %d" % (self.house.seed, self.random_draws)) / 2 ** 32
 
     # Viewers
 
@@ -153,152 +153,152 @@
             exchange.answer(400, frames.error_body(str(error)))
             return
         product = self.products[request.product]
-        generation, repeat = self.generations.take(), self.house.deployment.products[product].repeat
+        generation, retry_safety = self.generations.take(), self.house.deployment.products[product].repeat
         margin = self.bounds.answer_margin_ms if self.limits.margin is None else self.limits.margin.value
         effective = self.limits.find(request.route, request.product)
-        life = PlayState(effective.terms, repeat, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
-        self.numbers += 1
-        ply = Attempt(self.numbers, exchange, request, product, self.earlier(request), life, generation, budget_names(effective.rows, self.limits),
+        play_state = PlayState(effective.terms, retry_safety, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
+        self.last_attempt_id += 1
+        attempt = Attempt(self.last_attempt_id, exchange, request, product, self.previous_attempt(request), play_state, generation, budget_names(effective.rows, self.limits),
                   self.house.deployment)
         product_row = self.house.deployment.products[product]
-        slow = at_limit(self.waiting, self.room.total_limit(self.ready_nodes()), product_row.importance, self.most_importance, ply.earlier.tries)
-        turned = (admission.check_capacity(self.bounds, self.waiting, self.active_plays, self.stopping, self.random_fraction()) or admission.check_node_latency(slow, self.bounds, self.random_fraction())
-                  or admission.check_earlier_attempt(repeat == "paid", ply.earlier.may_have_run) or life.check_viewer_attempts(ply.earlier.tries)
+        nodes_overloaded = at_limit(self.waiting, self.concurrency.total_limit(self.ready_nodes()), product_row.importance, self.max_importance, attempt.previous.attempts)
+        rejection = (admission.check_capacity(self.bounds, self.waiting, self.active_plays, self.stopping, self.random_fraction()) or admission.check_node_latency(nodes_overloaded, self.bounds, self.random_fraction())
+                  or admission.check_earlier_attempt(retry_safety == "paid", attempt.previous.may_have_run) or play_state.check_viewer_attempts(attempt.previous.attempts)
                   or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.closed_rejection())
-        self.attempts[ply.id] = ply
+        self.attempts[attempt.id] = attempt
         self.waiting += 1
-        exchange.on_gone = lambda: self.viewer_left(ply)
-        if turned is not None:
-            return self.finish(ply, face.FAILED if turned.failed else face.DECLINED, turned.retry_after_ms, turned.reason)
-        ply.timer = self.loop.call_at(life.answer_deadline, lambda: self.answer_overdue(ply))
-        self.budgets.record_play(ply.budgets, self.loop.now)
-        self.admit(ply)
+        exchange.on_gone = lambda: self.viewer_left(attempt)
+        if rejection is not None:
+            return self.finish(attempt, interface.FAILED if rejection.failed else interface.DECLINED, rejection.retry_after_ms, rejection.reason)
+        attempt.answer_timer = self.loop.call_at(play_state.answer_deadline, lambda: self.answer_overdue(attempt))
+        self.budgets.record_play(attempt.budgets, self.loop.now)
+        self.admit(attempt)
 
     def ready_nodes(self) -> list[int]:
-        return [node for node, entry in self.fleet.entries.items() if entry.state == face.READY] if self.room.kind != OFF else []
+        return [node for node, entry in self.fleet.entries.items() if entry.state == interface.READY] if self.concurrency.kind != OFF else []
 
-    def earlier(self, request: frames.Request) -> tokens.PreviousAttempt:
+    def previous_attempt(self, request: frames.Request) -> tokens.PreviousAttempt:
         """What the viewer's token tells, this try counted; a token that is not taken makes a first try."""
         wall = self.wall()
         if request.token is not None:
             try:
-                told = tokens.read(self.house.keys, request.token, request.key, wall)
-                return told._replace(tries=told.tries + 1)
+                previous = tokens.read(self.house.keys, request.token, request.key, wall)
+                return previous._replace(attempts=previous.attempts + 1)
             except tokens.BadToken as error:
                 self.watch("token refused", reason=str(error))
         return tokens.PreviousAttempt(request.key, wall, 1, False)
 
-    def mail_came(self, exchange: Exchange) -> None:
+    def peer_message_received(self, exchange: Exchange) -> None:
         """A message of another director. One that makes no sense is refused, told, and changes nothing."""
         try:
-            sender, loads, shares = self.post.read(exchange.body)
+            sender, loads, shares = self.messages.read(exchange.body)
         except peer_messages.MalformedMessage as error:
             self.watch("mail refused", reason=str(error))
             return exchange.answer(400, frames.error_body(str(error)))
         exchange.answer(200, b"{}")
         return self.feed(self.controller.receive_peer_report, self.loop.now, sender, loads, shares)
 
-    def admit(self, ply: Attempt) -> None:
-        r, now = ply.request, self.loop.now
-        ply.asked = True
+    def admit(self, attempt: Attempt) -> None:
+        request, now = attempt.request, self.loop.now
+        attempt.sent_to_controller = True
         if self.observer is not None:
-            self.observer.admitted(ply)
-        self.feed(self.controller.request_play, now, face.PlayRequest(ply.id, ply.product, r.title, r.home, r.copies, r.ceiling,
-                                                                      r.length_ms, max(0.0, ply.life.deadline - now),
-                                                                      ply.earlier.tries > 1))
+            self.observer.admitted(attempt)
+        self.feed(self.controller.request_play, now, interface.PlayRequest(attempt.id, attempt.product, request.title, request.home, request.copies, request.ceiling,
+                                                                      request.length_ms, max(0.0, attempt.play_state.deadline - now),
+                                                                      attempt.previous.attempts > 1))
 
-    def answer_overdue(self, ply: Attempt) -> None:
+    def answer_overdue(self, attempt: Attempt) -> None:
         """The last guard of the one answer: what holds it up is not known here, so it is failed."""
-        ply.timer = None
-        if not ply.answered and not ply.left:
-            self.watch("overdue", play=ply.id)
-            if ply.asked:
-                self.feed(self.controller.viewer_left, self.loop.now, ply.id)
-            self.finish(ply, face.FAILED, None, "time limit")
-
-    def viewer_left(self, ply: Attempt) -> None:
+        attempt.answer_timer = None
+        if not attempt.answered and not attempt.viewer_gone:
+            self.watch("overdue", play=attempt.id)
+            if attempt.sent_to_controller:
+                self.feed(self.controller.viewer_left, self.loop.now, attempt.id)
+            self.finish(attempt, interface.FAILED, None, "time limit")
+
+    def viewer_left(self, attempt: Attempt) -> None:
         """The viewer's connection ended, before its answer or while it plays."""
-        if ply.left:
+        if attempt.viewer_gone:
             return
-        ply.left = True
-        self.watch("viewer left", play=ply.id, playing=ply.playing)
-        if ply.asked:
-            self.feed(self.controller.viewer_left, self.loop.now, ply.id)
-        if not ply.answered:
+        attempt.viewer_gone = True
+        self.watch("viewer left", play=attempt.id, playing=attempt.playing)
+        if attempt.sent_to_controller:
+            self.feed(self.controller.viewer_left, self.loop.now, attempt.id)
+        if not attempt.answered:
             self.waiting -= 1
-        self.end_allocation(ply)
+        self.end_allocation(attempt)
 
-    def end_allocation(self, ply: Attempt) -> None:
+    def end_allocation(self, attempt: Attempt) -> None:
         """Nobody wants the try's allocation any more."""
-        if ply.allocation is None or ply.allocation.state == alloc.GONE:
-            self.forget(ply)
+        if attempt.allocation is None or attempt.allocation.state == allocation_machine.GONE:
+            self.forget(attempt)
         else:
-            self.apply(ply, ply.allocation.viewer_left(*written(ply)))
+            self.apply(attempt, attempt.allocation.viewer_left(*bytes_written(attempt)))
 
-    def finish(self, ply: Attempt, answer: str, retry_ms: float | None, reason: str = "") -> None:
+    def finish(self, attempt: Attempt, answer: str, retry_ms: float | None, reason: str = "") -> None:
         """The final answer of a try that does not play."""
-        if ply.settle():
+        if attempt.claim_answer():
             self.waiting -= 1
-            token = tokens.sign(self.house.keys, ply.earlier._replace(may_have_run=ply.earlier.may_have_run or answer == face.FAILED))
-            status = 502 if answer == face.FAILED else 503
+            token = tokens.sign(self.house.keys, attempt.previous._replace(may_have_run=attempt.previous.may_have_run or answer == interface.FAILED))
+            status = 502 if answer == interface.FAILED else 503
             extra = "" if retry_ms is None else f"Retry-After: {-int(-retry_ms // 1000)}\r\n"
-            self.watch("answer", play=ply.id, answer=answer, product=ply.request.product, tries=ply.earlier.tries,
-                       own_ms=self.loop.read_clock() - ply.asked_at - ply.node_ms, first_ms=None, reason=reason)
-            ply.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra=extra)
-        if ply.allocation is None:
-            self.forget(ply)
-        elif ply.allocation.state in (alloc.WAITING, alloc.OUT):
-            self.apply(ply, ply.allocation.viewer_left(*written(ply)))
-
-    def forget(self, ply: Attempt) -> None:
-        ply.stop_timers()
-        if self.attempts.pop(ply.id, None) is not None:
-            self.generations.drop(ply.generation)
+            self.watch("answer", play=attempt.id, answer=answer, product=attempt.request.product, tries=attempt.previous.attempts,
+                       own_ms=self.loop.read_clock() - attempt.requested_at - attempt.node_time_ms, first_ms=None, reason=reason)
+            attempt.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra=extra)
+        if attempt.allocation is None:
+            self.forget(attempt)
+        elif attempt.allocation.state in (allocation_machine.WAITING, allocation_machine.OUT):
+            self.apply(attempt, attempt.allocation.viewer_left(*bytes_written(attempt)))
+
+    def forget(self, attempt: Attempt) -> None:
+        attempt.stop_timers()
+        if self.attempts.pop(attempt.id, None) is not None:
+            self.generations.drop(attempt.generation)
 
     # Verdicts
 
-    def apply_verdict(self, verdict: face.Verdict) -> None:
+    def apply_verdict(self, verdict: interface.Verdict) -> None:
         if verdict.request_fleet_list:
-            return self.fleet.follow()
+            return self.fleet.request_list()
         for node in verdict.probe_nodes:
             self.probe(node)
         if verdict.notify_directors:
-            return self.post.send(verdict.notify_directors, peer_messages.pack(verdict.loads, verdict.shares))
-        ply = self.attempts.get(verdict.play)
-        if ply is None:
+            return self.messages.send(verdict.notify_directors, peer_messages.pack(verdict.loads, verdict.shares))
+        attempt = self.attempts.get(verdict.play)
+        if attempt is None:
             return
         if verdict.node is not None:
-            self.allocate(ply, verdict)
+            self.allocate(attempt, verdict)
         elif verdict.answer is not None:
-            ply.allocation = None
-            self.finish(ply, verdict.answer, ply.life.clamp_retry_after(verdict.retry_after_ms) if verdict.answer == face.DECLINED else None)
+            attempt.allocation = None
+            self.finish(attempt, verdict.answer, attempt.play_state.clamp_retry_after(verdict.retry_after_ms) if verdict.answer == interface.DECLINED else None)
         elif verdict.move:
-            self.remove_from_node(ply, MOVED)
+            self.remove_from_node(attempt, MOVED)
         elif verdict.rung is not None:
-            self.change_rung(ply, verdict.rung)
+            self.change_rung(attempt, verdict.rung)
 
     # Nodes and the list
 
     def make_link(self, node: int, address: tuple) -> Link:
         return Link(self.loop, node, address, self.name, self, self.tap)
 
-    def list_changed(self, lines: list, whole: bool, stopped: list[int]) -> None:
-        self.feed(self.controller.update_fleet, self.loop.now, lines, whole)
+    def list_changed(self, lines: list, complete: bool, stopped: list[int]) -> None:
+        self.feed(self.controller.update_fleet, self.loop.now, lines, complete)
         for node in stopped:
-            self.take_back(node)
+            self.withdraw_unsent_set_ups(node)
         self.fleet.drop_unused(lambda node: bool(self.attempts_by_node.get(node)))
-        self.room.keep_only(self.fleet.links)
+        self.concurrency.keep_only(self.fleet.links)
 
-    def take_back(self, node: int) -> None:
+    def withdraw_unsent_set_ups(self, node: int) -> None:
         """Set-ups of which no byte has left yet do not go to a node that drains."""
-        for name, ply in list(self.attempts_by_node.get(node, {}).items()):
-            call, a = ply.call, ply.allocation
-            if a.state == alloc.WAITING and (call is None or not call.written):
-                ply.call = None
+        for name, attempt in list(self.attempts_by_node.get(node, {}).items()):
+            call, allocation = attempt.call, attempt.allocation
+            if allocation.state == allocation_machine.WAITING and (call is None or not call.written):
+                attempt.call = None
                 if call is None or call.take_back():
-                    self.apply(ply, a.withdrawn())
+                    self.apply(attempt, allocation.withdrawn())
                 else:
-                    ply.call = call
+                    attempt.call = call
 
     def list_failed(self) -> None:
         self.watch("list failed")
@@ -308,30 +308,30 @@
     def session_up(self, link: Link) -> None:
         self.watch("session up", node=link.node)
 
-    def session_lost(self, link: Link, why: str) -> None:
-        self.watch("session lost", node=link.node, why=why)
-        for ply in list(self.attempts_by_node.get(link.node, {}).values()):
-            if written(ply)[0]:
-                ply.allocation.sent()
-            self.apply(ply, ply.allocation.session_lost())
+    def session_lost(self, link: Link, reason: str) -> None:
+        self.watch("session lost", node=link.node, why=reason)
+        for attempt in list(self.attempts_by_node.get(link.node, {}).values()):
+            if bytes_written(attempt)[0]:
+                attempt.allocation.sent()
+            self.apply(attempt, attempt.allocation.session_lost())
 
-    def node_said(self, link: Link, line: frames.NoteLine) -> None:
+    def notes_received(self, link: Link, line: frames.NoteLine) -> None:
         for name, kind, value in line.notes:
-            ply = self.attempts_by_allocation.get(name)
-            if self.observer is not None and kind == face.LINK_DEMAND:
+            attempt = self.attempts_by_allocation.get(name)
+            if self.observer is not None and kind == interface.LINK_DEMAND:
                 self.observer.asked_told(link.node, value)
-            self.feed(self.controller.update_play, self.loop.now, ply.id if ply else 0, link.node, kind, value)
+            self.feed(self.controller.update_play, self.loop.now, attempt.id if attempt else 0, link.node, kind, value)
         for name, how in line.ended:
-            if ply := self.attempts_by_allocation.get(name):
-                self.apply(ply, ply.allocation.node_ended(how == frames.FINISHED))
+            if attempt := self.attempts_by_allocation.get(name):
+                self.apply(attempt, attempt.allocation.node_ended(how == frames.FINISHED))
 
     def released(self, link: Link, released: dict, unknown: list) -> None:
         for name, ran in released.items():
-            if ply := self.attempts_by_allocation.get(name):
-                self.apply(ply, ply.allocation.released(ran))
+            if attempt := self.attempts_by_allocation.get(name):
+                self.apply(attempt, attempt.allocation.released(ran))
         for name in unknown:
-            if ply := self.attempts_by_allocation.get(name):
-                self.apply(ply, ply.allocation.node_ended(False))
+            if attempt := self.attempts_by_allocation.get(name):
+                self.apply(attempt, attempt.allocation.node_ended(False))
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
         """Keys of the file read again: the first signs from now on."""
@@ -353,11 +353,11 @@
         self.server.stop_accepting()
 
     def stop_plays(self) -> None:
-        for ply in list(self.attempts.values()):
-            self.remove_from_node(ply, STOPPED)
+        for attempt in list(self.attempts.values()):
+            self.remove_from_node(attempt, STOPPED)
 
     def shut_down(self) -> None:
         if self.loop.running:
             self.fleet.close()
-            self.post.close()
+            self.messages.close()
             self.loop.stop()
--- a/laddergw/director/frames.py
+++ b/laddergw/director/frames.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from laddergw import interface as face
+from laddergw import interface
 
-KEY_BYTES = 128            # a viewer's play key
-ROUTE_BYTES = 1_024       # of a route: an address with its query
-NODES_MOST = 100_000       # lines in one list frame
-MOST_ID = 2 ** 53          # whole numbers that every JSON reader keeps
+MAX_KEY_LENGTH = 128            # a viewer's play key
+MAX_ROUTE_LENGTH = 1_024       # of a route: an address with its query
+MAX_LIST_ENTRIES = 100_000       # lines in one list frame
+MAX_INTEGER = 2 ** 53          # whole numbers that every JSON reader keeps
 WHOLE, CHANGES, ALIVE = "whole", "changes", "alive"
-STATES = (face.READY, face.DRAINING, face.GONE)
-NOTES = (face.DELIVERED, face.LINK_DEMAND, face.UPLINK_DEMAND)
+STATES = (interface.READY, interface.DRAINING, interface.GONE)
+NOTES = (interface.DELIVERED, interface.LINK_DEMAND, interface.UPLINK_DEMAND)
 FINISHED, BROKEN, LEASE = "finished", "broken", "lease"    # how a node says that an allocation ended
 MISSING = object()
 
@@ -56,74 +56,74 @@
     address: tuple[str, int]
 
 
-def body_of(data: bytes, what: str) -> dict:
+def body_of(data: bytes, context: str) -> dict:
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MalformedFrame(f"{what}: not a JSON object: {error}") from None
+        raise MalformedFrame(f"{context}: not a JSON object: {error}") from None
 
 
-def number(frame: dict, key: str, what: str, default: Any = MISSING, low: float = 0.0, high: float = 1e15) -> float:
+def read_number(frame: dict, key: str, context: str, default: Any = MISSING, low: float = 0.0, high: float = 1e15) -> float:
     value = frame.get(key, MISSING)
     if value is MISSING or value is None and default is not MISSING:
         if default is MISSING:
-            raise MalformedFrame(f"{what}: {key} is missing")
+            raise MalformedFrame(f"{context}: {key} is missing")
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise MalformedFrame(f"{what}: {key} is not a number: {str(value)[:40]}")
+        raise MalformedFrame(f"{context}: {key} is not a number: {str(value)[:40]}")
     if not low <= value <= high:
-        raise MalformedFrame(f"{what}: {key} is {value}, from {low:g} to {high:g} is taken")
+        raise MalformedFrame(f"{context}: {key} is {value}, from {low:g} to {high:g} is taken")
     return value
 
 
-def whole(frame: dict, key: str, what: str, default: Any = MISSING, low: int = 0, high: int = MOST_ID) -> int:
-    value = number(frame, key, what, default, low, high)
+def read_integer(frame: dict, key: str, context: str, default: Any = MISSING, low: int = 0, high: int = MAX_INTEGER) -> int:
+    value = read_number(frame, key, context, default, low, high)
     if value is not default and not isinstance(value, int):
-        raise MalformedFrame(f"{what}: {key} is not a whole number: {value}")
+        raise MalformedFrame(f"{context}: {key} is not a whole number: {value}")
     return value
 
 
-def word(frame: dict, key: str, what: str, default: Any = MISSING, most: int = KEY_BYTES, among: tuple = ()) -> str:
+def read_text(frame: dict, key: str, context: str, default: Any = MISSING, max_length: int = MAX_KEY_LENGTH, choices: tuple = ()) -> str:
     value = frame.get(key, default)
     if value is MISSING:
-        raise MalformedFrame(f"{what}: {key} is missing")
+        raise MalformedFrame(f"{context}: {key} is missing")
     if value is default and value is None:
         return value
-    if not isinstance(value, str) or not value or len(value) > most:
-        raise MalformedFrame(f"{what}: {key} is not a word of 1 to {most} characters")
-    if among and value not in among:
-        raise MalformedFrame(f"{what}: {key} is {value!r}, not one of {', '.join(among)}")
+    if not isinstance(value, str) or not value or len(value) > max_length:
+        raise MalformedFrame(f"{context}: {key} is not a word of 1 to {max_length} characters")
+    if choices and value not in choices:
+        raise MalformedFrame(f"{context}: {key} is {value!r}, not one of {', '.join(choices)}")
     return value
 
 
-def rows(frame: dict, key: str, what: str, size: int | None = None) -> list:
+def read_rows(frame: dict, key: str, context: str, size: int | None = None) -> list:
     value = frame.get(key, [])
     if not isinstance(value, list) or size is not None and any(
             not isinstance(row, list) or len(row) != size for row in value):
-        raise MalformedFrame(f"{what}: {key} is not a list" + (f" of rows of {size}" if size else ""))
+        raise MalformedFrame(f"{context}: {key} is not a list" + (f" of rows of {size}" if size else ""))
     return value
 
 
 # Viewers and the director
 
 def read_request(data: bytes) -> Request:
-    frame, what = body_of(data, "play request"), "play request"
+    frame, context = body_of(data, "play request"), "play request"
     return Request(
-        word(frame, "key", what), word(frame, "product", what), whole(frame, "title", what),
-        number(frame, "home", what, 0.0, 0, 1e6), number(frame, "copies", what, 0.0, 0, 1e6),
-        number(frame, "ceiling", what, 1e3, 0, 1e6), number(frame, "length_ms", what, None, 1, 1e9),
-        number(frame, "wait_ms", what, low=1, high=600_000), word(frame, "token", what, None, 1_024),
-        number(frame, "unsettled_ms", what, 0.0, 0, 600_000), word(frame, "route", what, "/", ROUTE_BYTES))
+        read_text(frame, "key", context), read_text(frame, "product", context), read_integer(frame, "title", context),
+        read_number(frame, "home", context, 0.0, 0, 1e6), read_number(frame, "copies", context, 0.0, 0, 1e6),
+        read_number(frame, "ceiling", context, 1e3, 0, 1e6), read_number(frame, "length_ms", context, None, 1, 1e9),
+        read_number(frame, "wait_ms", context, low=1, high=600_000), read_text(frame, "token", context, None, 1_024),
+        read_number(frame, "unsettled_ms", context, 0.0, 0, 600_000), read_text(frame, "route", context, "/", MAX_ROUTE_LENGTH))
 
 
 def read_resume(frame: dict) -> tuple[float, bool]:
     """Where a session's viewer goes on: programme time that it has seen, ms, and whether an item was cut short there."""
-    found, what = frame.get("resume"), "session request: resume"
+    found, context = frame.get("resume"), "session request: resume"
     if found is None:
         return 0.0, False
     if not isinstance(found, dict) or not isinstance(found.get("cut", False), bool):
-        raise MalformedFrame(f"{what} is not {{from_ms, cut}}")
-    return number(found, "from_ms", what, low=0, high=1e9), found.get("cut", False)
+        raise MalformedFrame(f"{context} is not {{from_ms, cut}}")
+    return read_number(found, "from_ms", context, low=0, high=1e9), found.get("cut", False)
 
 
 def playing(token: str, node: int, address: tuple, allocation: str, rung: int, rate: float) -> bytes:
@@ -140,8 +140,8 @@
     return encode(frame) + b"\n"
 
 
-def event(what: str, **facts) -> bytes:
-    return encode({"event": what, **facts}) + b"\n"
+def event(name: str, **facts) -> bytes:
+    return encode({"event": name, **facts}) + b"\n"
 
 
 def error_body(text: str) -> bytes:
@@ -160,7 +160,7 @@
     return encode({"session": session, "until": round(until, 3), "confirm": confirm, "release": release, "rungs": rungs})
 
 
-def read_report(frame: dict, names: tuple, what: str) -> tuple:
+def read_report(frame: dict, names: tuple, context: str) -> tuple:
     """The load report in an answer, in the order of the deployment's names; () where there is none. A value that is
     no number becomes infinite, which the module takes for no word."""
     report = frame.get("report")
@@ -172,8 +172,8 @@
 
 def read_set_up_answer(data: bytes, names: tuple) -> tuple[tuple, list]:
     """The report and the notes (kind, value) that come with a node's answer."""
-    frame, what = body_of(data, "set-up answer"), "set-up answer"
-    return read_report(frame, names, what), [read_note(row, what, 0) for row in rows(frame, "notes", what, 2)]
+    frame, context = body_of(data, "set-up answer"), "set-up answer"
+    return read_report(frame, names, context), [read_note(row, context, 0) for row in read_rows(frame, "notes", context, 2)]
 
 
 def read_probe_answer(data: bytes, names: tuple) -> tuple:
@@ -181,10 +181,10 @@
     return read_report(body_of(data, "probe answer"), names, "probe answer")
 
 
-def read_note(row: list, what: str, at: int) -> tuple[str, float]:
-    kind, value = row[at], row[at + 1]
+def read_note(row: list, context: str, index: int) -> tuple[str, float]:
+    kind, value = row[index], row[index + 1]
     if kind not in NOTES or isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise MalformedFrame(f"{what}: a note of {str(kind)[:20]!r}, {str(value)[:20]!r}")
+        raise MalformedFrame(f"{context}: a note of {str(kind)[:20]!r}, {str(value)[:20]!r}")
     return kind, float(value)
 
 
@@ -197,52 +197,52 @@
 
 
 def read_notes(line: bytes) -> NoteLine:
-    frame, what = body_of(line, "notes line"), "notes line"
-    ended = [(str(row[0]), str(row[1])) for row in rows(frame, "ended", what, 2)]
+    frame, context = body_of(line, "notes line"), "notes line"
+    ended = [(str(row[0]), str(row[1])) for row in read_rows(frame, "ended", context, 2)]
     for _, how in ended:
         if how not in (FINISHED, BROKEN, LEASE):
-            raise MalformedFrame(f"{what}: an allocation ended as {how[:20]!r}")
-    notes = [(row[0] if isinstance(row[0], str) else None, *read_note(row, what, 1)) for row in rows(frame, "notes", what, 3)]
-    return NoteLine(word(frame, "session", what, None), number(frame, "clock", what, None), notes, ended)
+            raise MalformedFrame(f"{context}: an allocation ended as {how[:20]!r}")
+    notes = [(row[0] if isinstance(row[0], str) else None, *read_note(row, context, 1)) for row in read_rows(frame, "notes", context, 3)]
+    return NoteLine(read_text(frame, "session", context, None), read_number(frame, "clock", context, None), notes, ended)
 
 
 def read_keep_answer(data: bytes) -> tuple[dict, list]:
     """What a keep brought: released allocations (whether they ran), and those that the node does not hold."""
-    frame, what = body_of(data, "keep answer"), "keep answer"
-    released = {str(row[0]): bool(row[1]) for row in rows(frame, "released", what, 2)}
-    return released, [str(name) for name in rows(frame, "unknown", what)]
+    frame, context = body_of(data, "keep answer"), "keep answer"
+    released = {str(row[0]): bool(row[1]) for row in read_rows(frame, "released", context, 2)}
+    return released, [str(name) for name in read_rows(frame, "unknown", context)]
 
 
 # The fleet list
 
 def read_list(line: bytes) -> tuple[str, int, list[NodeEntry]]:
     """(form, version, entries) of one frame of the list stream."""
-    frame, what = body_of(line, "list frame"), "list frame"
-    form = word(frame, "form", what, among=(WHOLE, CHANGES, ALIVE))
-    entries, seen = rows(frame, "nodes", what), set()
-    if len(entries) > NODES_MOST:
-        raise MalformedFrame(f"{what}: {len(entries)} nodes, {NODES_MOST} at most")
+    frame, context = body_of(line, "list frame"), "list frame"
+    form = read_text(frame, "form", context, choices=(WHOLE, CHANGES, ALIVE))
+    entries, seen = read_rows(frame, "nodes", context), set()
+    if len(entries) > MAX_LIST_ENTRIES:
+        raise MalformedFrame(f"{context}: {len(entries)} nodes, {MAX_LIST_ENTRIES} at most")
     found = []
     for index, entry in enumerate(entries):
-        found.append(read_entry(entry, f"{what}, node {index}"))
+        found.append(read_entry(entry, f"{context}, node {index}"))
         if found[-1].node in seen:
-            raise MalformedFrame(f"{what}, node {index}: {found[-1].node} stands twice")
+            raise MalformedFrame(f"{context}, node {index}: {found[-1].node} stands twice")
         seen.add(found[-1].node)
-    return form, whole(frame, "version", what, 0), found
+    return form, read_integer(frame, "version", context, 0), found
 
 
-def read_entry(entry: Any, what: str) -> NodeEntry:
+def read_entry(entry: Any, context: str) -> NodeEntry:
     if not isinstance(entry, dict):
-        raise MalformedFrame(f"{what}: not an object")
+        raise MalformedFrame(f"{context}: not an object")
     address = entry.get("address")
     if (not isinstance(address, list) or len(address) != 2 or not isinstance(address[0], str)
             or isinstance(address[1], bool) or not isinstance(address[1], int) or not 0 < address[1] < 65_536):
-        raise MalformedFrame(f"{what}: address is not [host, port]")
+        raise MalformedFrame(f"{context}: address is not [host, port]")
     return NodeEntry(
-        whole(entry, "node", what), whole(entry, "cell", what, 0, 0, 1_000_000), number(entry, "weight", what, 1.0, 0, 1e9),
-        word(entry, "state", what, among=STATES), whole(entry, "incarnation", what, 0),
-        number(entry, "age_ms", what, None, 0, 1e12), whole(entry, "kind", what, 0, 0, 10_000),
-        whole(entry, "zone", what, 0, 0, 10_000), (address[0], address[1]))
+        read_integer(entry, "node", context), read_integer(entry, "cell", context, 0, 0, 1_000_000), read_number(entry, "weight", context, 1.0, 0, 1e9),
+        read_text(entry, "state", context, choices=STATES), read_integer(entry, "incarnation", context, 0),
+        read_number(entry, "age_ms", context, None, 0, 1e12), read_integer(entry, "kind", context, 0, 0, 10_000),
+        read_integer(entry, "zone", context, 0, 0, 10_000), (address[0], address[1]))
 
 
 def list_frame(form: str, version: int, entries: list[NodeEntry]) -> bytes:
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -16,11 +16,11 @@
 from laddergw.terms.loading import Loaded, load, load_file
 from laddergw.terms.sexpr import Fault, Place
 
-LOOK_MS = 250.0            # pace of looks: a change is in force within a second, its check aside
-GOOD = ".good"             # behind the file's name: the last version that was in force
-CHECK_MOST_MS = 30_000.0   # for a check: then it is given up and the file counts as refused
+POLL_INTERVAL_MS = 250.0            # pace of looks: a change is in force within a second, its check aside
+LAST_GOOD_SUFFIX = ".good"             # behind the file's name: the last version that was in force
+CHECK_TIMEOUT_MS = 30_000.0   # for a check: then it is given up and the file counts as refused
 
-Checked = Callable[[Loaded], None]
+CheckCallback = Callable[[Loaded], None]
 
 
 class InProcessCheck:
@@ -29,125 +29,125 @@
     def __init__(self, house):
         self.house = house
 
-    def check(self, data: bytes, name: str, done: Checked) -> None:
+    def check(self, data: bytes, name: str, done: CheckCallback) -> None:
         done(load(data, name, self.house))
 
 
 class SubprocessCheck:
     """Checks in a child process. One at a time; what came meanwhile is looked at again afterwards."""
 
-    def __init__(self, loop, house_path: str):
-        self.loop, self.house_path = loop, house_path
+    def __init__(self, loop, director_file: str):
+        self.loop, self.director_file = loop, director_file
 
-    def check(self, data: bytes, name: str, done: Checked) -> None:
-        asked, answer = tempfile.TemporaryFile(), tempfile.TemporaryFile()
-        asked.write(data)
-        asked.seek(0)
-        child = self.loop.spawn([sys.executable, "-m", "laddergw.terms.checking", self.house_path, name], lambda status: ended(status), stdin=asked, stdout=answer,
+    def check(self, data: bytes, name: str, done: CheckCallback) -> None:
+        request, answer = tempfile.TemporaryFile(), tempfile.TemporaryFile()
+        request.write(data)
+        request.seek(0)
+        child = self.loop.spawn([sys.executable, "-m", "laddergw.terms.checking", self.director_file, name], lambda status: ended(status), stdin=request, stdout=answer,
                                 stderr=subprocess.DEVNULL)
-        limit = self.loop.call_later(CHECK_MOST_MS, child.kill)
+        timeout = self.loop.call_later(CHECK_TIMEOUT_MS, child.kill)
 
         def ended(status: int) -> None:
-            limit.cancel()
+            timeout.cancel()
             answer.seek(0)
-            with asked, answer:
-                told = answer.read() if status == 0 else b""
-            done(pickle.loads(told) if told else Loaded(None, (Fault(Place(name, 1, 1), "", f"its check ended with {status}"),)))
+            with request, answer:
+                pickled = answer.read() if status == 0 else b""
+            done(pickle.loads(pickled) if pickled else Loaded(None, (Fault(Place(name, 1, 1), "", f"its check ended with {status}"),)))
 
 
 class LimitsFile:
     """See the module. `put(limits)` is called for each good version, `refused(texts)` once for each that is not."""
 
-    def __init__(self, loop, path: str, checker, put: Callable, refused: Callable[[list[str]], None], in_force: bytes | None):
-        self.loop, self.path, self.checker, self.put, self.refused = loop, path, checker, put, refused
+    def __init__(self, loop, path: str, checker, apply: Callable, reject: Callable[[list[str]], None], in_force: bytes | None):
+        self.loop, self.path, self.checker, self.apply, self.reject = loop, path, checker, apply, reject
         self.name = os.path.basename(path)
-        self.seen = self.settled = digest(in_force)      # of the last look, and of the last version that was dealt with
-        self.trouble, self.checking, self.data = "", False, b""
-        loop.call_later(LOOK_MS, self.look)
+        self.last_digest = self.handled_digest = digest(in_force)      # of the last look, and of the last version that was dealt with
+        self.last_error, self.checking, self.data = "", False, b""
+        loop.call_later(POLL_INTERVAL_MS, self.poll)
 
-    def look(self, at_once: bool = False) -> None:
+    def poll(self, immediately: bool = False) -> None:
         """One look; `at_once`: an operator says that the file is whole."""
-        if not at_once and self.loop.running:
-            self.loop.call_later(LOOK_MS, self.look)
+        if not immediately and self.loop.running:
+            self.loop.call_later(POLL_INTERVAL_MS, self.poll)
         if self.checking:
             return
         try:
             with open(self.path, "rb") as stream:
                 data = stream.read()
         except OSError as error:
-            return self.cannot(f"{self.name}: cannot be read: {error.strerror}")
-        self.trouble = ""
-        now = digest(data)
-        stable, self.seen = now == self.seen or at_once, now
-        if stable and now != self.settled:
-            self.settled, self.checking, self.data = now, True, data
+            return self.report_unreadable(f"{self.name}: cannot be read: {error.strerror}")
+        self.last_error = ""
+        current = digest(data)
+        stable, self.last_digest = current == self.last_digest or immediately, current
+        if stable and current != self.handled_digest:
+            self.handled_digest, self.checking, self.data = current, True, data
             self.checker.check(data, self.name, self.checked)
         return None
 
-    def cannot(self, why: str) -> None:
+    def report_unreadable(self, reason: str) -> None:
         """It is gone, or a directory: what is in force stays. Told once."""
-        self.seen = None
-        if why != self.trouble:
-            self.trouble = why
-            self.refused([why])
+        self.last_digest = None
+        if reason != self.last_error:
+            self.last_error = reason
+            self.reject([reason])
 
-    def bring(self, data: bytes, sure: Callable[[Limits], str | None], done: Callable[[list[str]], None]) -> None:
+    def bring(self, data: bytes, verify: Callable[[Limits], str | None], done: Callable[[list[str]], None]) -> None:
         """A version that came over a line: checked like the file, and held against `sure(limits)`; in force first, then on the disk, where it takes the
         file's place. Where it cannot be written the file's own version comes back with the next start. `done(faults)`."""
         if self.checking:
-            self.loop.call_later(LOOK_MS, lambda: self.bring(data, sure, done))
+            self.loop.call_later(POLL_INTERVAL_MS, lambda: self.bring(data, verify, done))
             return
 
         def checked(loaded: Loaded) -> None:
             self.checking = False
-            against = loaded.texts() if loaded.limits is None else list(filter(None, [sure(loaded.limits)]))
-            if not against:
-                self.put(loaded.limits)
+            faults = loaded.texts() if loaded.limits is None else list(filter(None, [verify(loaded.limits)]))
+            if not faults:
+                self.apply(loaded.limits)
                 if replace_file(self.path, data) is None:
-                    keep_good(self.path, data)
-                    self.seen = self.settled = digest(data)
-            done(against)
+                    save_last_good(self.path, data)
+                    self.last_digest = self.handled_digest = digest(data)
+            done(faults)
         self.checking = True
         self.checker.check(data, self.name, checked)
 
     def checked(self, loaded: Loaded) -> None:
         self.checking = False
         if loaded.limits is not None:
-            keep_good(self.path, self.data)
-            self.put(loaded.limits)
+            save_last_good(self.path, self.data)
+            self.apply(loaded.limits)
         else:
-            self.refused(loaded.texts())
+            self.reject(loaded.texts())
 
 
 def replace_file(path: str, data: bytes) -> str | None:
     """Writes a file whole, in one move; why not, where it cannot be written."""
-    fresh = f"{path}.{os.getpid()}.new"
+    temporary = f"{path}.{os.getpid()}.new"
     try:
-        with open(fresh, "wb") as stream:
+        with open(temporary, "wb") as stream:
             stream.write(data)
             stream.flush()
             os.fsync(stream.fileno())
-        os.replace(fresh, path)
+        os.replace(temporary, path)
     except OSError as error:
         with contextlib.suppress(OSError):       # on a full disk a part of it lies there
-            os.unlink(fresh)
+            os.unlink(temporary)
         return f"cannot be written: {error.strerror}"
     return None
 
 
-def keep_good(path: str, data: bytes) -> None:
+def save_last_good(path: str, data: bytes) -> None:
     """A copy beside the file, for a director that starts while the file is being mended. Where it cannot be written, none is kept."""
-    replace_file(path + GOOD, data)
+    replace_file(path + LAST_GOOD_SUFFIX, data)
 
 
-def at_start(path: str, house) -> tuple[Loaded, list[str]]:
+def load_at_start(path: str, house) -> tuple[Loaded, list[str]]:
     """What a director starts with: the file, or where it is refused the last good copy; and what speaks against the file."""
     loaded = load_file(path, house)
     if loaded.limits is not None:
         with open(path, "rb") as stream:
-            keep_good(path, stream.read())
+            save_last_good(path, stream.read())
         return loaded, []
-    kept = load_file(path + GOOD, house)
+    kept = load_file(path + LAST_GOOD_SUFFIX, house)
     return (kept if kept.limits is not None else loaded), loaded.texts()
 
 
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -6,58 +6,58 @@
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
 
-KEEP_LIMIT_MS = 1_000.0    # a keep without an answer is sent again on a new connection
-PROBE_LIMIT_MS = 250.0     # a probe without an answer by then has failed
-OPEN_LIMIT_MS = 1_500.0    # the long answer's first line
-ONE = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
-SET_UPS = PoolLimits()
+KEEP_TIMEOUT_MS = 1_000.0    # a keep without an answer is sent again on a new connection
+PROBE_TIMEOUT_MS = 250.0     # a probe without an answer by then has failed
+OPEN_TIMEOUT_MS = 1_500.0    # the long answer's first line
+SINGLE_CONNECTION = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
+SET_UP_POOL_LIMITS = PoolLimits()
 
 
 class NodeEvents(Protocol):
     """Who is told of what a node says. Links in `dirty` have something to send: flush() is called at the turn's end."""
-    dirty: dict
+    links_to_flush: dict
     def session_up(self, link: "Link") -> None: ...
-    def session_lost(self, link: "Link", why: str) -> None: ...
-    def node_said(self, link: "Link", line: frames.NoteLine) -> None: ...
+    def session_lost(self, link: "Link", reason: str) -> None: ...
+    def notes_received(self, link: "Link", line: frames.NoteLine) -> None: ...
     def released(self, link: "Link", released: dict, unknown: list) -> None: ...
 
 
 class Link:
     """One node as the director reaches it."""
 
-    def __init__(self, loop, node: int, address: tuple[str, int], director: str, told: NodeEvents, tap: Callable | None = None):
-        self.loop, self.node, self.address, self.told, self.director = loop, node, address, told, director
-        self.notes = Pool(loop, address, ONE)
-        self.control = Pool(loop, address, ONE)
-        self.set_ups = Pool(loop, address, SET_UPS, tap)
-        self.probes = Pool(loop, address, ONE)
+    def __init__(self, loop, node: int, address: tuple[str, int], director: str, events: NodeEvents, tap: Callable | None = None):
+        self.loop, self.node, self.address, self.events, self.director = loop, node, address, events, director
+        self.notes = Pool(loop, address, SINGLE_CONNECTION)
+        self.control = Pool(loop, address, SINGLE_CONNECTION)
+        self.set_ups = Pool(loop, address, SET_UP_POOL_LIMITS, tap)
+        self.probes = Pool(loop, address, SINGLE_CONNECTION)
         self.session = Session(loop.now)
         self.confirms: dict[str, None] = {}
         self.releases: dict[str, None] = {}
         self.rungs: dict[str, tuple] = {}         # rung and rate, kB a second
-        self.held_up: list[Callable[[], None]] = []    # set-ups that wait for the session
+        self.waiting_for_session: list[Callable[[], None]] = []    # set-ups that wait for the session
         self.stream: Call | None = None
-        self.keeping: Call | None = None
-        self.sent: tuple = ()
+        self.keep_call: Call | None = None
+        self.sent_in_keep: tuple = ()
         self.closed = False
-        self.dying: Call | None = None       # old lease's end, while it is not known whether the node still holds plays
-        self.timer = self.limit = None
+        self.lease_end_timer: Call | None = None       # old lease's end, while it is not known whether the node still holds plays
+        self.redial_timer = self.open_timer = None
         self.open()
 
     # The long answer
 
     def open(self) -> None:
-        self.timer = None
+        self.redial_timer = None
         if self.closed:
             return
-        self.stream = self.notes.call("GET", f"/v1/notes?director={self.director}", b"", self.stream_ended, self.line)
-        self.limit = self.loop.call_later(OPEN_LIMIT_MS, self.open_late)
+        self.stream = self.notes.call("GET", f"/v1/notes?director={self.director}", b"", self.stream_ended, self.line_received)
+        self.open_timer = self.loop.call_later(OPEN_TIMEOUT_MS, self.open_timed_out)
 
-    def open_late(self) -> None:
+    def open_timed_out(self) -> None:
         if self.stream is not None and not self.session.up:
             self.stream.cut("no first line in time")
 
-    def line(self, line: bytes | None) -> None:
+    def line_received(self, line: bytes | None) -> None:
         if line is None:
             return
         try:
@@ -66,92 +66,92 @@
             return self.stream.cut(str(error))
         was_up = self.session.up
         if read.clock is not None:
-            self.session.ticked(self.loop.now, read.clock, read.session)
+            self.session.clock_received(self.loop.now, read.clock, read.session)
         if self.session.up and not was_up:
-            self.begun()
+            self.session_started()
         if read.notes or read.ended:
-            self.told.node_said(self, read)
+            self.events.notes_received(self, read)
 
-    def begun(self) -> None:
+    def session_started(self) -> None:
         """A session is up: it ends whatever the node held for the one before."""
-        self.limit.cancel()
-        self.over("a new session")
-        self.keep()
-        waiting, self.held_up = self.held_up, []
+        self.open_timer.cancel()
+        self.session_ended("a new session")
+        self.send_keep()
+        waiting, self.waiting_for_session = self.waiting_for_session, []
         for call in waiting:
             call()
-        self.told.session_up(self)
-        self.watch()
+        self.events.session_up(self)
+        self.check_session()
 
     def stream_ended(self, call: Call) -> None:
         """The long answer broke. The node sees that too and ends what it holds; until that is certain (a new session, no
         process there, or the lease's end) it may still hold plays."""
         self.stream = None
-        self.limit.cancel()
+        self.open_timer.cancel()
         lease_ends, was_up = self.session.lease_ends, self.session.up
-        pause = self.session.lost(self.loop.now)
+        pause = self.session.connection_lost(self.loop.now)
         if was_up:
-            self.forget()
+            self.clear_pending()
             pause = 0.0
-            self.dying = self.loop.call_at(lease_ends, lambda: self.over("its lease is over"))
+            self.lease_end_timer = self.loop.call_at(lease_ends, lambda: self.session_ended("its lease is over"))
         if call.refused:
-            self.over("no process there")
-        if not self.closed and self.timer is None:
-            self.timer = self.loop.call_later(pause, self.open)
+            self.session_ended("no process there")
+        if not self.closed and self.redial_timer is None:
+            self.redial_timer = self.loop.call_later(pause, self.open)
 
-    def over(self, why: str) -> None:
-        if self.dying is not None:
-            self.dying.cancel()
-            self.dying = None
-            self.told.session_lost(self, why)
+    def session_ended(self, reason: str) -> None:
+        if self.lease_end_timer is not None:
+            self.lease_end_timer.cancel()
+            self.lease_end_timer = None
+            self.events.session_lost(self, reason)
 
-    def forget(self) -> None:
+    def clear_pending(self) -> None:
         self.confirms.clear()
         self.releases.clear()
         self.rungs.clear()
-        if self.keeping is not None:
-            keeping, self.keeping = self.keeping, None
-            keeping.cut("session lost")
+        if self.keep_call is not None:
+            keep_call, self.keep_call = self.keep_call, None
+            keep_call.cut("session lost")
 
     # Keeps
 
-    def watch(self) -> None:
+    def check_session(self) -> None:
         """Keeps due and silence, at the pace of keeps."""
         if self.closed or not self.session.up:
             return
-        if self.session.over(self.loop.now):
+        if self.session.has_expired(self.loop.now):
             return self.stream.cut("the node is silent and its lease is over") if self.stream is not None else None
-        if self.session.due(self.loop.now):
-            self.keep()
-        self.loop.call_later(KEEP_MS / 4, self.watch)
+        if self.session.keep_due(self.loop.now):
+            self.send_keep()
+        self.loop.call_later(KEEP_MS / 4, self.check_session)
 
     def flush(self) -> None:
         """Sends what the turn has gathered, one keep at a time."""
-        if self.session.up and self.keeping is None and (self.confirms or self.releases or self.rungs):
-            if not self.session.silent(self.loop.now):
-                self.keep()
+        if self.session.up and self.keep_call is None and (self.confirms or self.releases or self.rungs):
+            if not self.session.is_silent(self.loop.now):
+                self.send_keep()
 
-    def keep(self) -> None:
-        if self.keeping is not None:
+    def send_keep(self) -> None:
+        if self.keep_call is not None:
             return
         now, session = self.loop.now, self.session
-        self.sent = list(self.confirms), list(self.releases), [(name, *rung) for name, rung in self.rungs.items()]
-        body = frames.keep(session.name, session.until(now, LEASE_MS), *self.sent)
-        session.keeping(now)
-        self.keeping = call = self.control.call("POST", "/v1/keep", body, self.kept)
-        self.loop.call_later(KEEP_LIMIT_MS, lambda: call.cut("no answer to a keep in time"))
-
-    def kept(self, call: Call) -> None:
-        if self.keeping is not call:
+        self.sent_in_keep = list(self.confirms), list(self.releases), [(name, *rung) for name, rung in self.rungs.items()]
+        body = frames.keep(session.name, session.node_time(now, LEASE_MS), *self.sent_in_keep)
+        session.keep_sent(now)
+        self.keep_call = call = self.control.call("POST", "/v1/keep", body, self.keep_answered)
+        self.loop.call_later(KEEP_TIMEOUT_MS, lambda: call.cut("no answer to a keep in time"))
+
+    def keep_answered(self, call: Call) -> None:
+        if self.keep_call is not call:
             return
-        self.keeping = None
-        self.told.dirty[self] = None
+        self.keep_call = None
+        self.events.links_to_flush[self] = None
         if call.status != 200:                   # told again with the next keep: all of it may be told twice
             if call.status == 409 and self.stream is not None:
                 self.stream.cut("the node does not know the session")
             return
-        self.session.kept()
-        confirms, releases, rungs = self.sent
+        self.session.keep_acknowledged()
+        confirms, releases, rungs = self.sent_in_keep
         for name in confirms:
             self.confirms.pop(name, None)
         for name in releases:
@@ -164,21 +164,21 @@
         except frames.MalformedFrame:
             return
         if released or unknown:
-            self.told.released(self, released, unknown)
+            self.events.released(self, released, unknown)
 
     def confirm(self, name: str) -> None:
         self.confirms[name] = None
-        self.told.dirty[self] = None
+        self.events.links_to_flush[self] = None
 
     def release(self, name: str) -> None:
         self.confirms.pop(name, None)
         self.rungs.pop(name, None)
         self.releases[name] = None
-        self.told.dirty[self] = None
+        self.events.links_to_flush[self] = None
 
     def rung(self, name: str, rung: int, rate: float) -> None:
         self.rungs[name] = rung, rate
-        self.told.dirty[self] = None
+        self.events.links_to_flush[self] = None
 
     # Set-ups
 
@@ -191,17 +191,17 @@
     def probe(self, done: Callable[[Call], None]) -> None:
         """Asks the node for its load."""
         call = self.probes.call("GET", "/v1/report", b"", done)
-        self.loop.call_later(PROBE_LIMIT_MS, lambda: call.cut("no answer to a probe in time"))
+        self.loop.call_later(PROBE_TIMEOUT_MS, lambda: call.cut("no answer to a probe in time"))
 
     def when_up(self, call: Callable[[], None]) -> None:
-        self.held_up.append(call)
+        self.waiting_for_session.append(call)
 
     def close(self) -> None:
         self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.redial_timer is not None:
+            self.redial_timer.cancel()
         if self.stream is not None:
             self.stream.cut("link closed")
-        self.forget()
+        self.clear_pending()
         for pool in self.notes, self.control, self.set_ups, self.probes:
             pool.close()
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -9,7 +9,7 @@
 
 from laddergw.terms import house as houses
 from laddergw.director.director import Director
-from laddergw.director.limits_file import SubprocessCheck, LimitsFile, at_start
+from laddergw.director.limits_file import LimitsFile, SubprocessCheck, load_at_start
 from laddergw.director.watching import Watcher, health, logger
 from laddergw.loop import signal_mask
 from laddergw.loop.sockets import SocketLoop
@@ -51,18 +51,18 @@
     except houses.Refused as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
         return
-    against = houses.switch_fault(director.house, house)
-    if against is None and limits is not None:
-        against = "; ".join(load_file(limits, house).texts()) or None
-    if against is not None:
-        log.error("file refused", faults=[against])
+    faults = houses.switch_fault(director.house, house)
+    if faults is None and limits is not None:
+        faults = "; ".join(load_file(limits, house).texts()) or None
+    if faults is not None:
+        log.error("file refused", faults=[faults])
         return
-    others = houses.other_changes(director.house, house)
+    for_restart = houses.other_changes(director.house, house)
     director.change_director_file(house)
-    log.info("keys changed", signs=house.keys[0][0], taken=[name for name, _ in house.keys], retired=sorted(house.retired), for_restart=others)
+    log.info("keys changed", signs=house.keys[0][0], taken=[name for name, _ in house.keys], retired=sorted(house.retired), for_restart=for_restart)
 
 
-def planner_side(director: Director, house: houses.House):
+def connect_to_planners(director: Director, house: houses.House):
     """The line to the planners that the file names; None where it names none."""
     if not house.planners:
         return None
@@ -75,23 +75,23 @@
     """At SIGHUP: the director's own file, and the limits at once."""
     reload_director_file(path, director, log, watch.path if watch is not None else None)
     if watch is not None:
-        watch.look(at_once=True)
+        watch.poll(immediately=True)
 
 
 def watch_limits(limits: str, path: str, director: Director, log) -> LimitsFile:
     """Each good version of the file takes effect, each refused one is told; both are counted and tapped."""
-    def put(found: Limits) -> None:
+    def apply(found: Limits) -> None:
         lines = director.change_limits(found)
         log.info("limits changed", generation=director.generations.current.number, changes=lines)
 
-    def refused(texts: list[str]) -> None:
+    def reject(texts: list[str]) -> None:
         director.limits_refused(texts)
         log.error("limits refused", faults=texts)
-    return LimitsFile(director.loop, limits, SubprocessCheck(director.loop, path), put, refused, None)
+    return LimitsFile(director.loop, limits, SubprocessCheck(director.loop, path), apply, reject, None)
 
 
-def run(path: str, level: str = "info", tap_file: str | None = None, source: str = "d", make: Callable = Director,
-        set_up: Callable = lambda director, log: None, limits: str | None = None) -> int:
+def run(path: str, level: str = "info", tap_file: str | None = None, source: str = "d", create: Callable = Director,
+        on_start: Callable = lambda director, log: None, limits: str | None = None) -> int:
     """Runs one director until it is told to stop. Returns the process's exit status: 2 where the file is refused. `make` is
     called as Director is; `set_up(director, log)` once it listens. `limits`: the operators' file, watched."""
     try:
@@ -101,22 +101,22 @@
         return EXIT_FILE
     loaded = None
     if limits is not None:
-        loaded, against = at_start(limits, house)
+        loaded, faults = load_at_start(limits, house)
         if loaded.limits is None:
-            print("\n".join(against), file=sys.stderr)
+            print("\n".join(faults), file=sys.stderr)
             return EXIT_FILE
     raise_descriptors()
     log = logger(level).bind(director=house.number)
-    if limits is not None and against:
-        log.error("limits refused at the start: the last good version is in force", faults=against)
+    if limits is not None and faults:
+        log.error("limits refused at the start: the last good version is in force", faults=faults)
     loop = SocketLoop()
     tap = None
     if tap_file is not None:
-        from laddergw.lab.tap import tap as taps     # only rehearsals tap: the laboratory stays out of service
-        tap = taps(source, TapFile(loop, tap_file).record)
+        from laddergw.lab.tap import tap as make_tap     # only rehearsals tap: the laboratory stays out of service
+        tap = make_tap(source, TapFile(loop, tap_file).record)
     watcher = Watcher(log, lambda: loop.now)
     try:
-        director = make(loop, house, tap=tap, watch=watcher.told, limits=loaded.limits if loaded else None)
+        director = create(loop, house, tap=tap, watch=watcher.event, limits=loaded.limits if loaded else None)
     except OSError as error:
         log.error("cannot listen", address=house.listen, error=str(error))
         return EXIT_FAILED
@@ -124,15 +124,15 @@
     director.pages["GET", "/healthz"] = health(director)
     for number in signal.SIGTERM, signal.SIGINT:
         loop.on_signal(number, director.stop)
-    side = planner_side(director, house)
-    if side is not None:
-        director.pages["GET", "/planner"] = side.page
+    planner_side = connect_to_planners(director, house)
+    if planner_side is not None:
+        director.pages["GET", "/planner"] = planner_side.page
     watch = watch_limits(limits, path, director, log) if limits is not None else None
-    if side is not None and watch is not None:
-        side.audit.brings(watch.bring)
+    if planner_side is not None and watch is not None:
+        planner_side.audit.brings(watch.bring)
     director.reload_files = lambda: reload_files(path, director, watch, log)
     loop.on_signal(signal.SIGHUP, director.reload_files)
-    set_up(director, log)
+    on_start(director, log)
     log.info("director runs", address=director.address, process=os.getpid())
     sys.stdout.write(f"ready {director.address[0]} {director.address[1]}\n")    # one write: whoever reads it may close
     sys.stdout.flush()
--- a/laddergw/director/watching.py
+++ b/laddergw/director/watching.py
@@ -12,9 +12,9 @@
 
 from laddergw.http.server import Exchange
 
-LINES_FULL = 200           # decision lines a second written whole; past that one of SAMPLE
-SAMPLE = 20
-LEAST_US, MOST_US, DIGITS = 1, 60_000_000, 3      # of the histograms
+MAX_LINES_PER_SECOND = 200           # decision lines a second written whole; past that one of SAMPLE
+SAMPLE_INTERVAL = 20
+MIN_RECORDED_US, MAX_RECORDED_US, DIGITS = 1, 60_000_000, 3      # of the histograms
 QUANTILES = (50, 90, 99, 99.9)
 
 
@@ -34,54 +34,54 @@
 
     def __init__(self, log, now: Callable[[], float]):
         self.log, self.now, self.registry = log, now, CollectorRegistry()
-        self.debug = log.isEnabledFor(logging.DEBUG) if hasattr(log, "isEnabledFor") else logging.getLogger("laddergw").isEnabledFor(logging.DEBUG)
-        self.second, self.lines, self.dropped = 0, 0, 0
+        self.debug_enabled = log.isEnabledFor(logging.DEBUG) if hasattr(log, "isEnabledFor") else logging.getLogger("laddergw").isEnabledFor(logging.DEBUG)
+        self.current_second, self.lines_this_second, self.lines_dropped = 0, 0, 0
         labels = dict(registry=self.registry)
         self.answers = Counter("laddergw_answers", "Final answers", ["product", "answer"], **labels)
         self.allocations = Counter("laddergw_allocations", "Set-ups sent out", ["further"], **labels)
         self.ends = Counter("laddergw_allocation_ends", "How allocations ended", ["outcome"], **labels)
         self.sessions = Counter("laddergw_sessions", "Node sessions", ["what"], **labels)
-        self.others = Counter("laddergw_events", "Other things of note", ["what"], **labels)
+        self.events = Counter("laddergw_events", "Other things of note", ["what"], **labels)
         self.gauges = {name: Gauge(f"laddergw_{name}", text, **labels) for name, text in (
             ("waiting", "Viewers that wait for an answer"), ("held", "Plays under way"), ("lag_ms", "Worst lateness of a loop turn"),
             ("nodes", "Nodes with a link"), ("bad_list_frames", "List frames refused"),
             ("limits_generation", "Generation of the operators' limits in force"), ("limits_older", "Older generations with plays"),
             ("limits_refused", "Files of limits refused"))}
-        self.own, self.first = HdrHistogram(LEAST_US, MOST_US, DIGITS), HdrHistogram(LEAST_US, MOST_US, DIGITS)
-        self.children: dict[tuple, Any] = {}
+        self.own_delay, self.first_frame = HdrHistogram(MIN_RECORDED_US, MAX_RECORDED_US, DIGITS), HdrHistogram(MIN_RECORDED_US, MAX_RECORDED_US, DIGITS)
+        self.labelled_counters: dict[tuple, Any] = {}
 
-    def child(self, metric: Counter, *labels: str):
-        found = self.children.get((metric, labels))
-        if found is None:
-            found = self.children[metric, labels] = metric.labels(*labels)
-        return found
+    def labelled(self, metric: Counter, *labels: str):
+        counter = self.labelled_counters.get((metric, labels))
+        if counter is None:
+            counter = self.labelled_counters[metric, labels] = metric.labels(*labels)
+        return counter
 
-    def told(self, what: str, **facts: Any) -> None:
+    def event(self, what: str, **facts: Any) -> None:
         if what == "answer":
-            self.child(self.answers, facts["product"], facts["answer"]).inc()
-            self.own.record_value(max(LEAST_US, min(MOST_US, int(facts["own_ms"] * 1000))))
+            self.labelled(self.answers, facts["product"], facts["answer"]).inc()
+            self.own_delay.record_value(max(MIN_RECORDED_US, min(MAX_RECORDED_US, int(facts["own_ms"] * 1000))))
             if facts["first_ms"] is not None:
-                self.first.record_value(max(LEAST_US, min(MOST_US, int(facts["first_ms"] * 1000))))
+                self.first_frame.record_value(max(MIN_RECORDED_US, min(MAX_RECORDED_US, int(facts["first_ms"] * 1000))))
         elif what == "allocate":
-            self.child(self.allocations, "yes" if facts["number"] else "no").inc()
+            self.labelled(self.allocations, "yes" if facts["number"] else "no").inc()
         elif what == "ended":
-            self.child(self.ends, facts["outcome"]).inc()
+            self.labelled(self.ends, facts["outcome"]).inc()
         elif what.startswith("session"):
-            self.child(self.sessions, what[8:]).inc()
+            self.labelled(self.sessions, what[8:]).inc()
         else:
-            self.child(self.others, what).inc()
-        if self.debug:
-            self.write(what, facts)
+            self.labelled(self.events, what).inc()
+        if self.debug_enabled:
+            self.log_event(what, facts)
 
     def write(self, what: str, facts: dict) -> None:
         second = int(self.now() / 1000)
-        if second != self.second:
-            if self.dropped:
-                self.log.info("lines sampled", left_out=self.dropped)
-            self.second, self.lines, self.dropped = second, 0, 0
-        self.lines += 1
-        if self.lines > LINES_FULL and self.lines % SAMPLE:
-            self.dropped += 1
+        if second != self.current_second:
+            if self.lines_dropped:
+                self.log.info("lines sampled", left_out=self.lines_dropped)
+            self.current_second, self.lines_this_second, self.lines_dropped = second, 0, 0
+        self.lines_this_second += 1
+        if self.lines_this_second > MAX_LINES_PER_SECOND and self.lines_this_second % SAMPLE_INTERVAL:
+            self.lines_dropped += 1
             return
         self.log.debug(what, **facts)
 
@@ -100,7 +100,7 @@
 
     def quantiles(self) -> bytes:
         lines = []
-        for name, histogram in (("own_delay_ms", self.own), ("first_frame_ms", self.first)):
+        for name, histogram in (("own_delay_ms", self.own_delay), ("first_frame_ms", self.first_frame)):
             lines.append(f"# TYPE laddergw_{name} summary")
             for q in QUANTILES:
                 lines.append(f'laddergw_{name}{{quantile="{q / 100:g}"}} {histogram.get_value_at_percentile(q) / 1000:g}')
@@ -112,8 +112,8 @@
     """200 while plays are taken, 503 before the first list, while the director stops, and while it may let nothing in, with the reason."""
 
     def page(exchange: Exchange) -> None:
-        ready, shut = bool(director.fleet.links) and not director.stopping, director.closed_rejection()
-        if ready and shut is not None:
-            return exchange.answer(503, b'{"ready": false, "why": "%s"}\n' % shut.reason.encode())
+        ready, rejection = bool(director.fleet.links) and not director.stopping, director.closed_rejection()
+        if ready and rejection is not None:
+            return exchange.answer(503, b'{"ready": false, "why": "%s"}\n' % rejection.reason.encode())
         exchange.answer(200 if ready else 503, b'{"ready": true}\n' if ready else b'{"ready": false}\n')
     return page
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from laddergw.director.limits_file import SubprocessCheck, InProcessCheck, LimitsFile, at_start
+from laddergw.director.limits_file import InProcessCheck, LimitsFile, SubprocessCheck, load_at_start
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.generations import Generations
 from laddergw.terms.house import read
@@ -124,7 +124,7 @@
         self.town.run(1_000)
         self.assertEqual([found.cold_pace.value for found in self.put], [0.8, 0.6])
         self.write("(limits (cold-pace 60))")
-        self.file.look(at_once=True)
+        self.file.poll(immediately=True)
         self.assertEqual(len(self.refused), 4)
 
     def test_a_check_beside_a_loop_on_sockets(self):
@@ -146,14 +146,14 @@
 
     def test_a_director_starts_with_the_last_good_version(self):
         house, path = LIVES, self.path
-        self.assertEqual(at_start(path, house)[1], [])
+        self.assertEqual(load_at_start(path, house)[1], [])
         self.write("(limits (cold-pace 0.5))")
         self.town.run(1_000)
         self.write("(limits (cold-pace")
-        loaded, against = at_start(path, house)
+        loaded, against = load_at_start(path, house)
         self.assertEqual((loaded.limits.cold_pace.value, len(against)), (0.5, 1))
         os.remove(path + ".good")
-        self.assertIsNone(at_start(path, house)[0].limits)
+        self.assertIsNone(load_at_start(path, house)[0].limits)
 
     def test_generations_go_with_their_last_play(self):
         kept = Generations(limits("(limits)"), 0.0)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -6,7 +6,7 @@
 from laddergw.terms import house as houses
 from laddergw.director.allocation_calls import LOST
 from laddergw.director.director import Director
-from laddergw.director.director_messages import STALE_MS, DirectorMessages
+from laddergw.director.director_messages import MAX_AGE_MS, DirectorMessages
 from laddergw.lab import move, script
 from laddergw.lab.audit import audit
 from laddergw.lab.plant import plant
@@ -113,7 +113,7 @@
         with self.assertRaisesRegex(peer_messages.MalformedMessage, "no peer"):
             self.post.read(body)                     # its own, come back
         self.post.number = 0                         # as its peer reads it
-        self.post.reach(((1, ("d1", 80)),))
+        self.post.set_peers(((1, ("d1", 80)),))
         self.assertEqual(self.post.read(body), (1, [(3, 0.5)], [(1, 0.9)]))
         for at in range(len(body)):
             changed = body[:at] + bytes([body[at] ^ 1]) + body[at + 1:]
@@ -123,7 +123,7 @@
                 pass
             with self.assertRaises(peer_messages.MalformedMessage):
                 self.post.read(body[:at])
-        self.wall += STALE_MS + 1
+        self.wall += MAX_AGE_MS + 1
         with self.assertRaisesRegex(peer_messages.MalformedMessage, "old"):
             self.post.read(body)
 
