--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -1,8 +1,8 @@
-"""One director: hosts the Controller, feeds it what happens on the sockets and carries out what it decides.
+"""One HTTP director: hosts the Controller, reports events on the sockets to it and carries out its verdicts.
 
-Order within a turn: all that was read is told, then timers, then `decide`; verdicts are carried out and what they
-bring at once (a set-up that cannot be sent) is decided again, a few rounds at most. Every try is answered in `finish`
-or `begin_play`, both through Attempt.settle, so that exactly one answer goes out whatever comes together.
+Order within a turn: all that was read is reported, then timers run, then `decide`; verdicts are carried out, and what fails at
+once (a set-up that cannot be sent) is decided again, a few rounds at most. Every attempt is answered in `finish` or
+`begin_play`, both through Attempt.claim_answer, so that exactly one answer is sent whatever events coincide.
 """
 import time
 from typing import Any, Callable
@@ -10,9 +10,8 @@
 
 from laddergw import interface, peer_messages
 from laddergw.control import Controller
-from laddergw.machines import allocation as allocation_machine
+from laddergw.machines import admission, allocation as allocation_machine
 from laddergw.director import frames, tokens
-from laddergw.machines import admission
 from laddergw.director.allocation_calls import MOVED, STOPPED, AllocationCalls, bytes_written
 from laddergw.director.fleet import Fleet
 from laddergw.terms.house import House
@@ -31,11 +30,11 @@
 
 
 def ignore_event(what: str, **facts: Any) -> None:
-    """The watcher of a director that nobody watches."""
+    """The `watch` callback of a director whose events nobody records."""
 
 
 class Director(AllocationCalls, ControllerHost):
-    """See the module. `wall` is the wall clock in ms, for tokens; `watch(what, **facts)` is told of each decision."""
+    """See the module. `wall` returns the wall clock in ms, for tokens; `watch(what, **facts)` is called for each decision."""
     controller_class = Controller
 
     def __init__(self, loop, house: House, wall: Callable[[], float] = lambda: time.time() * 1000,
@@ -50,20 +49,20 @@
         self.concurrency = ConcurrencyLimits(self.limits.adaptive)
         self.max_importance = max(product.importance for product in house.deployment.products)
         self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
-        self.name = f"d{house.number}-{crc32(b'%d %f' % (house.seed, loop.now)):08x}"    # of this process, not of its place
+        self.name = f"d{house.number}-{crc32(b'%d %f' % (house.seed, loop.now)):08x}"    # of this process; a successor gets another one
         self.attempts: dict[int, Attempt] = {}
         self.attempts_by_allocation: dict[str, Attempt] = {}
         self.attempts_by_node: dict[int, dict[str, Attempt]] = {}
         self.links_to_flush: dict[Link, None] = {}
         self.last_attempt_id = self.waiting = self.active_plays = self.random_draws = 0
         self.stopping = False
-        self.observer, self.closed_rejection = None, lambda: None    # of admissions, ends and notes: a planner's edge side; why nothing is let in at all
-        self.reload_files: Callable[[], None] = lambda: None    # what SIGHUP does
+        # `observer`: the connection to the planners, told of admissions, ends and notes; `closed_rejection()`: rejects every play, or None
+        self.observer, self.closed_rejection = None, lambda: None
+        self.reload_files: Callable[[], None] = lambda: None    # called on SIGHUP
         self.fleet = Fleet(loop, house.lists, str(house.number), self.make_link, self.list_changed, self.list_failed, tap)
         self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.max_connections), tap)
         self.address = self.server.address
-        self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request,
-                                                                             ("POST", "/v1/mail"): self.peer_message_received}
+        self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request, ("POST", "/v1/mail"): self.peer_message_received}
         self.messages = DirectorMessages(loop, house.number, house.peers, lambda: self.house.keys, wall)
         loop.on_turn_end(self.finish_turn)
         if not house.deployment.must_ask:
@@ -72,11 +71,11 @@
 
     @property
     def limits(self) -> Limits:
-        """The operators' file in force."""
+        """The operators' limits in force."""
         return self.generations.current.limits
 
     def change_limits(self, limits: Limits) -> list[str]:
-        """A checked file takes effect at this moment, for plays that come from now on; what it changes, a line each."""
+        """Puts a checked file in force for plays that are requested from now on; returns its changes, a line each."""
         changed = changes(self.limits, limits)
         self.generations.switch(limits, self.loop.now)
         self.budgets.configure(allowed(limits))
@@ -88,8 +87,8 @@
         return changed
 
     def change_director_file(self, house: House) -> None:
-        """The file read again: its keys, deployment and peers hold from now on; plays under way keep the terms that they were taken on.
-        What needs a restart stays as it is. The way back is the same step."""
+        """Puts the reloaded file's keys, deployment and peers in force; running plays keep the terms of their admission.
+        What needs a restart stays as it is. Going back to the former file is the same step."""
         self.change_keys(house.keys, house.retired)
         if (house.names, house.deployment, house.peers) == (self.house.names, self.house.deployment, self.house.peers):
             return
@@ -103,15 +102,15 @@
             self.tap("deployment changed", self.loop.now, {"products": list(house.names), "held": self.active_plays, "waiting": self.waiting})
 
     def limits_refused(self, texts: list[str]) -> None:
-        """A file was refused: what is in force stays."""
+        """Records a rejected file; the limits in force stay."""
         self.generations.refused += 1
         self.watch("limits refused", faults=len(texts), first=texts[0] if texts else "")
         if self.tap is not None:
             self.tap("limits refused", self.loop.now, {"faults": texts})
 
-    # Turns, and the module's failure
-
+    # Turns, and the controller's failure
     def finish_turn(self) -> None:
+        """Decides what is pending and sends what links have gathered; a stopping director exits after its last play."""
         self.decide()
         links_to_flush, self.links_to_flush = self.links_to_flush, {}
         for link in links_to_flush:
@@ -132,23 +131,25 @@
         self.loop.call_later(100, self.loop.stop)
 
     def random_fraction(self) -> float:
+        """The next number of a seeded series, in [0, 1)."""
         self.random_draws += 1
         return crc32(b"%d door %d" % (self.house.seed, self.random_draws)) / 2 ** 32
 
     # Viewers
-
     def serve(self, exchange: Exchange) -> None:
+        """Routes an HTTP request to its handler in `pages`."""
         page = self.pages.get((exchange.method, exchange.path))
         if page is not None:
             return page(exchange)
         known = any(path == exchange.path for _, path in self.pages)
-        exchange.answer(405 if known else 404, frames.error_body(f"no {exchange.method} {exchange.path[:80]} here"))
+        exchange.answer(405 if known else 404, frames.error_body(f"no resource for {exchange.method} {exchange.path[:80]}"))
 
     def handle_play_request(self, exchange: Exchange) -> None:
+        """Answers a malformed request with 400; admits any other one, or rejects it with its final answer."""
         try:
             request = frames.read_request(exchange.body)
             if request.product not in self.products:
-                raise frames.MalformedFrame(f"play request: no product {request.product!r} here")
+                raise frames.MalformedFrame(f"play request: unknown product {request.product!r}")
         except frames.MalformedFrame as error:
             exchange.answer(400, frames.error_body(str(error)))
             return
@@ -159,7 +160,7 @@
         play_state = PlayState(effective.terms, retry_safety, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
         self.last_attempt_id += 1
         attempt = Attempt(self.last_attempt_id, exchange, request, product, self.previous_attempt(request), play_state, generation, budget_names(effective.rows, self.limits),
-                  self.house.deployment)
+                          self.house.deployment)
         product_row = self.house.deployment.products[product]
         nodes_overloaded = at_limit(self.waiting, self.concurrency.total_limit(self.ready_nodes()), product_row.importance, self.max_importance, attempt.previous.attempts)
         rejection = (admission.check_capacity(self.bounds, self.waiting, self.active_plays, self.stopping, self.random_fraction()) or admission.check_node_latency(nodes_overloaded, self.bounds, self.random_fraction())
@@ -178,7 +179,7 @@
         return [node for node, entry in self.fleet.entries.items() if entry.state == interface.READY] if self.concurrency.kind != OFF else []
 
     def previous_attempt(self, request: frames.Request) -> tokens.PreviousAttempt:
-        """What the viewer's token tells, this try counted; a token that is not taken makes a first try."""
+        """The attempts that the viewer's token tells, this one included; with a rejected token it is a first attempt."""
         wall = self.wall()
         if request.token is not None:
             try:
@@ -189,7 +190,7 @@
         return tokens.PreviousAttempt(request.key, wall, 1, False)
 
     def peer_message_received(self, exchange: Exchange) -> None:
-        """A message of another director. One that makes no sense is refused, told, and changes nothing."""
+        """Handles a message of another director. A malformed one is rejected, reported, and changes nothing."""
         try:
             sender, loads, shares = self.messages.read(exchange.body)
         except peer_messages.MalformedMessage as error:
@@ -199,16 +200,16 @@
         return self.feed(self.controller.receive_peer_report, self.loop.now, sender, loads, shares)
 
     def admit(self, attempt: Attempt) -> None:
+        """Passes an attempt on to the controller."""
         request, now = attempt.request, self.loop.now
         attempt.sent_to_controller = True
         if self.observer is not None:
             self.observer.admitted(attempt)
-        self.feed(self.controller.request_play, now, interface.PlayRequest(attempt.id, attempt.product, request.title, request.home, request.copies, request.ceiling,
-                                                                      request.length_ms, max(0.0, attempt.play_state.deadline - now),
-                                                                      attempt.previous.attempts > 1))
+        self.feed(self.controller.request_play, now, interface.PlayRequest(
+            attempt.id, attempt.product, request.title, request.home, request.copies, request.ceiling, request.length_ms, max(0.0, attempt.play_state.deadline - now), attempt.previous.attempts > 1))
 
     def answer_overdue(self, attempt: Attempt) -> None:
-        """The last guard of the one answer: what holds it up is not known here, so it is failed."""
+        """Fails an attempt that is unanswered at its deadline: the last guard, whatever has delayed the answer."""
         attempt.answer_timer = None
         if not attempt.answered and not attempt.viewer_gone:
             self.watch("overdue", play=attempt.id)
@@ -217,7 +218,7 @@
             self.finish(attempt, interface.FAILED, None, "time limit")
 
     def viewer_left(self, attempt: Attempt) -> None:
-        """The viewer's connection ended, before its answer or while it plays."""
+        """Handles the end of the viewer's connection, before its answer or during its play."""
         if attempt.viewer_gone:
             return
         attempt.viewer_gone = True
@@ -229,14 +230,14 @@
         self.end_allocation(attempt)
 
     def end_allocation(self, attempt: Attempt) -> None:
-        """Nobody wants the try's allocation any more."""
+        """Ends the allocation of an attempt that nobody needs any more."""
         if attempt.allocation is None or attempt.allocation.state == allocation_machine.GONE:
             self.forget(attempt)
         else:
             self.apply(attempt, attempt.allocation.viewer_left(*bytes_written(attempt)))
 
     def finish(self, attempt: Attempt, answer: str, retry_ms: float | None, reason: str = "") -> None:
-        """The final answer of a try that does not play."""
+        """Answers an attempt that does not become a play."""
         if attempt.claim_answer():
             self.waiting -= 1
             token = tokens.sign(self.house.keys, attempt.previous._replace(may_have_run=attempt.previous.may_have_run or answer == interface.FAILED))
@@ -251,12 +252,12 @@
             self.apply(attempt, attempt.allocation.viewer_left(*bytes_written(attempt)))
 
     def forget(self, attempt: Attempt) -> None:
+        """Drops an attempt that has its answer and holds no allocation."""
         attempt.stop_timers()
         if self.attempts.pop(attempt.id, None) is not None:
             self.generations.drop(attempt.generation)
 
     # Verdicts
-
     def apply_verdict(self, verdict: interface.Verdict) -> None:
         if verdict.request_fleet_list:
             return self.fleet.request_list()
@@ -278,7 +279,6 @@
             self.change_rung(attempt, verdict.rung)
 
     # Nodes and the list
-
     def make_link(self, node: int, address: tuple) -> Link:
         return Link(self.loop, node, address, self.name, self, self.tap)
 
@@ -290,7 +290,7 @@
         self.concurrency.keep_only(self.fleet.links)
 
     def withdraw_unsent_set_ups(self, node: int) -> None:
-        """Set-ups of which no byte has left yet do not go to a node that drains."""
+        """Withdraws set-ups to a draining node of which no byte has been written yet."""
         for name, attempt in list(self.attempts_by_node.get(node, {}).items()):
             call, allocation = attempt.call, attempt.allocation
             if allocation.state == allocation_machine.WAITING and (call is None or not call.written):
@@ -334,14 +334,13 @@
                 self.apply(attempt, attempt.allocation.node_ended(False))
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
-        """Keys of the file read again: the first signs from now on."""
+        """Puts the keys of the reloaded file in force: the first signs from now on."""
         self.house = self.house._replace(keys=keys, retired=retired)
         self.watch("keys changed", signs=keys[0][0], taken=len(keys), retired=len(retired))
 
     # Stopping
-
     def stop(self) -> None:
-        """Takes nothing new, answers what waits, lets plays go on for a while, then takes them off and ends."""
+        """Admits nothing new, answers waiting viewers, lets plays run on for `finish_ms`, then ends them and exits."""
         if self.stopping:
             return
         self.stopping = True
@@ -357,6 +356,7 @@
             self.remove_from_node(attempt, STOPPED)
 
     def shut_down(self) -> None:
+        """Closes the connections to nodes, list and peers, and stops the loop."""
         if self.loop.running:
             self.fleet.close()
             self.messages.close()
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet as this director was told of it: list frames in order, one link a node, changes for the module."""
+"""A director's view of the fleet: reads the frames of the fleet list in order, keeps one link per node, and reports changes to the controller."""
 from typing import Callable
 
 from laddergw import interface
@@ -7,14 +7,17 @@
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
 
-LIST_LIMITS = PoolLimits(connections=1, waiting=2, connect_ms=500.0, answer_bytes=16_777_216)   # a whole list of 100 k nodes
-REDIAL_MS = 500.0          # pause before the list is asked for again: it may be out of reach for long
-SILENCE_TIMEOUT_MS = 15_000.0       # no frame, not even that it lives: asked for anew
+# `answer_bytes`: a complete list of 100 k nodes
+LIST_LIMITS = PoolLimits(connections=1, waiting=2, connect_ms=500.0, answer_bytes=16_777_216)
+# Pause before the list is requested again: its server may be unreachable for long
+REDIAL_MS = 500.0
+# Without any frame for so long, not even a sign of life, the list is requested again
+SILENCE_TIMEOUT_MS = 15_000.0
 
 
 class Fleet:
-    """The list stream and the links. `changed(lines, whole, stopped)` is called with the module's lines and the
-    nodes that get nothing new from now on; `failed()` when the list broke off."""
+    """The stream of the fleet list, and the links to its nodes. `on_change(lines, complete, stopped)` gets the controller's entries
+    and the nodes that get nothing new from now on; `on_failure()` is called when the stream has ended."""
 
     def __init__(self, loop, address, director: str, make_link: Callable[[int, tuple], Link],
                  on_change: Callable, on_failure: Callable[[], None], tap: Callable | None = None):
@@ -22,12 +25,12 @@
         self.pool, self.tap = Pool(loop, address, LIST_LIMITS), tap
         self.links: dict[int, Link] = {}
         self.entries: dict[int, frames.NodeEntry] = {}
-        self.process_starts: dict[int, tuple[int, float]] = {}     # incarnation and its start, our clock
+        self.process_starts: dict[int, tuple[int, float]] = {}     # incarnation, and its start by our clock
         self.version, self.stream, self.redial_timer, self.last_frame_at = None, None, None, loop.now
         self.bad_frames, self.closed, self.last_fault = 0, False, ""
 
     def request_list(self) -> None:
-        """Asks for the list and its changes, unless that is under way."""
+        """Requests the list and its changes, unless the stream is open."""
         if self.closed or self.stream is not None:
             return
         if self.redial_timer is not None:
@@ -38,19 +41,23 @@
         self.loop.call_later(SILENCE_TIMEOUT_MS, self.check_silence)
 
     def check_silence(self) -> None:
+        """Ends a stream without frames for SILENCE_TIMEOUT_MS."""
         if self.stream is None or self.closed:
             return
-        if self.loop.now >= self.last_frame_at + SILENCE_TIMEOUT_MS:       # the very sum that the timer was set to
+        # The same sum that the timer was set to, so that rounding cannot make it fire too early
+        if self.loop.now >= self.last_frame_at + SILENCE_TIMEOUT_MS:
             return self.stream.cut("the list is silent")
         self.loop.call_at(self.last_frame_at + SILENCE_TIMEOUT_MS, self.check_silence)
 
     def stream_ended(self, call: Call) -> None:
+        """Reports the failure and schedules the next request."""
         self.stream = None
         if not self.closed:
             self.on_failure()
             self.redial_timer = self.loop.call_later(REDIAL_MS, self.request_list)
 
     def frame_received(self, line: bytes | None) -> None:
+        """Applies one frame of the list. After a malformed or missing one the last valid list stays, and a complete list is requested."""
         if line is None:
             return
         self.last_frame_at = self.loop.now
@@ -58,7 +65,7 @@
             form, version, entries = frames.read_list(line)
             if form == frames.CHANGES and version != (self.version or -1) + 1:
                 raise frames.MalformedFrame(f"list frame: changes {version} after version {self.version}")
-        except frames.MalformedFrame as error:        # the last good list stands; a whole one is asked for
+        except frames.MalformedFrame as error:
             self.bad_frames += 1
             self.last_fault = str(error)
             return self.stream.cut(str(error))
@@ -70,6 +77,7 @@
         self.apply_entries(entries, form == frames.WHOLE)
 
     def apply_entries(self, entries: list[frames.NodeEntry], complete: bool) -> None:
+        """Applies the entries of a frame; nodes that a complete list leaves out are gone."""
         named = {entry.node for entry in entries}
         stopped = [node for node in self.links if node not in named] if complete else []
         lines = []
@@ -90,7 +98,7 @@
                 self.entries[node] = self.entries[node]._replace(state=interface.GONE)
 
     def controller_entry(self, entry: frames.NodeEntry) -> interface.NodeEntry:
-        """The module's line. A process's start is fixed when we first hear of it: told again it must stay the same."""
+        """The controller's form of an entry. A process's start is fixed at its first entry: it must not change with later ones."""
         known = self.process_starts.get(entry.node)
         if known is None or known[0] != entry.incarnation:
             start = 0.0 if entry.age_ms is None else max(0.0, self.loop.now - entry.age_ms)
@@ -98,11 +106,12 @@
         return interface.NodeEntry(entry.node, entry.cell, entry.weight, entry.state, known[1], entry.kind, entry.zone, entry.node)
 
     def drop_unused(self, is_used: Callable[[int], bool]) -> None:
-        """Closes the links of nodes that are gone and hold nothing of ours."""
+        """Closes the links of nodes that are gone and hold no allocation of ours."""
         for node in [n for n, link in self.links.items() if self.entries[n].state == interface.GONE and not is_used(n)]:
             self.links.pop(node).close()
 
     def close(self) -> None:
+        """Closes the stream and all links."""
         self.closed = True
         if self.stream is not None:
             self.stream.cut("closed")
--- a/laddergw/director/frames.py
+++ b/laddergw/director/frames.py
@@ -1,6 +1,6 @@
-"""The codec of the director's protocols: JSON bodies and lines to plain values and calls, and back.
+"""The codec of the director's protocols: decodes JSON bodies and lines, and encodes answers.
 
-Wire names end here; docs/protocol.md is the page they come from. A body that makes no sense raises MalformedFrame with
+No other module knows the names on the wire, which docs/protocol.md defines. A malformed body raises MalformedFrame with
 the place and the reason, and nothing of it is used.
 """
 import math
@@ -10,14 +10,14 @@
 
 from laddergw import interface
 
-MAX_KEY_LENGTH = 128            # a viewer's play key
-MAX_ROUTE_LENGTH = 1_024       # of a route: an address with its query
-MAX_LIST_ENTRIES = 100_000       # lines in one list frame
-MAX_INTEGER = 2 ** 53          # whole numbers that every JSON reader keeps
+MAX_KEY_LENGTH = 128       # of a viewer's play key, characters
+MAX_ROUTE_LENGTH = 1_024   # of a route, an address with its query, characters
+MAX_LIST_ENTRIES = 100_000
+MAX_INTEGER = 2 ** 53      # every JSON parser keeps integers up to this exactly
 WHOLE, CHANGES, ALIVE = "whole", "changes", "alive"
 STATES = (interface.READY, interface.DRAINING, interface.GONE)
 NOTES = (interface.DELIVERED, interface.LINK_DEMAND, interface.UPLINK_DEMAND)
-FINISHED, BROKEN, LEASE = "finished", "broken", "lease"    # how a node says that an allocation ended
+FINISHED, BROKEN, LEASE = "finished", "broken", "lease"    # ends of an allocation, as nodes report them
 MISSING = object()
 
 encode = msgspec.json.Encoder().encode
@@ -25,11 +25,11 @@
 
 
 class MalformedFrame(Exception):
-    """A body or line that cannot be used; the text names the place and the reason."""
+    """A body or line that cannot be used; the message names the place and the reason."""
 
 
 class Request(NamedTuple):
-    """What a viewer asks: its own key, the play's facts, and what it brings from earlier tries."""
+    """A viewer's request: its own key, what it wants to play, and what it tells of earlier attempts."""
     key: str
     product: str
     title: int
@@ -39,24 +39,25 @@
     length_ms: float | None
     wait_ms: float
     token: str | None
-    unsettled_ms: float     # so long may an earlier try still hold an allocation
-    route: str              # by which the operators' file finds its terms
+    unsettled_ms: float     # an earlier attempt may still hold an allocation for so long
+    route: str              # selects the terms in the operators' file
 
 
 class NodeEntry(NamedTuple):
-    """One node of a fleet list, with what only the wire needs beside the module's line."""
+    """One node of a fleet list: interface.NodeEntry with what only the wire needs."""
     node: int
     cell: int
     weight: float
     state: str
     incarnation: int
-    age_ms: float | None    # of its process; None: long ago
+    age_ms: float | None    # of its process; None: started long ago
     kind: int
     zone: int
     address: tuple[str, int]
 
 
 def body_of(data: bytes, context: str) -> dict:
+    """Decodes a JSON object; `context` names it in errors, here and in the functions below."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -64,6 +65,7 @@
 
 
 def read_number(frame: dict, key: str, context: str, default: Any = MISSING, low: float = 0.0, high: float = 1e15) -> float:
+    """A finite number between `low` and `high`; `default` if it is missing or null, an error if there is no default."""
     value = frame.get(key, MISSING)
     if value is MISSING or value is None and default is not MISSING:
         if default is MISSING:
@@ -72,41 +74,43 @@
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise MalformedFrame(f"{context}: {key} is not a number: {str(value)[:40]}")
     if not low <= value <= high:
-        raise MalformedFrame(f"{context}: {key} is {value}, from {low:g} to {high:g} is taken")
+        raise MalformedFrame(f"{context}: {key} is {value}, outside {low:g} to {high:g}")
     return value
 
 
 def read_integer(frame: dict, key: str, context: str, default: Any = MISSING, low: int = 0, high: int = MAX_INTEGER) -> int:
+    """As read_number, an integer."""
     value = read_number(frame, key, context, default, low, high)
     if value is not default and not isinstance(value, int):
-        raise MalformedFrame(f"{context}: {key} is not a whole number: {value}")
+        raise MalformedFrame(f"{context}: {key} is not an integer: {value}")
     return value
 
 
 def read_text(frame: dict, key: str, context: str, default: Any = MISSING, max_length: int = MAX_KEY_LENGTH, choices: tuple = ()) -> str:
+    """A string that is not empty, one of `choices` if there are any."""
     value = frame.get(key, default)
     if value is MISSING:
         raise MalformedFrame(f"{context}: {key} is missing")
     if value is default and value is None:
         return value
     if not isinstance(value, str) or not value or len(value) > max_length:
-        raise MalformedFrame(f"{context}: {key} is not a word of 1 to {max_length} characters")
+        raise MalformedFrame(f"{context}: {key} is not a string of 1 to {max_length} characters")
     if choices and value not in choices:
         raise MalformedFrame(f"{context}: {key} is {value!r}, not one of {', '.join(choices)}")
     return value
 
 
 def read_rows(frame: dict, key: str, context: str, size: int | None = None) -> list:
+    """A list, empty if it is missing; with `size`, of lists of that length."""
     value = frame.get(key, [])
-    if not isinstance(value, list) or size is not None and any(
-            not isinstance(row, list) or len(row) != size for row in value):
+    if not isinstance(value, list) or size is not None and any(not isinstance(row, list) or len(row) != size for row in value):
         raise MalformedFrame(f"{context}: {key} is not a list" + (f" of rows of {size}" if size else ""))
     return value
 
 
 # Viewers and the director
-
 def read_request(data: bytes) -> Request:
+    """Decodes a viewer's request for a play."""
     frame, context = body_of(data, "play request"), "play request"
     return Request(
         read_text(frame, "key", context), read_text(frame, "product", context), read_integer(frame, "title", context),
@@ -117,7 +121,7 @@
 
 
 def read_resume(frame: dict) -> tuple[float, bool]:
-    """Where a session's viewer goes on: programme time that it has seen, ms, and whether an item was cut short there."""
+    """Where a session resumes: programme time that its viewer has seen, ms, and whether an item was cut off there."""
     found, context = frame.get("resume"), "session request: resume"
     if found is None:
         return 0.0, False
@@ -127,8 +131,7 @@
 
 
 def playing(token: str, node: int, address: tuple, allocation: str, rung: int, rate: float) -> bytes:
-    return encode({"answer": "playing", "token": token, "node": node, "address": list(address), "allocation": allocation,
-                   "rung": rung, "rate_kb": rate}) + b"\n"
+    return encode({"answer": "playing", "token": token, "node": node, "address": list(address), "allocation": allocation, "rung": rung, "rate_kb": rate}) + b"\n"
 
 
 def not_playing(answer: str, token: str, retry_ms: float | None, reason: str = "") -> bytes:
@@ -149,20 +152,18 @@
 
 
 # The director and its nodes
-
-def set_up(session: str, allocation: str, play: str, product: str, title: int, rung: int, rate: float, until: float,
-           length_ms: float | None) -> bytes:
-    return encode({"session": session, "allocation": allocation, "play": play, "product": product, "title": title,
-                   "rung": rung, "rate_kb": rate, "until": round(until, 3), "length_ms": length_ms})
+def set_up(session: str, allocation: str, play: str, product: str, title: int, rung: int, rate: float, until: float, length_ms: float | None) -> bytes:
+    return encode({"session": session, "allocation": allocation, "play": play, "product": product, "title": title, "rung": rung, "rate_kb": rate, "until": round(until, 3), "length_ms": length_ms})
 
 
 def keep(session: str, until: float, confirm: list, release: list, rungs: list) -> bytes:
+    """A keep: renews the session's lease until `until` by the node's clock; `rungs`: (allocation, rung, kB/s)."""
     return encode({"session": session, "until": round(until, 3), "confirm": confirm, "release": release, "rungs": rungs})
 
 
 def read_report(frame: dict, names: tuple, context: str) -> tuple:
-    """The load report in an answer, in the order of the deployment's names; () where there is none. A value that is
-    no number becomes infinite, which the module takes for no word."""
+    """The load report in an answer, in the order of the deployment's names; () if there is none. A value that is not
+    a number becomes infinite, which the controller takes for no report."""
     report = frame.get("report")
     if not isinstance(report, dict):
         return ()
@@ -171,25 +172,25 @@
 
 
 def read_set_up_answer(data: bytes, names: tuple) -> tuple[tuple, list]:
-    """The report and the notes (kind, value) that come with a node's answer."""
+    """The load report and the notes (kind, value) in a node's answer."""
     frame, context = body_of(data, "set-up answer"), "set-up answer"
     return read_report(frame, names, context), [read_note(row, context, 0) for row in read_rows(frame, "notes", context, 2)]
 
 
 def read_probe_answer(data: bytes, names: tuple) -> tuple:
-    """The report in a node's answer to a probe."""
+    """The load report in a node's answer to a probe."""
     return read_report(body_of(data, "probe answer"), names, "probe answer")
 
 
 def read_note(row: list, context: str, index: int) -> tuple[str, float]:
     kind, value = row[index], row[index + 1]
     if kind not in NOTES or isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise MalformedFrame(f"{context}: a note of {str(kind)[:20]!r}, {str(value)[:20]!r}")
+        raise MalformedFrame(f"{context}: invalid note {str(kind)[:20]!r}, {str(value)[:20]!r}")
     return kind, float(value)
 
 
 class NoteLine(NamedTuple):
-    """One line of a node's long answer."""
+    """One line of a node's stream of notes."""
     session: str | None
     clock: float | None
     notes: list             # (allocation or None, kind, value)
@@ -197,26 +198,26 @@
 
 
 def read_notes(line: bytes) -> NoteLine:
+    """Decodes one line of a node's stream of notes."""
     frame, context = body_of(line, "notes line"), "notes line"
     ended = [(str(row[0]), str(row[1])) for row in read_rows(frame, "ended", context, 2)]
     for _, how in ended:
         if how not in (FINISHED, BROKEN, LEASE):
-            raise MalformedFrame(f"{context}: an allocation ended as {how[:20]!r}")
+            raise MalformedFrame(f"{context}: unknown end of an allocation {how[:20]!r}")
     notes = [(row[0] if isinstance(row[0], str) else None, *read_note(row, context, 1)) for row in read_rows(frame, "notes", context, 3)]
     return NoteLine(read_text(frame, "session", context, None), read_number(frame, "clock", context, None), notes, ended)
 
 
 def read_keep_answer(data: bytes) -> tuple[dict, list]:
-    """What a keep brought: released allocations (whether they ran), and those that the node does not hold."""
+    """The answer to a keep: released allocations (and whether each ran), and allocations that the node does not hold."""
     frame, context = body_of(data, "keep answer"), "keep answer"
     released = {str(row[0]): bool(row[1]) for row in read_rows(frame, "released", context, 2)}
     return released, [str(name) for name in read_rows(frame, "unknown", context)]
 
 
 # The fleet list
-
 def read_list(line: bytes) -> tuple[str, int, list[NodeEntry]]:
-    """(form, version, entries) of one frame of the list stream."""
+    """Returns (form, version, entries) of one frame of the list stream."""
     frame, context = body_of(line, "list frame"), "list frame"
     form = read_text(frame, "form", context, choices=(WHOLE, CHANGES, ALIVE))
     entries, seen = read_rows(frame, "nodes", context), set()
@@ -226,7 +227,7 @@
     for index, entry in enumerate(entries):
         found.append(read_entry(entry, f"{context}, node {index}"))
         if found[-1].node in seen:
-            raise MalformedFrame(f"{context}, node {index}: {found[-1].node} stands twice")
+            raise MalformedFrame(f"{context}, node {index}: {found[-1].node} is listed twice")
         seen.add(found[-1].node)
     return form, read_integer(frame, "version", context, 0), found
 
@@ -246,5 +247,4 @@
 
 
 def list_frame(form: str, version: int, entries: list[NodeEntry]) -> bytes:
-    return encode({"form": form, "version": version, "nodes": [dict(entry._asdict(), address=list(entry.address))
-                                                               for entry in entries]}) + b"\n"
+    return encode({"form": form, "version": version, "nodes": [dict(entry._asdict(), address=list(entry.address)) for entry in entries]}) + b"\n"
