--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -1,7 +1,7 @@
-"""Watches the operators' file and puts each good version in force: looked at twice a second and at SIGHUP, checked whole, switched at one moment.
+"""Watches the operators' file and puts each valid version in force: polled several times a second and at SIGHUP, checked as a whole, applied at one moment.
 
-A version is taken once two looks in a row saw the same, so that a file cut in mid-write is not taken for one. What cannot be read or is refused changes
-nothing; it is told once. The check runs beside the director: in a process of its own, or, in memory, at once.
+A version is used once two polls in a row have read the same, so that a half-written file is not taken for one. A file that cannot be read or is rejected
+changes nothing; it is reported once. The check runs in a child process, or, in memory, at once.
 """
 import contextlib
 import hashlib
@@ -16,30 +16,32 @@
 from laddergw.terms.loading import Loaded, load, load_file
 from laddergw.terms.sexpr import Fault, Place
 
-POLL_INTERVAL_MS = 250.0            # pace of looks: a change is in force within a second, its check aside
-LAST_GOOD_SUFFIX = ".good"             # behind the file's name: the last version that was in force
-CHECK_TIMEOUT_MS = 30_000.0   # for a check: then it is given up and the file counts as refused
+POLL_INTERVAL_MS = 250.0     # a change is in force within a second, not counting its check
+LAST_GOOD_SUFFIX = ".good"   # of a copy of the last version that was in force
+CHECK_TIMEOUT_MS = 30_000.0  # then the check is killed and the file counts as rejected
 
 CheckCallback = Callable[[Loaded], None]
 
 
 class InProcessCheck:
-    """Checks at once: for worlds in memory, where a check takes no time."""
+    """Checks at once, for simulations in memory, where a check takes no time."""
 
     def __init__(self, house):
         self.house = house
 
     def check(self, data: bytes, name: str, done: CheckCallback) -> None:
+        """Checks a version and calls `done` with the result."""
         done(load(data, name, self.house))
 
 
 class SubprocessCheck:
-    """Checks in a child process. One at a time; what came meanwhile is looked at again afterwards."""
+    """Checks in a child process, one version at a time; a version that comes meanwhile is read again afterwards."""
 
     def __init__(self, loop, director_file: str):
         self.loop, self.director_file = loop, director_file
 
     def check(self, data: bytes, name: str, done: CheckCallback) -> None:
+        """Starts the check of a version; `done` gets the result, or a fault if the child fails or runs into its time limit."""
         request, answer = tempfile.TemporaryFile(), tempfile.TemporaryFile()
         request.write(data)
         request.seek(0)
@@ -56,17 +58,18 @@
 
 
 class LimitsFile:
-    """See the module. `put(limits)` is called for each good version, `refused(texts)` once for each that is not."""
+    """See the module. `apply(limits)` is called for each valid version, `reject(texts)` once for each other one."""
 
     def __init__(self, loop, path: str, checker, apply: Callable, reject: Callable[[list[str]], None], in_force: bytes | None):
         self.loop, self.path, self.checker, self.apply, self.reject = loop, path, checker, apply, reject
         self.name = os.path.basename(path)
-        self.last_digest = self.handled_digest = digest(in_force)      # of the last look, and of the last version that was dealt with
+        # Of the last poll, and of the last version that was checked
+        self.last_digest = self.handled_digest = digest(in_force)
         self.last_error, self.checking, self.data = "", False, b""
         loop.call_later(POLL_INTERVAL_MS, self.poll)
 
     def poll(self, immediately: bool = False) -> None:
-        """One look; `at_once`: an operator says that the file is whole."""
+        """Reads the file; with `immediately`, an operator says that it is complete, and one reading is enough."""
         if not immediately and self.loop.running:
             self.loop.call_later(POLL_INTERVAL_MS, self.poll)
         if self.checking:
@@ -85,15 +88,15 @@
         return None
 
     def report_unreadable(self, reason: str) -> None:
-        """It is gone, or a directory: what is in force stays. Told once."""
+        """Reports, once, a file that is gone or a directory; what is in force stays."""
         self.last_digest = None
         if reason != self.last_error:
             self.last_error = reason
             self.reject([reason])
 
     def bring(self, data: bytes, verify: Callable[[Limits], str | None], done: Callable[[list[str]], None]) -> None:
-        """A version that came over a line: checked like the file, and held against `sure(limits)`; in force first, then on the disk, where it takes the
-        file's place. Where it cannot be written the file's own version comes back with the next start. `done(faults)`."""
+        """Takes in a version that came over the network: it is checked like the file and by `verify(limits)`, put in force, and then written to disk in
+        the file's place. If it cannot be written, the file's own version is in force again after the next start. Calls `done(faults)`."""
         if self.checking:
             self.loop.call_later(POLL_INTERVAL_MS, lambda: self.bring(data, verify, done))
             return
@@ -111,6 +114,7 @@
         self.checker.check(data, self.name, checked)
 
     def checked(self, loaded: Loaded) -> None:
+        """Handles the result of a check of the file."""
         self.checking = False
         if loaded.limits is not None:
             save_last_good(self.path, self.data)
@@ -120,7 +124,7 @@
 
 
 def replace_file(path: str, data: bytes) -> str | None:
-    """Writes a file whole, in one move; why not, where it cannot be written."""
+    """Replaces a file atomically; returns the reason if it cannot be written."""
     temporary = f"{path}.{os.getpid()}.new"
     try:
         with open(temporary, "wb") as stream:
@@ -129,19 +133,20 @@
             os.fsync(stream.fileno())
         os.replace(temporary, path)
     except OSError as error:
-        with contextlib.suppress(OSError):       # on a full disk a part of it lies there
+        # On a full disk a part of the file has been written
+        with contextlib.suppress(OSError):
             os.unlink(temporary)
         return f"cannot be written: {error.strerror}"
     return None
 
 
 def save_last_good(path: str, data: bytes) -> None:
-    """A copy beside the file, for a director that starts while the file is being mended. Where it cannot be written, none is kept."""
+    """Keeps a copy beside the file, for a director that starts while the file is being repaired; without one if it cannot be written."""
     replace_file(path + LAST_GOOD_SUFFIX, data)
 
 
 def load_at_start(path: str, house) -> tuple[Loaded, list[str]]:
-    """What a director starts with: the file, or where it is refused the last good copy; and what speaks against the file."""
+    """What a director starts with: the file, or the last good copy if the file is rejected; and the faults of the file."""
     loaded = load_file(path, house)
     if loaded.limits is not None:
         with open(path, "rb") as stream:
@@ -152,4 +157,5 @@
 
 
 def digest(data: bytes | None) -> str | None:
+    """SHA-256 of a version; None for none."""
     return None if data is None else hashlib.sha256(data).hexdigest()
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -1,4 +1,4 @@
-"""The director as a process: its file, signals, logs and metrics, and the tap that rehearsals read."""
+"""The director as a process: its file, signals, logs and metrics, and the recording that rehearsals read."""
 import os
 import resource
 import signal
@@ -17,35 +17,37 @@
 from laddergw.terms.loading import load_file
 
 EXIT_GOOD, EXIT_FAILED, EXIT_FILE = 0, 1, 2
-TAP_FLUSH_MS = 20.0        # a killed director loses at most so much of its records
+TAP_FLUSH_MS = 20.0        # a killed director loses at most this much of its records
 
 
 class TapFile:
-    """Records as JSON lines, written out at the end of each turn so that a kill loses little."""
+    """Writes records as JSON lines, at the end of each turn so that a kill loses little."""
 
     def __init__(self, loop, path: str):
         self.stream, self.lines, self.encode = open(path, "ab", buffering=0), [], msgspec.json.Encoder().encode
         loop.on_turn_end(self.flush)
 
     def record(self, what: str, now: float, **facts) -> None:
+        """Adds a record; it is written at the end of the turn."""
         self.lines.append(self.encode([now, what, facts]))
 
     def flush(self) -> None:
+        """Writes the records of this turn."""
         if self.lines:
             lines, self.lines = self.lines, []
             self.stream.write(b"\n".join(lines) + b"\n")
 
 
 def raise_descriptors() -> None:
-    """Each held play needs one: the soft limit goes up to the hard one."""
+    """Raises the soft limit of descriptors to the hard one: each running play needs a descriptor."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 def reload_director_file(path: str, director: Director, log, limits: str | None = None) -> None:
-    """The file anew, at SIGHUP: its keys, deployment and peers hold from now on; a refused file, or one that the limits in force do not fit,
-    changes nothing; the rest waits for a restart."""
+    """Reads the director's file again, at SIGHUP: its keys, deployment and peers are in force from now on; the rest needs a restart. A rejected
+    file, or one that the operators' limits do not fit, changes nothing."""
     try:
         house = houses.read_file(path)
     except houses.Refused as error:
@@ -63,7 +65,7 @@
 
 
 def connect_to_planners(director: Director, house: houses.House):
-    """The line to the planners that the file names; None where it names none."""
+    """Connects to the planners that the file names; None if it names none."""
     if not house.planners:
         return None
     from laddergw.loop.tls import client_context
@@ -72,14 +74,14 @@
 
 
 def reload_files(path: str, director: Director, watch: LimitsFile | None, log) -> None:
-    """At SIGHUP: the director's own file, and the limits at once."""
+    """Reads the director's own file and the operators' limits again, at SIGHUP."""
     reload_director_file(path, director, log, watch.path if watch is not None else None)
     if watch is not None:
         watch.poll(immediately=True)
 
 
 def watch_limits(limits: str, path: str, director: Director, log) -> LimitsFile:
-    """Each good version of the file takes effect, each refused one is told; both are counted and tapped."""
+    """Watches the operators' limits: applies each valid version and logs each rejected one; both are counted and recorded."""
     def apply(found: Limits) -> None:
         lines = director.change_limits(found)
         log.info("limits changed", generation=director.generations.current.number, changes=lines)
@@ -92,8 +94,8 @@
 
 def run(path: str, level: str = "info", tap_file: str | None = None, source: str = "d", create: Callable = Director,
         on_start: Callable = lambda director, log: None, limits: str | None = None) -> int:
-    """Runs one director until it is told to stop. Returns the process's exit status: 2 where the file is refused. `make` is
-    called as Director is; `set_up(director, log)` once it listens. `limits`: the operators' file, watched."""
+    """Runs one director until it is told to stop. Returns the process's exit status: 2 if a file is rejected. `create` is called
+    like Director, `on_start(director, log)` once it listens. `limits`: path of the operators' file, which is watched."""
     try:
         house = houses.read_file(path)
     except houses.Refused as error:
@@ -112,7 +114,8 @@
     loop = SocketLoop()
     tap = None
     if tap_file is not None:
-        from laddergw.lab.tap import tap as make_tap     # only rehearsals tap: the laboratory stays out of service
+        # Imported here since only rehearsals record: directors in service do not load the lab package
+        from laddergw.lab.tap import tap as make_tap
         tap = make_tap(source, TapFile(loop, tap_file).record)
     watcher = Watcher(log, lambda: loop.now)
     try:
@@ -134,10 +137,12 @@
     loop.on_signal(signal.SIGHUP, director.reload_files)
     on_start(director, log)
     log.info("director runs", address=director.address, process=os.getpid())
-    sys.stdout.write(f"ready {director.address[0]} {director.address[1]}\n")    # one write: whoever reads it may close
+    # A single write: the reader may close the pipe after it
+    sys.stdout.write(f"ready {director.address[0]} {director.address[1]}\n")
     sys.stdout.flush()
     loop.run()
-    signal_mask.block_signals()              # what comes to a process that ends must not end it otherwise
+    # A signal that comes now must not end the process with another status
+    signal_mask.block_signals()
     log.info("director ends", broken=director.broken)
     loop.close()
     return EXIT_FAILED if director.broken else EXIT_GOOD
--- a/laddergw/director/watching.py
+++ b/laddergw/director/watching.py
@@ -1,6 +1,6 @@
-"""Logs and metrics of a director: what it decided, told to structlog and to Prometheus; latency in HDR histograms.
+"""Logs and metrics of a director: its decisions go to structlog and Prometheus, latencies to HDR histograms.
 
-Decisions are lines at debug, one each, sampled once there are many; nothing is formatted that is not written.
+Each decision is one line at level debug, sampled once there are many; a line that is not written is not formatted either.
 """
 import logging
 import sys
@@ -12,14 +12,16 @@
 
 from laddergw.http.server import Exchange
 
-MAX_LINES_PER_SECOND = 200           # decision lines a second written whole; past that one of SAMPLE
+# Above this only one decision line of SAMPLE_INTERVAL is written
+MAX_LINES_PER_SECOND = 200
 SAMPLE_INTERVAL = 20
-MIN_RECORDED_US, MAX_RECORDED_US, DIGITS = 1, 60_000_000, 3      # of the histograms
+# Range and significant digits of the histograms
+MIN_RECORDED_US, MAX_RECORDED_US, DIGITS = 1, 60_000_000, 3
 QUANTILES = (50, 90, 99, 99.9)
 
 
 def logger(level: str, stream=None) -> structlog.stdlib.BoundLogger:
-    """One JSON line a record, on standard error; `level` as in logging."""
+    """A logger of one JSON line per record, on standard error; `level` as in logging."""
     logging.basicConfig(level=level.upper(), stream=stream or sys.stderr, format="%(message)s", force=True)
     structlog.configure(
         processors=[structlog.stdlib.filter_by_level, structlog.stdlib.add_log_level, structlog.stdlib.add_logger_name,
@@ -30,7 +32,7 @@
 
 
 class Watcher:
-    """Told by a director of everything it decides; serves what it counted."""
+    """Records and counts a director's decisions, and serves the counts."""
 
     def __init__(self, log, now: Callable[[], float]):
         self.log, self.now, self.registry = log, now, CollectorRegistry()
@@ -51,12 +53,14 @@
         self.labelled_counters: dict[tuple, Any] = {}
 
     def labelled(self, metric: Counter, *labels: str):
+        """The counter with these labels, kept for the next call."""
         counter = self.labelled_counters.get((metric, labels))
         if counter is None:
             counter = self.labelled_counters[metric, labels] = metric.labels(*labels)
         return counter
 
     def event(self, what: str, **facts: Any) -> None:
+        """Counts one event of the director and logs it at level debug."""
         if what == "answer":
             self.labelled(self.answers, facts["product"], facts["answer"]).inc()
             self.own_delay.record_value(max(MIN_RECORDED_US, min(MAX_RECORDED_US, int(facts["own_ms"] * 1000))))
@@ -73,7 +77,8 @@
         if self.debug_enabled:
             self.log_event(what, facts)
 
-    def write(self, what: str, facts: dict) -> None:
+    def log_event(self, what: str, facts: dict) -> None:
+        """Writes an event, unless the sampling of this second leaves it out."""
         second = int(self.now() / 1000)
         if second != self.current_second:
             if self.lines_dropped:
@@ -86,7 +91,7 @@
         self.log.debug(what, **facts)
 
     def page(self, director) -> Callable[[Exchange], None]:
-        """The metrics page in Prometheus' text form."""
+        """Returns the handler of the metrics page, in Prometheus' text format."""
 
         def metrics(exchange: Exchange) -> None:
             for name, value in (("waiting", director.waiting), ("held", director.active_plays), ("lag_ms", director.loop.max_lag_ms),
@@ -99,6 +104,7 @@
         return metrics
 
     def quantiles(self) -> bytes:
+        """The histograms in Prometheus' text format."""
         lines = []
         for name, histogram in (("own_delay_ms", self.own_delay), ("first_frame_ms", self.first_frame)):
             lines.append(f"# TYPE laddergw_{name} summary")
@@ -109,7 +115,7 @@
 
 
 def health(director) -> Callable[[Exchange], None]:
-    """200 while plays are taken, 503 before the first list, while the director stops, and while it may let nothing in, with the reason."""
+    """Returns the handler of the health page: 200 while plays are admitted; 503 before the first list, while the director stops, and, with the reason, while it may admit nothing."""
 
     def page(exchange: Exchange) -> None:
         ready, rejection = bool(director.fleet.links) and not director.stopping, director.closed_rejection()
