--- a/tests/broken.py
+++ b/tests/broken.py
@@ -1,106 +1,109 @@
-"""Directors broken on purpose, one for each rule: what the audit must catch."""
+"""Directors with a deliberate fault, one for each rule of the audit, which must detect them."""
 from functools import partial
 
-from laddergw import interface as face
+from laddergw import interface
 from laddergw.control import Controller
 from laddergw.control.plays import decline_or_fail
 from laddergw.director.director import Director
 
 
-class Silent(Director):
+class NeverAnswers(Director):
     """Rule 1: some viewers are never answered."""
 
-    def finish(self, ply, answer, retry_ms, reason=""):
-        if ply.id % 3:
-            super().finish(ply, answer, retry_ms, reason)
+    def finish(self, attempt, answer, retry_ms, reason=""):
+        if attempt.id % 3:
+            super().finish(attempt, answer, retry_ms, reason)
 
-    def answer_overdue(self, ply):
-        """Its last guard is gone too."""
+    def answer_overdue(self, attempt):
+        """Without the last guard, too."""
 
 
-class Twice(Director):
+class AnswersTwice(Director):
     """Rule 1: some viewers get two answers."""
 
-    def begin_play(self, ply):
-        super().begin_play(ply)
-        ply.exchange.push(b'{"answer": "playing", "node": 0, "rung": 0}\n')
+    def begin_play(self, attempt):
+        super().begin_play(attempt)
+        attempt.exchange.push(b'{"answer": "playing", "node": 0, "rung": 0}\n')
 
 
-class Hasty(Director):
-    """Rule 2: a set-up that is late is given up without its release or lease's end."""
+class SkipsReleases(Director):
+    """Rule 2: a set-up that has timed out is given up without a release and before its lease ends."""
 
-    def set_up_timed_out(self, ply, name):
-        ply.lease_timer = None
-        if ply.allocation is not None and ply.allocation.name == name:
-            ply.allocation.lease_ends_at += 10_000
-            ply.call = None
-            self.allocation_ended(ply, face.TIMED_OUT, ())
+    def set_up_timed_out(self, attempt, name):
+        attempt.lease_timer = None
+        if attempt.allocation is not None and attempt.allocation.name == name:
+            attempt.allocation.lease_ends_at += 10_000
+            attempt.call = None
+            self.allocation_ended(attempt, interface.TIMED_OUT, ())
 
-    def send_set_up(self, ply, link, name):
-        ply.allocation.lease_ends_at += 10_000
-        super().send_set_up(ply, link, name)
+    def send_set_up(self, attempt, link, name):
+        attempt.allocation.lease_ends_at += 10_000
+        super().send_set_up(attempt, link, name)
 
 
-class Deaf(Director):
-    """Rule 3: hears of drains and takes no notice."""
+class IgnoresDrains(Director):
+    """Rule 3: ignores drains."""
 
     def list_changed(self, lines, whole, stopped):
-        super().list_changed([line._replace(state=face.READY) for line in lines], False, [])
+        super().list_changed([line._replace(state=interface.READY) for line in lines], False, [])
 
 
-class Replaced(Controller):
-    """A module with stages of the chain replaced by what `stages` names, each called with (controller, now, play)."""
+class ReplacedStages(Controller):
+    """A controller that replaces the stages of its chain that `stages` names by functions of (controller, now, play)."""
     stages = {}
 
-    def __init__(self, *given):
-        super().__init__(*given)
-        self.chain = tuple((partial(self.stages[stage.__name__], self) if stage.__name__ in self.stages else stage, back)
-                           for stage, back in self.chain)
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.chain = tuple((partial(self.stages[stage.__name__], self) if stage.__name__ in self.stages else stage, undo)
+                           for stage, undo in self.chain)
 
 
-def any_health(c, now, ply):
-    """Takes no notice of rests and of the cold pace."""
-    return None if ply.candidates else decline_or_fail(c.fleet, ply)
+def any_node(controller, now, play):
+    """Ignores the back-off of nodes and the limited rate to cold ones."""
+    return None if play.candidates else decline_or_fail(controller.fleet, play)
 
 
-def coldest(c, now, ply):
-    cold = [node for node in ply.candidates if node.started_ms and now - node.started_ms < c.fleet.deployment.warm_ms]
-    ply.candidates = cold or ply.candidates
-    return any_health(c, now, ply)
+def coldest_nodes(controller, now, play):
+    """Chooses cold nodes if there are any."""
+    cold = [node for node in play.candidates if node.started_ms and now - node.started_ms < controller.fleet.deployment.warm_ms]
+    play.candidates = cold or play.candidates
+    return any_node(controller, now, play)
 
 
-def first_candidate(c, now, ply):
-    ply.rung, ply.candidates = ply.product.floor, ply.candidates[:1]
+def first_candidate(controller, now, play):
+    """Chooses the first node, at the lowest rung."""
+    play.rung, play.candidates = play.product.floor, play.candidates[:1]
 
 
-def no_seats(c, now, ply):
-    ply.product = ply.product._replace(seats=0)
-    return c.allocations.check_terms(now, ply)
+def unlimited_seats(controller, now, play):
+    """Removes the limit of plays per title."""
+    play.product = play.product._replace(seats=0)
+    return controller.allocations.check_terms(now, play)
 
 
-class Eager(Director):
-    """Rule 4: sends to the node that started last, at any pace."""
+class OverloadsColdNodes(Director):
+    """Rule 4: sends plays to cold nodes, at any rate."""
 
-    class controller_class(Replaced):
-        stages = {"filter_healthy": coldest, "choose_node": first_candidate}
+    class controller_class(ReplacedStages):
+        stages = {"filter_healthy": coldest_nodes, "choose_node": first_candidate}
 
 
-class Lowest(Director):
+class PlaysLowestRung(Director):
     """Rule 5: plays everything at the lowest rung."""
 
     def apply_verdict(self, verdict):
         super().apply_verdict(verdict._replace(rung=0) if verdict.node is not None else verdict)
 
 
-class Seatless(Director):
-    """Rule 5: does not count seats."""
+class IgnoresSeats(Director):
+    """Rule 5: ignores the limit of plays per title (seats)."""
 
-    class controller_class(Replaced):
-        stages = {"check_terms": no_seats}
+    class controller_class(ReplacedStages):
+        stages = {"check_terms": unlimited_seats}
 
 
-class Spendthrift(Director):
-    """Rule 6: further allocations without a budget."""
+class IgnoresBudgets(Director):
+    """Rule 6: retries without a retry budget."""
 
-    class controller_class(Replaced):
-        stages = {"check_retry_budget": lambda c, now, ply: None, "filter_healthy": any_health}
+    class controller_class(ReplacedStages):
+        stages = {"check_retry_budget": lambda controller, now, play: None, "filter_healthy": any_node}
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -56,31 +56,31 @@
         self.assertTrue(all(b.evidence for b in judged.breaks))
 
     def test_viewers_left_without_an_answer(self):
-        self.caught(broken.Silent, "answers", lambda p: [], load=1.6)
+        self.caught(broken.NeverAnswers, "answers", lambda p: [], load=1.6)
 
     def test_two_answers(self):
-        self.caught(broken.Twice, "answers", lambda p: [])
+        self.caught(broken.AnswersTwice, "answers", lambda p: [])
 
     def test_two_allocations_out(self):
-        self.caught(broken.Hasty, "once", lambda p: [script.Trouble(3_000, "late", node.node, 1_500.0) for node in p.nodes])
+        self.caught(broken.SkipsReleases, "once", lambda p: [script.Trouble(3_000, "late", node.node, 1_500.0) for node in p.nodes])
 
     def test_set_ups_after_a_drain_was_told(self):
-        self.caught(broken.Deaf, "drains", lambda p: [script.Trouble(1_000, "replace", node.node, 8_000.0) for node in p.nodes[:6]])
+        self.caught(broken.IgnoresDrains, "drains", lambda p: [script.Trouble(1_000, "replace", node.node, 8_000.0) for node in p.nodes[:6]])
 
     def test_a_cold_node_pushed_over(self):
         nodes = tuple(facts._replace(streams=10) for facts in small(5).nodes)
-        self.caught(broken.Eager, "cold", lambda p: [script.Trouble(2_000, "replace", node.node, 500.0) for node in p.nodes[:2]],
+        self.caught(broken.OverloadsColdNodes, "cold", lambda p: [script.Trouble(2_000, "replace", node.node, 500.0) for node in p.nodes[:2]],
                     plan={"nodes": nodes, "streams": (10,)})
 
     def test_rungs_under_the_floor(self):
-        self.caught(broken.Lowest, "terms", lambda p: [])
+        self.caught(broken.PlaysLowestRung, "terms", lambda p: [])
 
     def test_more_plays_than_seats(self):
         wares = tuple(w._replace(seats=1) for w in small(5).wares)
-        self.caught(broken.Seatless, "terms", lambda p: [], plan={"wares": wares})
+        self.caught(broken.IgnoresSeats, "terms", lambda p: [], plan={"wares": wares})
 
     def test_too_many_further_allocations(self):
-        self.caught(broken.Spendthrift, "budget",
+        self.caught(broken.IgnoresBudgets, "budget",
                     lambda p: [script.Trouble(2_000, "errors", node.node, 0.9) for node in p.nodes],
                     plan={"budget": (1.0, 0.05, 10_000.0)})
 
