--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -164,8 +164,8 @@
         product_row = self.house.deployment.products[product]
         nodes_overloaded = at_limit(self.waiting, self.concurrency.total_limit(self.ready_nodes()), product_row.importance, self.max_importance, attempt.previous.attempts)
         rejection = (admission.check_capacity(self.bounds, self.waiting, self.active_plays, self.stopping, self.random_fraction()) or admission.check_node_latency(nodes_overloaded, self.bounds, self.random_fraction())
-                  or admission.check_earlier_attempt(retry_safety == "paid", attempt.previous.may_have_run) or play_state.check_viewer_attempts(attempt.previous.attempts)
-                  or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.closed_rejection())
+                     or admission.check_earlier_attempt(retry_safety == "paid", attempt.previous.may_have_run) or play_state.check_viewer_attempts(attempt.previous.attempts)
+                     or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.closed_rejection())
         self.attempts[attempt.id] = attempt
         self.waiting += 1
         exchange.on_gone = lambda: self.viewer_left(attempt)
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -44,9 +44,9 @@
         """Ends a stream without frames for SILENCE_TIMEOUT_MS."""
         if self.stream is None or self.closed:
             return
-        # The same sum that the timer was set to, so that rounding cannot make it fire too early
+        # Compared with exactly the sum that the timer is set to
         if self.loop.now >= self.last_frame_at + SILENCE_TIMEOUT_MS:
-            return self.stream.cut("the list is silent")
+            return self.stream.cut("no list frame in time")
         self.loop.call_at(self.last_frame_at + SILENCE_TIMEOUT_MS, self.check_silence)
 
     def stream_ended(self, call: Call) -> None:
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -1,6 +1,7 @@
 """The director's connections to one node: the stream of notes, keeps, set-ups and probes. No decision is made here.
 
-The stream of notes is the long answer to one request; a session lasts as long as it does, see session.py.
+The stream of notes is the long answer to one request; a session lasts as long as it does, see session.py. A keep renews the session's lease and
+carries confirmations, releases and changes of rungs.
 """
 from typing import Callable, Protocol
 
