--- a/laddergw/cli/fleet.py
+++ b/laddergw/cli/fleet.py
@@ -15,11 +15,11 @@
 
 
 def read(house: Path):
-    from laddergw.terms import house as houses
-    from laddergw.terms.sexpr import Refused
+    from laddergw.terms import director_file as director_files
+    from laddergw.terms.sexpr import FileRejected
     try:
-        return houses.read_file(str(house))
-    except Refused as error:
+        return director_files.read_file(str(house))
+    except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
 
@@ -48,7 +48,7 @@
     loop, came, left = SocketLoop(), [], list(questions)
 
     def go_on(peer: Peer) -> None:
-        peer.send(left.pop(0)) if left else peer.end("answered")
+        peer.send(left.pop(0)) if left else peer.close("answered")
 
     def got(peer: Peer, frame: wire.Frame) -> None:
         if isinstance(frame, wire.Answer):
--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -116,8 +116,8 @@
         allocation = attempt.allocation
         if actions.drop_call and attempt.call is not None:
             call, attempt.call = attempt.call, None
-            if not call.take_back():
-                call.cut("cancelled")
+            if not call.withdraw():
+                call.abort("cancelled")
         link = self.fleet.links.get(allocation.node)
         if actions.release:
             if link is not None:
@@ -159,7 +159,7 @@
             attempt.lease_timer = None
         if attempt.call is not None:
             call, attempt.call = attempt.call, None
-            call.cut("the allocation is over")
+            call.abort("the allocation is over")
         self.watch("ended", play=attempt.id, node=allocation.node, outcome=outcome, number=allocation.number)
         attempt.play_state.allocation_ended(outcome)
         if self.observer is not None:
@@ -192,7 +192,7 @@
     def probe_ended(self, node: int, asked_at: float, call: Call) -> None:
         """Reports a probe's result to the controller."""
         outcome, report = interface.TIMED_OUT if call.status is None else PROBE_OUTCOMES.get(call.status, interface.ERROR), ()
-        if call.refused:
+        if call.connection_refused:
             outcome = interface.UNREACHABLE
         if outcome == interface.SERVED:
             try:
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -14,7 +14,7 @@
 from laddergw.director import frames, tokens
 from laddergw.director.allocation_calls import MOVED, STOPPED, AllocationCalls, bytes_written
 from laddergw.director.fleet import Fleet
-from laddergw.terms.house import House
+from laddergw.terms.director_file import DirectorFile
 from laddergw.machines.play import PlayState
 from laddergw.director.link import Link
 from laddergw.machines.concurrency import OFF, ConcurrencyLimits, at_limit
@@ -25,8 +25,8 @@
 from laddergw.http.limits import PeerLimits
 from laddergw.http.server import Exchange, Server
 from laddergw.terms.effect import deployment_with
-from laddergw.terms.generations import Generations, allowed, budget_names, changes
-from laddergw.terms.limits import Limits, usual as default_terms
+from laddergw.terms.generations import Generations, budget_names, budget_terms, describe_changes
+from laddergw.terms.limits import Limits, default_terms as built_in_terms
 
 
 def ignore_event(what: str, **facts: Any) -> None:
@@ -37,15 +37,15 @@
     """See the module. `wall` returns the wall clock in ms, for tokens; `watch(what, **facts)` is called for each decision."""
     controller_class = Controller
 
-    def __init__(self, loop, house: House, wall: Callable[[], float] = lambda: time.time() * 1000,
+    def __init__(self, loop, house: DirectorFile, wall: Callable[[], float] = lambda: time.time() * 1000,
                  tap: Callable | None = None, watch: Callable = ignore_event, limits: Limits | None = None):
         self.loop, self.house, self.wall, self.tap, self.watch = loop, house, wall, tap, watch
         self.bounds = house.bounds
         self.products = {name: index for index, name in enumerate(house.names)}
-        built_in = default_terms(house.bounds.max_lease_ms, allocation_machine.CONFIRM_GRACE_MS)
+        built_in = built_in_terms(house.bounds.max_lease_ms, allocation_machine.CONFIRM_GRACE_MS)
         self.generations = Generations(limits or Limits("built in", built_in), loop.now)
         self.budgets = RetryBudgets()
-        self.budgets.configure(allowed(self.limits))
+        self.budgets.configure(budget_terms(self.limits))
         self.concurrency = ConcurrencyLimits(self.limits.adaptive)
         self.max_importance = max(product.importance for product in house.deployment.products)
         self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
@@ -60,7 +60,7 @@
         self.observer, self.closed_rejection = None, lambda: None
         self.reload_files: Callable[[], None] = lambda: None    # called on SIGHUP
         self.fleet = Fleet(loop, house.lists, str(house.number), self.make_link, self.list_changed, self.list_failed, tap)
-        self.server = Server(loop, house.listen, self.serve, PeerLimits(connections=self.bounds.max_connections), tap)
+        self.server = Server(loop, house.listen, self.serve, PeerLimits(max_connections=self.bounds.max_connections), tap)
         self.address = self.server.address
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request, ("POST", "/v1/mail"): self.peer_message_received}
         self.messages = DirectorMessages(loop, house.number, house.peers, lambda: self.house.keys, wall)
@@ -76,9 +76,9 @@
 
     def change_limits(self, limits: Limits) -> list[str]:
         """Puts a checked file in force for plays that are requested from now on; returns its changes, a line each."""
-        changed = changes(self.limits, limits)
+        changed = describe_changes(self.limits, limits)
         self.generations.switch(limits, self.loop.now)
-        self.budgets.configure(allowed(limits))
+        self.budgets.configure(budget_terms(limits))
         self.concurrency.change_kind(limits.adaptive)
         self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
         self.watch("limits changed", generation=self.generations.current.number, lines=len(changed))
@@ -86,7 +86,7 @@
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
         return changed
 
-    def change_director_file(self, house: House) -> None:
+    def change_director_file(self, house: DirectorFile) -> None:
         """Puts the reloaded file's keys, deployment and peers in force; running plays keep the terms of their admission.
         What needs a restart stays as it is. Going back to the former file is the same step."""
         self.change_keys(house.keys, house.retired)
@@ -103,7 +103,7 @@
 
     def limits_refused(self, texts: list[str]) -> None:
         """Records a rejected file; the limits in force stay."""
-        self.generations.refused += 1
+        self.generations.rejected += 1
         self.watch("limits refused", faults=len(texts), first=texts[0] if texts else "")
         if self.tap is not None:
             self.tap("limits refused", self.loop.now, {"faults": texts})
@@ -154,12 +154,12 @@
             exchange.answer(400, frames.error_body(str(error)))
             return
         product = self.products[request.product]
-        generation, retry_safety = self.generations.take(), self.house.deployment.products[product].repeat
-        margin = self.bounds.answer_margin_ms if self.limits.margin is None else self.limits.margin.value
+        generation, retry_safety = self.generations.begin_play(), self.house.deployment.products[product].repeat
+        margin = self.bounds.answer_margin_ms if self.limits.answer_margin is None else self.limits.answer_margin.value
         effective = self.limits.find(request.route, request.product)
-        play_state = PlayState(effective.terms, retry_safety, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.late, margin), margin)
+        play_state = PlayState(effective.terms, retry_safety, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.stall_ms, margin), margin)
         self.last_attempt_id += 1
-        attempt = Attempt(self.last_attempt_id, exchange, request, product, self.previous_attempt(request), play_state, generation, budget_names(effective.rows, self.limits),
+        attempt = Attempt(self.last_attempt_id, exchange, request, product, self.previous_attempt(request), play_state, generation, budget_names(effective.entries, self.limits),
                           self.house.deployment)
         product_row = self.house.deployment.products[product]
         nodes_overloaded = at_limit(self.waiting, self.concurrency.total_limit(self.ready_nodes()), product_row.importance, self.max_importance, attempt.previous.attempts)
@@ -168,7 +168,7 @@
                      or admission.defer_retry(request.unsettled_ms, self.bounds.max_lease_ms) or self.closed_rejection())
         self.attempts[attempt.id] = attempt
         self.waiting += 1
-        exchange.on_gone = lambda: self.viewer_left(attempt)
+        exchange.on_disconnect = lambda: self.viewer_left(attempt)
         if rejection is not None:
             return self.finish(attempt, interface.FAILED if rejection.failed else interface.DECLINED, rejection.retry_after_ms, rejection.reason)
         attempt.answer_timer = self.loop.call_at(play_state.answer_deadline, lambda: self.answer_overdue(attempt))
@@ -245,7 +245,7 @@
             extra = "" if retry_ms is None else f"Retry-After: {-int(-retry_ms // 1000)}\r\n"
             self.watch("answer", play=attempt.id, answer=answer, product=attempt.request.product, tries=attempt.previous.attempts,
                        own_ms=self.loop.read_clock() - attempt.requested_at - attempt.node_time_ms, first_ms=None, reason=reason)
-            attempt.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra=extra)
+            attempt.exchange.answer(status, frames.not_playing(answer, token, retry_ms, reason), extra_headers=extra)
         if attempt.allocation is None:
             self.forget(attempt)
         elif attempt.allocation.state in (allocation_machine.WAITING, allocation_machine.OUT):
@@ -255,7 +255,7 @@
         """Drops an attempt that has its answer and holds no allocation."""
         attempt.stop_timers()
         if self.attempts.pop(attempt.id, None) is not None:
-            self.generations.drop(attempt.generation)
+            self.generations.end_play(attempt.generation)
 
     # Verdicts
     def apply_verdict(self, verdict: interface.Verdict) -> None:
@@ -295,7 +295,7 @@
             call, allocation = attempt.call, attempt.allocation
             if allocation.state == allocation_machine.WAITING and (call is None or not call.written):
                 attempt.call = None
-                if call is None or call.take_back():
+                if call is None or call.withdraw():
                     self.apply(attempt, allocation.withdrawn())
                 else:
                     attempt.call = call
@@ -319,7 +319,7 @@
         for name, kind, value in line.notes:
             attempt = self.attempts_by_allocation.get(name)
             if self.observer is not None and kind == interface.LINK_DEMAND:
-                self.observer.asked_told(link.node, value)
+                self.observer.node_load_reported(link.node, value)
             self.feed(self.controller.update_play, self.loop.now, attempt.id if attempt else 0, link.node, kind, value)
         for name, how in line.ended:
             if attempt := self.attempts_by_allocation.get(name):
--- a/laddergw/director/director_messages.py
+++ b/laddergw/director/director_messages.py
@@ -17,7 +17,7 @@
 MAX_AGE_MS = 5_000.0
 # A message that its peer has not answered by then is given up as lost: the next one follows soon
 ANSWER_TIMEOUT_MS = 500.0
-PEER_POOL_LIMITS = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
+PEER_POOL_LIMITS = PoolLimits(max_connections=1, max_waiting=4, idle_ms=60_000.0)
 
 
 class DirectorMessages:
@@ -49,7 +49,7 @@
     def send_one(self, pool: Pool, body: bytes) -> None:
         """Sends a signed message to one peer; its answer is not used."""
         call = pool.call("POST", "/v1/mail", body, lambda call: None)
-        self.loop.call_later(ANSWER_TIMEOUT_MS, lambda: call.cut("no answer to mail in time"))
+        self.loop.call_later(ANSWER_TIMEOUT_MS, lambda: call.abort("no answer to mail in time"))
 
     def read(self, body: bytes) -> tuple[int, list, list]:
         """Returns (sender, loads, shares). Raises peer_messages.MalformedMessage for a message that is malformed, stale or not signed with one of our keys."""
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -8,7 +8,7 @@
 from laddergw.http.limits import PoolLimits
 
 # `answer_bytes`: a complete list of 100 k nodes
-LIST_LIMITS = PoolLimits(connections=1, waiting=2, connect_ms=500.0, answer_bytes=16_777_216)
+LIST_LIMITS = PoolLimits(max_connections=1, max_waiting=2, connect_ms=500.0, max_answer_bytes=16_777_216)
 # Pause before the list is requested again: its server may be unreachable for long
 REDIAL_MS = 500.0
 # Without any frame for so long, not even a sign of life, the list is requested again
@@ -46,7 +46,7 @@
             return
         # Compared with exactly the sum that the timer is set to
         if self.loop.now >= self.last_frame_at + SILENCE_TIMEOUT_MS:
-            return self.stream.cut("no list frame in time")
+            return self.stream.abort("no list frame in time")
         self.loop.call_at(self.last_frame_at + SILENCE_TIMEOUT_MS, self.check_silence)
 
     def stream_ended(self, call: Call) -> None:
@@ -68,7 +68,7 @@
         except frames.MalformedFrame as error:
             self.bad_frames += 1
             self.last_fault = str(error)
-            return self.stream.cut(str(error))
+            return self.stream.abort(str(error))
         if form == frames.ALIVE:
             return
         self.version = version
@@ -114,7 +114,7 @@
         """Closes the stream and all links."""
         self.closed = True
         if self.stream is not None:
-            self.stream.cut("closed")
+            self.stream.abort("closed")
         if self.redial_timer is not None:
             self.redial_timer.cancel()
         for link in self.links.values():
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -13,14 +13,14 @@
 from typing import Callable
 
 from laddergw.terms.limits import Limits
-from laddergw.terms.loading import Loaded, load, load_file
+from laddergw.terms.loading import LoadResult, load, load_file
 from laddergw.terms.sexpr import Fault, Place
 
 POLL_INTERVAL_MS = 250.0     # a change is in force within a second, not counting its check
 LAST_GOOD_SUFFIX = ".good"   # of a copy of the last version that was in force
 CHECK_TIMEOUT_MS = 30_000.0  # then the check is killed and the file counts as rejected
 
-CheckCallback = Callable[[Loaded], None]
+CheckCallback = Callable[[LoadResult], None]
 
 
 class InProcessCheck:
@@ -54,7 +54,7 @@
             answer.seek(0)
             with request, answer:
                 pickled = answer.read() if status == 0 else b""
-            done(pickle.loads(pickled) if pickled else Loaded(None, (Fault(Place(name, 1, 1), "", f"its check ended with {status}"),)))
+            done(pickle.loads(pickled) if pickled else LoadResult(None, (Fault(Place(name, 1, 1), "", f"its check ended with {status}"),)))
 
 
 class LimitsFile:
@@ -101,7 +101,7 @@
             self.loop.call_later(POLL_INTERVAL_MS, lambda: self.bring(data, verify, done))
             return
 
-        def checked(loaded: Loaded) -> None:
+        def checked(loaded: LoadResult) -> None:
             self.checking = False
             faults = loaded.texts() if loaded.limits is None else list(filter(None, [verify(loaded.limits)]))
             if not faults:
@@ -113,7 +113,7 @@
         self.checking = True
         self.checker.check(data, self.name, checked)
 
-    def checked(self, loaded: Loaded) -> None:
+    def checked(self, loaded: LoadResult) -> None:
         """Handles the result of a check of the file."""
         self.checking = False
         if loaded.limits is not None:
@@ -145,7 +145,7 @@
     replace_file(path + LAST_GOOD_SUFFIX, data)
 
 
-def load_at_start(path: str, house) -> tuple[Loaded, list[str]]:
+def load_at_start(path: str, house) -> tuple[LoadResult, list[str]]:
     """What a director starts with: the file, or the last good copy if the file is rejected; and the faults of the file."""
     loaded = load_file(path, house)
     if loaded.limits is not None:
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -13,7 +13,7 @@
 KEEP_TIMEOUT_MS = 1_000.0    # then a keep without an answer is sent again on a new connection
 PROBE_TIMEOUT_MS = 250.0
 OPEN_TIMEOUT_MS = 1_500.0    # of the first line of the stream of notes
-SINGLE_CONNECTION = PoolLimits(connections=1, waiting=4, idle_ms=60_000.0)
+SINGLE_CONNECTION = PoolLimits(max_connections=1, max_waiting=4, idle_ms=60_000.0)
 SET_UP_POOL_LIMITS = PoolLimits()
 
 
@@ -62,7 +62,7 @@
     def open_timed_out(self) -> None:
         """Ends a stream that has opened no session in time."""
         if self.stream is not None and not self.session.up:
-            self.stream.cut("no first line in time")
+            self.stream.abort("no first line in time")
 
     def line_received(self, line: bytes | None) -> None:
         """Handles one line of the stream; a malformed one ends it."""
@@ -71,7 +71,7 @@
         try:
             read = frames.read_notes(line)
         except frames.MalformedFrame as error:
-            return self.stream.cut(str(error))
+            return self.stream.abort(str(error))
         was_up = self.session.up
         if read.clock is not None:
             self.session.clock_received(self.loop.now, read.clock, read.session)
@@ -102,7 +102,7 @@
             self.clear_pending()
             pause = 0.0
             self.lease_end_timer = self.loop.call_at(lease_ends, lambda: self.session_ended("its lease has expired"))
-        if call.refused:
+        if call.connection_refused:
             self.session_ended("connection refused")
         if not self.closed and self.redial_timer is None:
             self.redial_timer = self.loop.call_later(pause, self.open)
@@ -121,7 +121,7 @@
         self.rungs.clear()
         if self.keep_call is not None:
             keep_call, self.keep_call = self.keep_call, None
-            keep_call.cut("session lost")
+            keep_call.abort("session lost")
 
     # Keeps
 
@@ -130,7 +130,7 @@
         if self.closed or not self.session.up:
             return
         if self.session.has_expired(self.loop.now):
-            return self.stream.cut("the node is silent and its lease has expired") if self.stream is not None else None
+            return self.stream.abort("the node is silent and its lease has expired") if self.stream is not None else None
         if self.session.keep_due(self.loop.now):
             self.send_keep()
         self.loop.call_later(KEEP_MS / 4, self.check_session)
@@ -150,7 +150,7 @@
         body = frames.keep(session.name, session.node_time(now, LEASE_MS), *self.sent_in_keep)
         session.keep_sent(now)
         self.keep_call = call = self.control.call("POST", "/v1/keep", body, self.keep_answered)
-        self.loop.call_later(KEEP_TIMEOUT_MS, lambda: call.cut("no answer to a keep in time"))
+        self.loop.call_later(KEEP_TIMEOUT_MS, lambda: call.abort("no answer to a keep in time"))
 
     def keep_answered(self, call: Call) -> None:
         """Handles the answer to a keep; what a failed one carried is sent again with the next, so the node may get it twice."""
@@ -160,7 +160,7 @@
         self.events.links_to_flush[self] = None
         if call.status != 200:
             if call.status == 409 and self.stream is not None:
-                self.stream.cut("the node does not know the session")
+                self.stream.abort("the node does not know the session")
             return
         self.session.keep_acknowledged()
         confirms, releases, rungs = self.sent_in_keep
@@ -206,7 +206,7 @@
     def probe(self, done: Callable[[Call], None]) -> None:
         """Asks the node for its load."""
         call = self.probes.call("GET", "/v1/report", b"", done)
-        self.loop.call_later(PROBE_TIMEOUT_MS, lambda: call.cut("no answer to a probe in time"))
+        self.loop.call_later(PROBE_TIMEOUT_MS, lambda: call.abort("no answer to a probe in time"))
 
     def when_up(self, call: Callable[[], None]) -> None:
         """Calls `call` once the session is open."""
@@ -218,7 +218,7 @@
         if self.redial_timer is not None:
             self.redial_timer.cancel()
         if self.stream is not None:
-            self.stream.cut("link closed")
+            self.stream.abort("link closed")
         self.clear_pending()
         for pool in self.notes, self.control, self.set_ups, self.probes:
             pool.close()
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.director.director import Director
 from laddergw.director.limits_file import LimitsFile, SubprocessCheck, load_at_start
 from laddergw.director.watching import Watcher, health, logger
@@ -49,28 +49,28 @@
     """Reads the director's file again, at SIGHUP: its keys, deployment and peers are in force from now on; the rest needs a restart. A rejected
     file, or one that the operators' limits do not fit, changes nothing."""
     try:
-        house = houses.read_file(path)
-    except houses.Refused as error:
+        house = director_files.read_file(path)
+    except director_files.FileRejected as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
         return
-    faults = houses.switch_fault(director.house, house)
+    faults = director_files.switch_fault(director.house, house)
     if faults is None and limits is not None:
         faults = "; ".join(load_file(limits, house).texts()) or None
     if faults is not None:
         log.error("file refused", faults=[faults])
         return
-    for_restart = houses.other_changes(director.house, house)
+    for_restart = director_files.restart_only_changes(director.house, house)
     director.change_director_file(house)
     log.info("keys changed", signs=house.keys[0][0], taken=[name for name, _ in house.keys], retired=sorted(house.retired), for_restart=for_restart)
 
 
-def connect_to_planners(director: Director, house: houses.House):
+def connect_to_planners(director: Director, house: director_files.DirectorFile):
     """Connects to the planners that the file names; None if it names none."""
     if not house.planners:
         return None
     from laddergw.loop.tls import client_context
-    from laddergw.planner.edge_side import EdgeSide
-    return EdgeSide(director, house.planners, None, (lambda: client_context(*house.tls)) if house.tls is not None else None)
+    from laddergw.planner.planner_client import PlannerClient
+    return PlannerClient(director, house.planners, None, (lambda: client_context(*house.tls)) if house.tls is not None else None)
 
 
 def reload_files(path: str, director: Director, watch: LimitsFile | None, log) -> None:
@@ -97,8 +97,8 @@
     """Runs one director until it is told to stop. Returns the process's exit status: 2 if a file is rejected. `create` is called
     like Director, `on_start(director, log)` once it listens. `limits`: path of the operators' file, which is watched."""
     try:
-        house = houses.read_file(path)
-    except houses.Refused as error:
+        house = director_files.read_file(path)
+    except director_files.FileRejected as error:
         print(error, file=sys.stderr)
         return EXIT_FILE
     loaded = None
@@ -132,7 +132,7 @@
         director.pages["GET", "/planner"] = planner_side.page
     watch = watch_limits(limits, path, director, log) if limits is not None else None
     if planner_side is not None and watch is not None:
-        planner_side.audit.brings(watch.bring)
+        planner_side.audit.accept_files(watch.bring)
     director.reload_files = lambda: reload_files(path, director, watch, log)
     loop.on_signal(signal.SIGHUP, director.reload_files)
     on_start(director, log)
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -15,7 +15,7 @@
 from laddergw.director.link import Link
 from laddergw.director.attempts import Attempt
 from laddergw.edge import addresses
-from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, Served, Title, longest
+from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, AvailableItem, TitlePlaylists, longest
 from laddergw.edge.fetching import Copies, Fetcher
 from laddergw.edge.sessions import OVER, PLAYS, SEEKS, Session, Stand
 from laddergw.edge.watching import ENDED, LEFT, Playing
@@ -25,8 +25,8 @@
 from laddergw.programme.index import RuleIndex
 from laddergw.programme.load import ItemLoad
 from laddergw.programme.rules import Piece, Programme
-from laddergw.programme.schedule import Placed, resumed, schedule
-from laddergw.programme.sources import Chosen, Holder, choose, fetch_from, is_cold, not_here, readers, share
+from laddergw.programme.schedule import PlacedItem, resumed, schedule
+from laddergw.programme.sources import ChosenSource, SourceNode, choose, fetch_from, is_cold, decide_unfetched, readers, share
 
 LOOK_MS = 500.0            # pace of looking over players: a leaving is seen within this
 ADDRESS_MS = 6 * 3_600_000.0   # a session's addresses hold so long: a long evening
@@ -39,7 +39,7 @@
 KIND = "application/vnd.apple.mpegurl"
 
 
-class Front(Director):
+class EdgeFront(Director):
     """A director with sessions. `programme`: the rules in force for new sessions."""
 
     def __init__(self, loop, house, programme: Programme = Programme({}, ()), **more):
@@ -49,7 +49,7 @@
         self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.failed: dict[int, float] = {}
         self.item_load = ItemLoad(house.deployment.directors)
-        self.titles: dict[int, Title] = {}
+        self.titles: dict[int, TitlePlaylists] = {}
         self.session_numbers = 0
         super().__init__(loop, house, **more)
         self.pages["POST", "/v1/sessions"] = self.open_session
@@ -74,10 +74,10 @@
         self.session_numbers += 1
         name = f"{self.name}-{self.session_numbers}"
         session = self.sessions[name] = Session(self, name, exchange, frame)
-        exchange.on_gone = lambda: self.end(session, LEFT)
+        exchange.on_disconnect = lambda: self.end(session, LEFT)
         margin = self.bounds.answer_margin_ms
-        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.late, margin) + margin / 2, lambda: self.too_late(session))
-        self.ask(session, exchange.body, exchange.read_at, exchange.late)
+        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.stall_ms, margin) + margin / 2, lambda: self.too_late(session))
+        self.ask(session, exchange.body, exchange.read_at, exchange.stall_ms)
 
     def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
         session.tries += 1
@@ -116,7 +116,7 @@
         from_ms, cut = session.frame["resume"]
         first = title.place(from_ms) if from_ms else 0
         placed = resumed(placed, first, cut)
-        missing = {one.item for one in placed if one.place <= first and not self.here(self.programme, one.item)}
+        missing = {one.item for one in placed if one.before_segment <= first and not self.here(self.programme, one.item)}
 
         def got(item: str) -> None:
             missing.discard(item)
@@ -127,7 +127,7 @@
         if not missing:
             self.begin_session(session, answer, title, placed, first)
 
-    def begin_session(self, session: Session, answer: dict, title: Title, placed: list[Placed], first: int) -> None:
+    def begin_session(self, session: Session, answer: dict, title: TitlePlaylists, placed: list[PlacedItem], first: int) -> None:
         if session.state == OVER:
             return
         session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
@@ -135,8 +135,8 @@
         session.composer = Composer(title, placed, lambda what: session.path + what, self.target(placed), first)
         session.playing = Playing(self.loop.now, session.composer.target, session.terms.first_segment_ms)
         told = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
-        session.exchange.answer(200, frames.encode(told), extra=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
-        session.exchange.on_gone = None
+        session.exchange.answer(200, frames.encode(told), extra_headers=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
+        session.exchange.on_disconnect = None
 
     def too_late(self, session: Session) -> None:
         """The viewer's limit comes before its playlists do."""
@@ -151,16 +151,16 @@
         session.exchange.answer(502, frames.not_playing(face.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
         self.end(session, "failed")
 
-    def title(self, number: int, rungs: tuple[Media, ...]) -> Title:
+    def title(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
         """What sessions of a title share; made anew when its playlists were."""
         known = self.titles.get(number)
         if known is None or any(ours is not theirs for ours, theirs in zip(known.rungs, rungs)):
             while len(self.titles) >= TITLES_MOST:
                 self.titles.pop(next(iter(self.titles)))
-            known = self.titles[number] = Title(rungs)
+            known = self.titles[number] = TitlePlaylists(rungs)
         return known
 
-    def target(self, placed: list[Placed]) -> float:
+    def target(self, placed: list[PlacedItem]) -> float:
         """The target duration that all items of a session need that are known by now, shorter ones included, ms."""
         pieces = [self.programme.pieces[one.item] for one in placed]
         names = {piece.name for piece in pieces} | {piece.shorter for piece in pieces if piece.shorter is not None}
@@ -168,7 +168,7 @@
         return max((longest(media) for media in known if media is not None and media.segments), default=0.0)
 
     def turned_away(self, session: Session, status: int, body: bytes, extra: str) -> None:
-        session.exchange.answer(status, body, extra=extra)
+        session.exchange.answer(status, body, extra_headers=extra)
         self.end(session, "turned away")
 
     # A play is lost under way: it is asked for again, at our own door
@@ -217,7 +217,7 @@
         """Whoever is told that a session is over asks for another, here or elsewhere: not before its allocation is let go."""
         ending = self.ending.get(exchange.path.split("/")[2])
         if ending is not None and not ending.stand.settled:
-            return exchange.answer(503, frames.error_body("the session ends"), extra="Retry-After: 1\r\n") and None
+            return exchange.answer(503, frames.error_body("the session ends"), extra_headers="Retry-After: 1\r\n") and None
         exchange.answer(error.status, frames.error_body(str(error)))
         return None
 
@@ -238,7 +238,7 @@
             if session.playing.stalls(self.loop.now, number):
                 self.stalled(session, origin)
         if origin.item is None and session.era is None:
-            exchange.answer(503, frames.error_body("the play is being moved"), extra="Retry-After: 1\r\n")
+            exchange.answer(503, frames.error_body("the play is being moved"), extra_headers="Retry-After: 1\r\n")
             return
         base = session.era.base if origin.item is None else self.item_from(session, origin)
         exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, beside)}\r\n")
@@ -280,7 +280,7 @@
         playing.reloaded(now)
         return composer.text()
 
-    def choose(self, session: Session, placed: Placed, lead_ms: float) -> Chosen:
+    def choose(self, session: Session, placed: PlacedItem, lead_ms: float) -> ChosenSource:
         """Decided beside us; an item whose playlist is not here yet is fetched now."""
         now = self.loop.now
         piece = session.programme.pieces[placed.item]
@@ -289,10 +289,10 @@
         chosen = choose(placed.rule, placed.item, session.programme, self.holders(nodes, span), session.era.node, now, now + lead_ms)
         if chosen.item is not None and chosen.node is not None and not self.here(session.programme, chosen.item):
             self.prefetch(session.programme, chosen.item)
-            return not_here(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
+            return decide_unfetched(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
         return chosen
 
-    def served(self, session: Session, chosen: Chosen) -> Served | None:
+    def served(self, session: Session, chosen: ChosenSource) -> AvailableItem | None:
         media = self.fetcher.cache.get(item_path(session.programme, chosen.item), self.loop.now)
         link = self.fleet.links.get(chosen.node)
         if media is None or link is None:
@@ -300,7 +300,7 @@
         piece, since = session.programme.pieces[chosen.item], self.loop.now + session.buffered_ms()
         if chosen.node != session.era.node:
             self.item_load.take(chosen.node, self.item_rate(piece), since, since + piece.length_ms)
-        return Served(Item(chosen.item, media), item_base(link.address), chosen.node)
+        return AvailableItem(Item(chosen.item, media), item_base(link.address), chosen.node)
 
     def here(self, programme: Programme, item: str) -> bool:
         return self.fetcher.cache.get(item_path(programme, item), self.loop.now) is not None
@@ -320,7 +320,7 @@
         self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.watch("rules changed", rules=len(programme.rules), items=len(programme.pieces))
 
-    def holders(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, Holder]:
+    def holders(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
         """What is known of some nodes as sources of items: readiness, warmth, what our plays take of their links, and our items then."""
         found, now, deployment = {}, self.loop.now, self.house.deployment
         for node in nodes:
@@ -329,7 +329,7 @@
                 continue
             width = entry.weight * deployment.link_unit
             plays = sum(self.rate(ply) for ply in self.attempts_by_node.get(node, {}).values() if ply.allocation is not None)
-            found[node] = Holder(
+            found[node] = SourceNode(
                 node, entry.state == face.READY and link is not None and link.session.up,
                 is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
                 share(plays * deployment.directors, width), share(self.item_load.rate(node, *span), width))
@@ -382,8 +382,8 @@
         stand = session.stand
         if stand is not None and not stand.settled:
             self.ending[session.name] = session
-        if stand is not None and stand.on_gone is not None and not stand.ended:
-            stand.on_gone()
+        if stand is not None and stand.on_disconnect is not None and not stand.ended:
+            stand.on_disconnect()
 
     def stop_accepting(self) -> None:
         """Players of what still plays come in by new connections: the door turns new sessions away by itself."""
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -10,7 +10,7 @@
 from laddergw.director.limits_file import InProcessCheck, LimitsFile
 from laddergw.fleet import answers, versions
 from laddergw.fleet.rights import CLOSED, OPEN
-from laddergw.fleet.stamps import LET_IN
+from laddergw.fleet.action_counts import ADMITTED
 from laddergw.lab import fleet_check
 from laddergw.lab.apart import PORT, TWO, ApartStage
 from laddergw.lab.fleet_check import Tally
@@ -21,10 +21,10 @@
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.lab.wanting import Wanting
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.store import ledger as ledgers
-from laddergw.terms import house as houses
-from laddergw.terms.generations import flat
+from laddergw.terms import director_file as director_files
+from laddergw.terms.generations import flatten
 from laddergw.terms.loading import load
 
 RELAY_PORT = 9_000
@@ -51,7 +51,7 @@
         self.note_limits()
 
     def note_limits(self) -> None:
-        self.tally.limits = "\n".join(f"{key} = {value}" for key, value in flat(self.limits).items())
+        self.tally.limits = "\n".join(f"{key} = {value}" for key, value in flatten(self.limits).items())
 
     def tallied(self, what: str, **facts) -> None:
         ply = self.attempts.get(facts.get("play"))
@@ -78,7 +78,7 @@
     def __init__(self, plant: Plant, script: list[Trouble], kills: int = 6, director_class=Tallied, faults: list[LineFault] | None = None):
         super().__init__(plant, script, TWO, kills, director_class=director_class)
         self.lines = Lines(self.world.host("relay"), self.record, plant.seed)
-        self.house = houses.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.tallies: dict[str, Tally] = {}
         self.switches = 0
         ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(TWO)]
@@ -96,9 +96,9 @@
             ends = f"d{number}", f"p{planner}"
             line = self.lines.by_ends.get(ends) or self.lines.line(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
             places.append(line.address)
-        side = self.sides[number] = EdgeSide(director, tuple(places), self.keys())
+        side = self.sides[number] = PlannerClient(director, tuple(places), self.keys())
         if not old(number):
-            side.audit.brings(LimitsFile(director.loop, self.limits_of(number), InProcessCheck(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
+            side.audit.accept_files(LimitsFile(director.loop, self.limits_of(number), InProcessCheck(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
         self.tallies[director.name] = director.tally
 
     def limits_of(self, number: int) -> str:
@@ -167,18 +167,18 @@
         if self.wanting.ask("stragglers").get("state") == "going" and self.world.now < latest:
             return self.loop.call_at(self.world.now + 500.0, lambda: self.judge(latest))
         self.done = True
-        leader = next((p for p in self.planners.values() if p.standing.state == "leads" and p.store is not None), None)
+        leader = next((p for p in self.planners.values() if p.standby.state == "leads" and p.store is not None), None)
         if leader is None:
             self.verdict = ["no planner leads"]
             return
         back = {d.name for n, d in self.directors.items() if self.world.hosts[f"d{n}"].alive and self.world.hosts[f"d{n}"].running}
-        book = leader.auditing.book
-        rows = [(*key, count) for key, count in answers.counted(book).items()]
+        book = leader.auditor.fleet_log
+        rows = [(*key, count) for key, count in answers.total_counts(book).items()]
         of_version: dict[tuple[str, str, str], int] = {}
         for process in book.processes.values():
             for key, count in process.counts.items():
-                if key.action == LET_IN:
-                    name = process.name, book.stands[process.turns[key.turn].stand].of(versions.LIMITS).hash, key.product
+                if key.action == ADMITTED:
+                    name = process.name, book.version_sets[process.turns[key.turn].stand].of(versions.LIMITS).hash, key.product
                     of_version[name] = of_version.get(name, 0) + count
         hash_of = lambda text: versions.version(versions.LIMITS, text.split("\n") if text else []).hash
         self.verdict = fleet_check.judge(rows, self.tallies, back) + fleet_check.judge_versions(of_version, self.tallies, back, hash_of)
@@ -186,5 +186,5 @@
         self.verdict += fleet_check.judge_sentences(self.wanting.sentences, self.tallies, hash_of)
         self.verdict += fleet_check.judge_wanted(self.wanting.at_the_end(leader), {d.name: hash_of(d.tally.limits) for n, d in self.directors.items() if d.name in back and not old(n)})
         self.facts = {"processes": len(self.tallies), "back": len(back), "switches": self.switches, "faults": len(self.faults),
-                      "actions": sum(sum(t.counts.values()) for t in self.tallies.values()), "stands": len(book.stands),
-                      "wants": self.wanting.wants, "halted": self.wanting.halted, "sentences": len(self.wanting.sentences), "turns kept": max((len(side.audit.stamps.turns) for side in self.sides.values()), default=0), "records": leader.auditing.ledger.count}
+                      "actions": sum(sum(t.counts.values()) for t in self.tallies.values()), "stands": len(book.version_sets),
+                      "wants": self.wanting.wants, "halted": self.wanting.halted, "sentences": len(self.wanting.sentences), "turns kept": max((len(side.audit.action_counts.turns) for side in self.sides.values()), default=0), "records": leader.auditor.ledger.count}
--- a/laddergw/planner/audit_side.py
+++ b/laddergw/planner/audit_client.py
@@ -10,18 +10,18 @@
 import laddergw
 from laddergw.director import frames
 from laddergw.director.attempts import Attempt
-from laddergw.fleet import stamps as acts, versions
-from laddergw.fleet.bringing import Bringing, Fetch, Offer
+from laddergw.fleet import action_counts as acts, versions
+from laddergw.fleet.file_transfer import FileReceiver, Fetch, Offer
 from laddergw.fleet.rights import Right
-from laddergw.fleet.stamps import Stamps
-from laddergw.fleet.telling import TEXT_MOST, Part, Told
+from laddergw.fleet.action_counts import ActionCounts
+from laddergw.fleet.state_reports import MAX_TEXT_CHARS, Part, ReportedState
 from laddergw.http.server import Exchange
 from laddergw.interface import DECLINED
 from laddergw.machines.admission import Rejection
 from laddergw.planner import wire
-from laddergw.terms.generations import flat
+from laddergw.terms.generations import flatten
 
-CHANGES = {"limits changed": versions.LIMITS, "deployment changed": versions.HOUSE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
+CHANGES = {"limits changed": versions.LIMITS, "deployment changed": versions.DIRECTOR_FILE, "keys changed": versions.KEYS, "rules changed": versions.RULES}
 
 
 @cache
@@ -34,16 +34,16 @@
 
 def limits_text(limits) -> list[str]:
     """What a version of limits is made of."""
-    return [f"{key} = {value}" for key, value in flat(limits).items()]
+    return [f"{key} = {value}" for key, value in flatten(limits).items()]
 
 
-class AuditSide:
+class AuditClient:
     """See the module. `side`: the director's line to its planners."""
 
     def __init__(self, side):
-        self.side, self.director, self.loop, self.stamps = side, side.director, side.loop, Stamps()
+        self.side, self.director, self.loop, self.action_counts = side, side.director, side.loop, ActionCounts()
         self.alone_since: float | None = self.loop.now
-        self.held = {versions.PROGRAM: program()}
+        self.active_versions = {versions.PROGRAM: program()}
         for kind in CHANGES.values():
             self.read(kind)
         self.read_list()
@@ -52,10 +52,10 @@
         director.pages["POST", "/v1/audit"] = self.page
         self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
         self.named: frozenset = frozenset()
-        self.bringing, self.bring, self.trouble = Bringing(), None, ""
+        self.file_receiver, self.apply_file, self.trouble = FileReceiver(), None, ""
         if self.right is not None:
             director.closed_rejection = self.shut
-        self.stand()
+        self.update_version_set()
 
     # What is in force
 
@@ -64,7 +64,7 @@
         house = self.director.house
         if kind == versions.LIMITS:
             texts = limits_text(self.director.limits)
-        elif kind == versions.HOUSE:
+        elif kind == versions.DIRECTOR_FILE:
             texts = [*house.names, repr(house.deployment._replace(number=0, zone=0))]     # (what is a director's own place is no version)
         elif kind == versions.KEYS:
             texts = [part for name, secret in house.keys for part in (name, secret)] + sorted(house.retired)
@@ -73,47 +73,47 @@
             if programme is None:
                 return
             texts = [repr(programme)]
-        self.held[kind] = versions.version(kind, texts)
+        self.active_versions[kind] = versions.version(kind, texts)
 
-    def stand(self) -> None:
-        self.stamps.on(versions.stand(self.held.values()), self.loop.now)
-        self.named = frozenset((version.kind, version.hash) for version in self.held.values())
+    def update_version_set(self) -> None:
+        self.action_counts.set_in_force(versions.version_set(self.active_versions.values()), self.loop.now)
+        self.named = frozenset((version.kind, version.hash) for version in self.active_versions.values())
 
     def read_list(self) -> None:
         entries = self.director.fleet.entries        # (a node's age goes on everywhere by itself)
-        self.held[versions.LIST] = versions.version(versions.LIST, [repr(entries[node]._replace(age_ms=None)) for node in sorted(entries)])
+        self.active_versions[versions.LIST] = versions.version(versions.LIST, [repr(entries[node]._replace(age_ms=None)) for node in sorted(entries)])
 
     def listed(self, lines: list, whole: bool, stopped: list) -> None:
         self.read_list()
-        self.stand()
+        self.update_version_set()
         self.changed(lines, whole, stopped)
 
     def obeys(self, epoch: int, planner: str) -> None:
         """Plans of one planner under one epoch count as one version: two and a half come each second."""
-        if (before := self.held.get(versions.PLAN)) is None or (before.number, before.issuer) != (epoch, planner):
-            self.held[versions.PLAN] = versions.version(versions.PLAN, [str(epoch), planner], planner, epoch)
-            self.stand()
+        if (before := self.active_versions.get(versions.PLAN)) is None or (before.number, before.issuer) != (epoch, planner):
+            self.active_versions[versions.PLAN] = versions.version(versions.PLAN, [str(epoch), planner], planner, epoch)
+            self.update_version_set()
 
     # What is carried out
 
     def let_in(self, ply: Attempt) -> None:
-        ply.version_set = self.stamps.now_in_force
-        self.did(ply, acts.LET_IN)
+        ply.version_set = self.action_counts.current_id
+        self.did(ply, acts.ADMITTED)
 
     def did(self, ply: Attempt, action: str) -> None:
-        self.stamps.did(ply.request.key, ply.request.product, ply.version_set or self.stamps.now_in_force, action, self.loop.now)
+        self.action_counts.record(ply.request.key, ply.request.product, ply.version_set or self.action_counts.current_id, action, self.loop.now)
 
     def told(self, what: str, **facts) -> None:
         """What the director watches, stamped on its way."""
         if what == "limits refused":
-            self.trouble = facts.get("first", "")[:TEXT_MOST]
+            self.trouble = facts.get("first", "")[:MAX_TEXT_CHARS]
         if what in CHANGES:
             self.trouble = "" if what == "limits changed" else self.trouble
             self.read(CHANGES[what])
-            self.stand()
+            self.update_version_set()
         elif (ply := self.director.attempts.get(facts.get("play"))) is not None:
             if what == "allocate":
-                self.did(ply, acts.AGAIN if facts["number"] else acts.SET_UP)
+                self.did(ply, acts.SET_UP_RETRIED if facts["number"] else acts.SET_UP)
             elif what == "answer":
                 self.did(ply, acts.PLAYING if facts["answer"] == "playing" else acts.DECLINED if facts["answer"] == DECLINED else acts.FAILED)
             elif what == "ended" and ply.playing:
@@ -126,11 +126,11 @@
 
     def asks(self, number: int) -> None:
         if self.right is not None:
-            self.right.asks(number, self.loop.now)
+            self.right.record_request(number, self.loop.now)
 
     def shut(self) -> Rejection | None:
         """Why nothing is let in at this moment: viewers are declined and come again elsewhere; what plays goes on under its terms."""
-        why = self.right.why_shut(self.named, self.loop.now)
+        why = self.right.refusal_reason(self.named, self.loop.now)
         return None if why is None else Rejection(False, self.director.bounds.retry_after_ms * (1 + self.director.random_fraction()) / 2, why)
 
     # What is told
@@ -140,33 +140,33 @@
         if self.alone_since is None:
             self.alone_since = self.loop.now
 
-    def part(self, told: Told) -> Part:
+    def part(self, told: ReportedState) -> Part:
         since, self.alone_since = self.alone_since, None
-        return told.part(self.stamps, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
-                         zone=self.director.house.deployment.zone, takes=self.bringing.kinds, came=tuple(self.bringing.outcome), trouble=self.trouble)
+        return told.next_part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
+                         zone=self.director.house.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.trouble)
 
     # What is brought up
 
-    def brings(self, bring: Callable) -> None:
+    def accept_files(self, bring: Callable) -> None:
         """Limits can be brought here: `bring(data, sure, done)` checks, puts in force and keeps on the disk (limits_file.py)."""
-        self.bring, self.bringing.kinds = bring, (versions.LIMITS,)
+        self.apply_file, self.file_receiver.kinds = bring, (versions.LIMITS,)
 
     def offered(self, peer, frame: Offer) -> None:
-        before = self.bringing.outcome
-        self.answer(peer, self.bringing.offered(frame))
-        if self.bringing.outcome not in (before, before._replace(number=0)) and self.bringing.outcome.number:
-            self.director.watch("offer at odds", why=self.bringing.outcome.why)
+        before = self.file_receiver.outcome
+        self.answer(peer, self.file_receiver.handle_offer(frame))
+        if self.file_receiver.outcome not in (before, before._replace(number=0)) and self.file_receiver.outcome.number:
+            self.director.watch("offer at odds", why=self.file_receiver.outcome.why)
 
     def piece(self, peer, number: int, offset: int, data: bytes) -> None:
         """A piece came; the last one: the whole is checked like any file, held against what was wanted, and in force at one moment."""
-        found = self.bringing.piece(number, offset, data)
+        found = self.file_receiver.handle_piece(number, offset, data)
         if not isinstance(found, bytes):
             return self.answer(peer, found)
 
         def done(faults: list[str]) -> None:
-            self.bringing.checked(number, faults)
+            self.file_receiver.finish_check(number, faults)
             self.director.watch("file brought up", number=number, refused=faults)
-        return self.bring(found, self.not_it(self.bringing.offer.hash), done)
+        return self.apply_file(found, self.not_it(self.file_receiver.offer.hash), done)
 
     def answer(self, peer, ask: Fetch | None) -> None:
         if ask is not None:
@@ -186,10 +186,10 @@
         except (ValueError, AttributeError):
             return exchange.answer(400, frames.error_body("an object, with `play` or without"))
         if asked is None:
-            stand = self.stamps.stands[self.stamps.now_in_force]
-            return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.stamps.turns[-1].at_ms, "now_ms": self.loop.now,
-                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.stamps.untold}))
-        way = self.stamps.ways.get(asked)
+            stand = self.action_counts.version_sets[self.action_counts.current_id]
+            return exchange.answer(200, frames.encode({"process": self.director.name, "stand": stand.id, "since_ms": self.action_counts.turns[-1].at_ms, "now_ms": self.loop.now,
+                                                       "versions": [version._asdict() for version in stand.versions], "untold": self.action_counts.dropped}))
+        way = self.action_counts.play_steps.get(asked)
         if way is None:
             return exchange.answer(404, frames.error_body("no such play among those that are remembered here"))
         return exchange.answer(200, frames.encode({"process": self.director.name, "play": asked, "now_ms": self.loop.now, "way": [step._asdict() for step in way]}))
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -32,7 +32,7 @@
         self.assertEqual(request.answer, "playing")
         cluster.run(30_000)
         self.assertIsNone(request.ended)
-        request.call.cut("left")
+        request.call.abort("left")
         cluster.run(50)
         self.assertEqual([facts["how"] for what, facts in cluster.records_of("let go")], ["released"])
         self.assertEqual((cluster.directors[0].attempts, cluster.directors[0].active_plays, cluster.directors[0].waiting), ({}, 0, 0))
@@ -45,7 +45,7 @@
         cluster.run(20)
         cluster.world.hosts["d0"].freeze(1_000)
         cluster.run(300)
-        request.call.cut("gave up")
+        request.call.abort("gave up")
         cluster.run(3_000)
         self.assertEqual(request.lines, [])
         self.assertEqual((cluster.directors[0].attempts, cluster.directors[0].waiting, cluster.directors[0].active_plays), ({}, 0, 0))
@@ -136,7 +136,7 @@
         cluster.run(100)
         # The first director is isolated: it cannot release anything
         cluster.world.hosts["d0"].silent = True
-        first.call.cut("gave up")
+        first.call.abort("gave up")
         retry = cluster.ask(1, wait_ms=3_900, unsettled_ms=1_400)
         cluster.run(1_400)
         self.assertEqual((retry.answer, retry.lines[0][1]["retry_ms"]), ("declined", 1_400))
@@ -170,12 +170,12 @@
         cluster = Cluster(nodes=2)
         director = cluster.directors[0]
         for link in director.fleet.links.values():
-            link.set_ups.limits = link.set_ups.limits._replace(connections=0)
+            link.set_ups.limits = link.set_ups.limits._replace(max_connections=0)
         request = cluster.ask()
         cluster.run(5)
         node = next(iter(director.attempts_by_allocation.values())).allocation.node
         for link in director.fleet.links.values():
-            link.set_ups.limits = link.set_ups.limits._replace(connections=64)
+            link.set_ups.limits = link.set_ups.limits._replace(max_connections=64)
         cluster.list_node(node, "draining")
         cluster.run(300)
         self.assertEqual(request.answer, "playing")
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -7,7 +7,7 @@
 from laddergw.director.limits_file import InProcessCheck, LimitsFile, SubprocessCheck, load_at_start
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.generations import Generations
-from laddergw.terms.house import read
+from laddergw.terms.director_file import read
 from tests.broken_limits import HOUSE
 from tests.test_limits import LIVES, limits, under
 from tests.in_memory_cluster import Cluster
@@ -34,7 +34,7 @@
         # The play's route is removed while it runs
         director.change_limits(limits("(limits)"))
         self.assertEqual(list(director.generations.older), [1])
-        request.call.cut("left")
+        request.call.abort("left")
         cluster.run(500)
         self.assertEqual((director.generations.older, director.active_plays, director.attempts), ({}, 0, {}))
 
@@ -158,14 +158,14 @@
 
     def test_generations_end_with_their_last_play(self):
         kept = Generations(limits("(limits)"), 0.0)
-        one, two = kept.take(), kept.take()
+        one, two = kept.begin_play(), kept.begin_play()
         kept.switch(limits("(limits)"), 1.0)
-        three = kept.take()
+        three = kept.begin_play()
         kept.switch(limits("(limits)"), 2.0)
-        kept.drop(one)
-        kept.drop(three)
+        kept.end_play(one)
+        kept.end_play(three)
         self.assertEqual(list(kept.older), [1])
-        kept.drop(two)
+        kept.end_play(two)
         self.assertEqual((kept.older, kept.current.number, kept.switches), ({}, 3, 2))
 
 if __name__ == "__main__":
