--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -37,19 +37,19 @@
     """See the module. `wall` returns the wall clock in ms, for tokens; `watch(what, **facts)` is called for each decision."""
     controller_class = Controller
 
-    def __init__(self, loop, house: DirectorFile, wall: Callable[[], float] = lambda: time.time() * 1000,
+    def __init__(self, loop, director_file: DirectorFile, wall: Callable[[], float] = lambda: time.time() * 1000,
                  tap: Callable | None = None, watch: Callable = ignore_event, limits: Limits | None = None):
-        self.loop, self.house, self.wall, self.tap, self.watch = loop, house, wall, tap, watch
-        self.bounds = house.bounds
-        self.products = {name: index for index, name in enumerate(house.names)}
-        built_in = built_in_terms(house.bounds.max_lease_ms, allocation_machine.CONFIRM_GRACE_MS)
+        self.loop, self.house, self.wall, self.tap, self.watch = loop, director_file, wall, tap, watch
+        self.bounds = director_file.bounds
+        self.products = {name: index for index, name in enumerate(director_file.names)}
+        built_in = built_in_terms(director_file.bounds.max_lease_ms, allocation_machine.CONFIRM_GRACE_MS)
         self.generations = Generations(limits or Limits("built in", built_in), loop.now)
         self.budgets = RetryBudgets()
         self.budgets.configure(budget_terms(self.limits))
         self.concurrency = ConcurrencyLimits(self.limits.adaptive)
-        self.max_importance = max(product.importance for product in house.deployment.products)
-        self.controller = self.controller_class(deployment_with(house.deployment, house.names, self.limits), house.seed, loop.now)
-        self.name = f"d{house.number}-{crc32(b'%d %f' % (house.seed, loop.now)):08x}"    # of this process; a successor gets another one
+        self.max_importance = max(product.importance for product in director_file.deployment.products)
+        self.controller = self.controller_class(deployment_with(director_file.deployment, director_file.names, self.limits), director_file.seed, loop.now)
+        self.name = f"d{director_file.number}-{crc32(b'%d %f' % (director_file.seed, loop.now)):08x}"    # of this process; a successor gets another one
         self.attempts: dict[int, Attempt] = {}
         self.attempts_by_allocation: dict[str, Attempt] = {}
         self.attempts_by_node: dict[int, dict[str, Attempt]] = {}
@@ -59,13 +59,13 @@
         # `observer`: the connection to the planners, told of admissions, ends and notes; `closed_rejection()`: rejects every play, or None
         self.observer, self.closed_rejection = None, lambda: None
         self.reload_files: Callable[[], None] = lambda: None    # called on SIGHUP
-        self.fleet = Fleet(loop, house.lists, str(house.number), self.make_link, self.list_changed, self.list_failed, tap)
-        self.server = Server(loop, house.listen, self.serve, PeerLimits(max_connections=self.bounds.max_connections), tap)
+        self.fleet = Fleet(loop, director_file.lists, str(director_file.number), self.make_link, self.list_changed, self.list_failed, tap)
+        self.server = Server(loop, director_file.listen, self.serve, PeerLimits(max_connections=self.bounds.max_connections), tap)
         self.address = self.server.address
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request, ("POST", "/v1/mail"): self.peer_message_received}
-        self.messages = DirectorMessages(loop, house.number, house.peers, lambda: self.house.keys, wall)
+        self.messages = DirectorMessages(loop, director_file.number, director_file.peers, lambda: self.house.keys, wall)
         loop.on_turn_end(self.finish_turn)
-        if not house.deployment.must_ask:
+        if not director_file.deployment.must_ask:
             self.fleet.request_list()
         self.feed(self.controller.wake, loop.now)
 
@@ -86,20 +86,20 @@
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
         return changed
 
-    def change_director_file(self, house: DirectorFile) -> None:
+    def change_director_file(self, director_file: DirectorFile) -> None:
         """Puts the reloaded file's keys, deployment and peers in force; running plays keep the terms of their admission.
         What needs a restart stays as it is. Going back to the former file is the same step."""
-        self.change_keys(house.keys, house.retired)
-        if (house.names, house.deployment, house.peers) == (self.house.names, self.house.deployment, self.house.peers):
+        self.change_keys(director_file.keys, director_file.retired)
+        if (director_file.names, director_file.deployment, director_file.peers) == (self.house.names, self.house.deployment, self.house.peers):
             return
-        self.house = self.house._replace(names=house.names, deployment=house.deployment, peers=house.peers)
-        self.products = {name: index for index, name in enumerate(house.names)}
-        self.max_importance = max(product.importance for product in house.deployment.products)
-        self.messages.set_peers(house.peers)
-        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(house.deployment, house.names, self.limits))
-        self.watch("deployment changed", products=len(house.names), held=self.active_plays, waiting=self.waiting)
+        self.house = self.house._replace(names=director_file.names, deployment=director_file.deployment, peers=director_file.peers)
+        self.products = {name: index for index, name in enumerate(director_file.names)}
+        self.max_importance = max(product.importance for product in director_file.deployment.products)
+        self.messages.set_peers(director_file.peers)
+        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(director_file.deployment, director_file.names, self.limits))
+        self.watch("deployment changed", products=len(director_file.names), held=self.active_plays, waiting=self.waiting)
         if self.tap is not None:
-            self.tap("deployment changed", self.loop.now, {"products": list(house.names), "held": self.active_plays, "waiting": self.waiting})
+            self.tap("deployment changed", self.loop.now, {"products": list(director_file.names), "held": self.active_plays, "waiting": self.waiting})
 
     def limits_refused(self, texts: list[str]) -> None:
         """Records a rejected file; the limits in force stay."""
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -26,26 +26,26 @@
 class InProcessCheck:
     """Checks at once, for simulations in memory, where a check takes no time."""
 
-    def __init__(self, house):
-        self.house = house
+    def __init__(self, director_file):
+        self.director_file = director_file
 
     def check(self, data: bytes, name: str, done: CheckCallback) -> None:
         """Checks a version and calls `done` with the result."""
-        done(load(data, name, self.house))
+        done(load(data, name, self.director_file))
 
 
 class SubprocessCheck:
     """Checks in a child process, one version at a time; a version that comes meanwhile is read again afterwards."""
 
-    def __init__(self, loop, director_file: str):
-        self.loop, self.director_file = loop, director_file
+    def __init__(self, loop, director_file_path: str):
+        self.loop, self.director_file_path = loop, director_file_path
 
     def check(self, data: bytes, name: str, done: CheckCallback) -> None:
         """Starts the check of a version; `done` gets the result, or a fault if the child fails or runs into its time limit."""
         request, answer = tempfile.TemporaryFile(), tempfile.TemporaryFile()
         request.write(data)
         request.seek(0)
-        child = self.loop.spawn([sys.executable, "-m", "laddergw.terms.checking", self.director_file, name], lambda status: ended(status), stdin=request, stdout=answer,
+        child = self.loop.spawn([sys.executable, "-m", "laddergw.terms.checking", self.director_file_path, name], lambda status: ended(status), stdin=request, stdout=answer,
                                 stderr=subprocess.DEVNULL)
         timeout = self.loop.call_later(CHECK_TIMEOUT_MS, child.kill)
 
@@ -145,14 +145,14 @@
     replace_file(path + LAST_GOOD_SUFFIX, data)
 
 
-def load_at_start(path: str, house) -> tuple[LoadResult, list[str]]:
+def load_at_start(path: str, director_file) -> tuple[LoadResult, list[str]]:
     """What a director starts with: the file, or the last good copy if the file is rejected; and the faults of the file."""
-    loaded = load_file(path, house)
+    loaded = load_file(path, director_file)
     if loaded.limits is not None:
         with open(path, "rb") as stream:
             save_last_good(path, stream.read())
         return loaded, []
-    kept = load_file(path + LAST_GOOD_SUFFIX, house)
+    kept = load_file(path + LAST_GOOD_SUFFIX, director_file)
     return (kept if kept.limits is not None else loaded), loaded.texts()
 
 
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -18,7 +18,11 @@
 
 
 class NodeEvents(Protocol):
-    """Receives the events of links. Links in `links_to_flush` have something to send: flush() is called at the turn's end."""
+    """Receives the events of links. Links in `links_to_flush` have something to send: flush() is called at the turn's end.
+
+    `session_up`: a session is open; `session_lost`: the node holds nothing of the former session any more; `notes_received`: a line
+    of notes and ends of allocations; `released`: allocations that the node has released, and whether each ran, and those that it does not hold.
+    """
     links_to_flush: dict
     def session_up(self, link: "Link") -> None: ...
     def session_lost(self, link: "Link", reason: str) -> None: ...
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -49,28 +49,28 @@
     """Reads the director's file again, at SIGHUP: its keys, deployment and peers are in force from now on; the rest needs a restart. A rejected
     file, or one that the operators' limits do not fit, changes nothing."""
     try:
-        house = director_files.read_file(path)
+        director_file = director_files.read_file(path)
     except director_files.FileRejected as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
         return
-    faults = director_files.switch_fault(director.house, house)
+    faults = director_files.switch_fault(director.house, director_file)
     if faults is None and limits is not None:
-        faults = "; ".join(load_file(limits, house).texts()) or None
+        faults = "; ".join(load_file(limits, director_file).texts()) or None
     if faults is not None:
         log.error("file refused", faults=[faults])
         return
-    for_restart = director_files.restart_only_changes(director.house, house)
-    director.change_director_file(house)
-    log.info("keys changed", signs=house.keys[0][0], taken=[name for name, _ in house.keys], retired=sorted(house.retired), for_restart=for_restart)
+    for_restart = director_files.restart_only_changes(director.house, director_file)
+    director.change_director_file(director_file)
+    log.info("keys changed", signs=director_file.keys[0][0], taken=[name for name, _ in director_file.keys], retired=sorted(director_file.retired), for_restart=for_restart)
 
 
-def connect_to_planners(director: Director, house: director_files.DirectorFile):
+def connect_to_planners(director: Director, director_file: director_files.DirectorFile):
     """Connects to the planners that the file names; None if it names none."""
-    if not house.planners:
+    if not director_file.planners:
         return None
     from laddergw.loop.tls import client_context
     from laddergw.planner.planner_client import PlannerClient
-    return PlannerClient(director, house.planners, None, (lambda: client_context(*house.tls)) if house.tls is not None else None)
+    return PlannerClient(director, director_file.planners, None, (lambda: client_context(*director_file.tls)) if director_file.tls is not None else None)
 
 
 def reload_files(path: str, director: Director, watch: LimitsFile | None, log) -> None:
@@ -97,18 +97,18 @@
     """Runs one director until it is told to stop. Returns the process's exit status: 2 if a file is rejected. `create` is called
     like Director, `on_start(director, log)` once it listens. `limits`: path of the operators' file, which is watched."""
     try:
-        house = director_files.read_file(path)
+        director_file = director_files.read_file(path)
     except director_files.FileRejected as error:
         print(error, file=sys.stderr)
         return EXIT_FILE
     loaded = None
     if limits is not None:
-        loaded, faults = load_at_start(limits, house)
+        loaded, faults = load_at_start(limits, director_file)
         if loaded.limits is None:
             print("\n".join(faults), file=sys.stderr)
             return EXIT_FILE
     raise_descriptors()
-    log = logger(level).bind(director=house.number)
+    log = logger(level).bind(director=director_file.number)
     if limits is not None and faults:
         log.error("limits refused at the start: the last good version is in force", faults=faults)
     loop = SocketLoop()
@@ -119,15 +119,15 @@
         tap = make_tap(source, TapFile(loop, tap_file).record)
     watcher = Watcher(log, lambda: loop.now)
     try:
-        director = create(loop, house, tap=tap, watch=watcher.event, limits=loaded.limits if loaded else None)
+        director = create(loop, director_file, tap=tap, watch=watcher.event, limits=loaded.limits if loaded else None)
     except OSError as error:
-        log.error("cannot listen", address=house.listen, error=str(error))
+        log.error("cannot listen", address=director_file.listen, error=str(error))
         return EXIT_FAILED
     director.pages["GET", "/metrics"] = watcher.page(director)
     director.pages["GET", "/healthz"] = health(director)
     for number in signal.SIGTERM, signal.SIGINT:
         loop.on_signal(number, director.stop)
-    planner_side = connect_to_planners(director, house)
+    planner_side = connect_to_planners(director, director_file)
     if planner_side is not None:
         director.pages["GET", "/planner"] = planner_side.page
     watch = watch_limits(limits, path, director, log) if limits is not None else None
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -96,8 +96,8 @@
         self.path = os.path.join(self.folder.name, "limits.scm")
         self.write("(limits)")
         self.cluster = Cluster(nodes=1)
-        self.put, self.refused = [], []
-        self.file = LimitsFile(self.cluster.directors[0].loop, self.path, InProcessCheck(LIVES), self.put.append, self.refused.append, b"(limits)")
+        self.applied, self.rejected = [], []
+        self.file = LimitsFile(self.cluster.directors[0].loop, self.path, InProcessCheck(LIVES), self.applied.append, self.rejected.append, b"(limits)")
 
     def write(self, text):
         with open(self.path, "w") as stream:
@@ -105,28 +105,28 @@
 
     def test_edits_of_the_file(self):
         self.cluster.run(2_000)
-        self.assertEqual((self.put, self.refused), ([], []))
+        self.assertEqual((self.applied, self.rejected), ([], []))
         self.write("(limits (cold-pace 0.9))")
         self.cluster.run(260)
         self.write("(limits (cold-pace 0.8))")
         self.cluster.run(1_000)
-        self.assertEqual([found.cold_pace.value for found in self.put], [0.8])
+        self.assertEqual([found.cold_pace.value for found in self.applied], [0.8])
         self.write("(limits (cold-pace 0.7)")
         self.cluster.run(1_000)
-        self.assertEqual((len(self.put), len(self.refused)), (1, 1))
+        self.assertEqual((len(self.applied), len(self.rejected)), (1, 1))
         os.remove(self.path)
         os.mkdir(self.path)
         self.cluster.run(1_000)
-        self.assertEqual(self.refused[1:], [["limits.scm: cannot be read: Is a directory"]])
+        self.assertEqual(self.rejected[1:], [["limits.scm: cannot be read: Is a directory"]])
         os.rmdir(self.path)
         self.cluster.run(1_000)
-        self.assertIn("No such file", self.refused[2][0])
+        self.assertIn("No such file", self.rejected[2][0])
         self.write("(limits (cold-pace 0.6))")
         self.cluster.run(1_000)
-        self.assertEqual([found.cold_pace.value for found in self.put], [0.8, 0.6])
+        self.assertEqual([found.cold_pace.value for found in self.applied], [0.8, 0.6])
         self.write("(limits (cold-pace 60))")
         self.file.poll(immediately=True)
-        self.assertEqual(len(self.refused), 4)
+        self.assertEqual(len(self.rejected), 4)
 
     def test_check_in_a_child_process(self):
         """The loop goes on turning while the child checks; a child that cannot run counts as a rejection."""
@@ -141,9 +141,9 @@
         while len(done) < 3:
             loop.turn()
         self.assertEqual([one.limits.cold_pace.value for one in done if one.limits], [0.5])
-        refused = sorted(one.texts()[0] for one in done if one.limits is None)
-        self.assertIn("its check ended with", refused[0])
-        self.assertIn("cold-pace: 20 lets 2 directors send", refused[1])
+        rejected = sorted(one.texts()[0] for one in done if one.limits is None)
+        self.assertIn("its check ended with", rejected[0])
+        self.assertIn("cold-pace: 20 lets 2 directors send", rejected[1])
 
     def test_a_director_starts_with_the_last_good_version(self):
         house, path = LIVES, self.path
@@ -151,22 +151,22 @@
         self.write("(limits (cold-pace 0.5))")
         self.cluster.run(1_000)
         self.write("(limits (cold-pace")
-        loaded, against = load_at_start(path, house)
-        self.assertEqual((loaded.limits.cold_pace.value, len(against)), (0.5, 1))
+        loaded, faults = load_at_start(path, house)
+        self.assertEqual((loaded.limits.cold_pace.value, len(faults)), (0.5, 1))
         os.remove(path + ".good")
         self.assertIsNone(load_at_start(path, house)[0].limits)
 
     def test_generations_end_with_their_last_play(self):
-        kept = Generations(limits("(limits)"), 0.0)
-        one, two = kept.begin_play(), kept.begin_play()
-        kept.switch(limits("(limits)"), 1.0)
-        three = kept.begin_play()
-        kept.switch(limits("(limits)"), 2.0)
-        kept.end_play(one)
-        kept.end_play(three)
-        self.assertEqual(list(kept.older), [1])
-        kept.end_play(two)
-        self.assertEqual((kept.older, kept.current.number, kept.switches), ({}, 3, 2))
+        generations = Generations(limits("(limits)"), 0.0)
+        one, two = generations.begin_play(), generations.begin_play()
+        generations.switch(limits("(limits)"), 1.0)
+        three = generations.begin_play()
+        generations.switch(limits("(limits)"), 2.0)
+        generations.end_play(one)
+        generations.end_play(three)
+        self.assertEqual(list(generations.older), [1])
+        generations.end_play(two)
+        self.assertEqual((generations.older, generations.current.number, generations.switches), ({}, 3, 2))
 
 if __name__ == "__main__":
     unittest.main()
