--- a/laddergw/http/__init__.py
+++ b/laddergw/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on the loop, round the sans-I/O parser httptools: a server, a client with pools, limits on peers."""
+"""HTTP/1.1 on the event loop, with the sans-I/O parser httptools: a server, a client with connection pools, limits on peers."""
--- a/laddergw/http/client.py
+++ b/laddergw/http/client.py
@@ -1,8 +1,5 @@
-"""The client side of HTTP/1.1: a pool of connections to one peer, and facts about how far each call got.
-
-A call's facts are what "provably never ran" rests on: how many of its bytes were handed to the kernel, out of how
-many, and when. They are counted at the stream, not concluded from an exception.
-"""
+"""HTTP/1.1 client: a pool of connections to one peer. Each call counts how many of its bytes were handed to the kernel, out
+of how many, and when; counted at the stream, not inferred from an exception, this shows that a request certainly never ran."""
 from collections import deque
 from typing import Callable
 
@@ -13,258 +10,260 @@
 
 
 class Call:
-    """One request to a peer. `done(call)` is called once, when it has ended in whatever way.
-
-    After that: `status` (None where no whole answer came), `body`, `failure` (text where it failed). At any time:
-    `written` of `size` bytes given to the kernel, `first_byte_at` and `last_byte_at` in ms, None before.
-    """
-    __slots__ = ("pool", "data", "size", "done", "line", "connection", "status", "body", "failure", "base", "over",
-                 "first_byte_at", "last_byte_at", "requested_at", "label", "answered_at", "headers")
-
-    def __init__(self, pool: "Pool", data: bytes, done: Callable[["Call"], None], line: Callable | None, label):
-        self.pool, self.data, self.size, self.done, self.line, self.label = pool, data, len(data), done, line, label
+    """One request to a peer. `on_end(call)` is called once, however the call ends; then `status` (None where no complete
+    response came), `body`, `headers` (names in lower case) and `failure` (text, None where it succeeded) are set. Always:
+    `written` of `size` bytes given to the kernel, `first_byte_at` and `last_byte_at` (ms, None before). `offset`: position
+    in the stream's bytes while the call is on a connection, then the final `written`."""
+    __slots__ = ("pool", "request", "size", "on_end", "on_line", "connection", "status", "body", "failure", "offset", "ended",
+                 "first_byte_at", "last_byte_at", "requested_at", "label", "ended_at", "headers")
+
+    def __init__(self, pool: "Pool", request: bytes, on_end: Callable[["Call"], None], on_line: Callable | None, label):
+        self.pool, self.request, self.size, self.on_end, self.on_line, self.label = pool, request, len(request), on_end, on_line, label
         self.connection, self.status, self.body, self.failure = None, None, b"", None
-        self.base, self.over = None, False
-        self.first_byte_at = self.last_byte_at = self.answered_at = None
-        self.requested_at, self.headers = pool.loop.now, {}      # headers: of the answer, names in lower case
+        self.offset, self.ended = None, False
+        self.first_byte_at = self.last_byte_at = self.ended_at = None
+        self.requested_at, self.headers = pool.loop.now, {}
 
     @property
     def connection_refused(self) -> bool:
-        """Whether no process listens there, which is more than that no connection came."""
+        """Whether no process listens at the peer: says more than that no connection was made."""
         return self.failure is not None and self.failure.endswith(CONNECTION_REFUSED)
 
     @property
     def written(self) -> int:
-        if self.base is None:
+        if self.offset is None:
             return 0
         if self.connection is None:
-            return self.base
-        return min(self.size, max(0, self.connection.stream.bytes_sent - self.base))
+            return self.offset
+        return min(self.size, max(0, self.connection.stream.bytes_sent - self.offset))
 
-    def end(self, why: str | None) -> None:
-        if not self.over:
-            self.over, self.failure = True, why
-            self.answered_at = self.pool.loop.now
-            self.pool.tapped("ended", self)
-            self.done(self)
+    def end(self, reason: str | None) -> None:
+        """Ends the call once; `reason` is None where it succeeded."""
+        if not self.ended:
+            self.ended, self.failure = True, reason
+            self.ended_at = self.pool.loop.now
+            self.pool.report("ended", self)
+            self.on_end(self)
 
     def withdraw(self) -> bool:
-        """Gives the call up if none of its bytes left this process; False where some did."""
-        if self.over or self.written:
+        """Cancels the call if none of its bytes left this process; returns False where some did."""
+        if self.ended or self.written:
             return False
-        self.pool.forget(self)
-        self.end("taken back")
+        self.pool.remove_waiting(self)
+        self.end("withdrawn before it was sent")
         return True
 
-    def abort(self, why: str) -> None:
-        """Gives the call up wherever it is, with its connection."""
-        if self.over:
+    def abort(self, reason: str) -> None:
+        """Cancels the call in any state and closes its connection."""
+        if self.ended:
             return
         connection = self.connection
         if connection is None:
-            self.pool.forget(self)
+            self.pool.remove_waiting(self)
         else:
-            self.base = self.written             # the count survives the connection
+            self.offset = self.written             # keep the count without the connection
             self.connection = connection.call = None
             connection.stream.abort()
-        self.end(why)
+        self.end(reason)
 
 
 class Connection:
-    """One connection of a pool: at most one call on it."""
+    """One connection of a pool, with at most one call at a time. The stream and the parser call its methods."""
 
     def __init__(self, pool: "Pool"):
-        self.pool, self.call, self.up, self.was_up, self.answers = pool, None, False, False, 0
+        self.pool, self.call, self.is_open, self.was_opened, self.head_size = pool, None, False, False, 0
         self.parser = httptools.HttpResponseParser(self)
-        self.used_at, self.rest, self.complete = pool.loop.now, b"", False
+        self.last_used_at, self.partial_line, self.is_complete = pool.loop.now, b"", False
         self.stream = pool.loop.dial(pool.address, self, pool.limits.connect_ms)
 
     def opened(self, stream) -> None:
-        self.up = self.was_up = True
-        self.pool.opened(self)
+        self.is_open = self.was_opened = True
+        self.pool.connection_opened(self)
 
     def start(self, call: Call) -> None:
-        self.call, call.connection, call.base = call, self, self.stream.bytes_written
-        self.complete = False
-        self.stream.write(call.data)
-        call.data = b""
-        self.progress()
-
-    def progress(self) -> None:
+        self.call, call.connection, call.offset = call, self, self.stream.bytes_written
+        self.is_complete = False
+        self.stream.write(call.request)
+        call.request = b""
+        self.record_progress()
+
+    def record_progress(self) -> None:
+        """Notes when the first and the last byte of the request were taken."""
         call = self.call
         if call is not None and call.first_byte_at is None and call.written:
             call.first_byte_at = self.pool.loop.now
         if call is not None and call.last_byte_at is None and call.written == call.size:
             call.last_byte_at = self.pool.loop.now
-            self.pool.tapped("sent", call)
+            self.pool.report("sent", call)
 
     def write_buffer_drained(self, stream) -> None:
-        self.progress()
+        self.record_progress()
 
     def data_received(self, stream, data: bytes) -> None:
         if self.call is None:
-            return stream.abort()                # an answer that nobody asked for
+            return stream.abort()                # a response without a request
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
             if self.call is not None:
-                self.call.abort(f"answer is not HTTP/1.1: {error.__context__ or error}")
+                self.call.abort(f"response is not HTTP/1.1: {error.__context__ or error}")
             else:
                 stream.abort()
             return
-        if self.complete:
-            self.finish()
+        if self.is_complete:
+            self.finish_call()
 
     def on_message_begin(self) -> None:
-        self.rest, self.answers = b"", 0
+        self.partial_line, self.head_size = b"", 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.answers += len(name) + len(value)
-        if self.answers > self.pool.limits.max_head_bytes:
-            raise ValueError("its head is too long")
+        self.head_size += len(name) + len(value)
+        if self.head_size > self.pool.limits.max_head_bytes:
+            raise ValueError("response head is too long")
         if self.call is not None:
             self.call.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
         if self.call is not None:
             self.call.status = self.parser.get_status_code()
-            if self.call.line is not None and self.call.status == 200:
-                self.call.line(None)             # the stream has begun
+            if self.call.on_line is not None and self.call.status == 200:
+                self.call.on_line(None)          # the stream has begun
 
     def on_body(self, data: bytes) -> None:
         call = self.call
         if call is None:
             return
-        if call.line is not None and call.status == 200:
-            self.rest += data
-            *lines, self.rest = self.rest.split(b"\n")
+        if call.on_line is not None and call.status == 200:
+            self.partial_line += data
+            *lines, self.partial_line = self.partial_line.split(b"\n")
             for line in lines:
                 if line and self.call is call:
-                    call.line(line)
-            if len(self.rest) > self.pool.limits.max_answer_bytes:
-                raise ValueError("a line is too long")
+                    call.on_line(line)
+            if len(self.partial_line) > self.pool.limits.max_answer_bytes:
+                raise ValueError("a line of the response is too long")
             return
         call.body += data
         if len(call.body) > self.pool.limits.max_answer_bytes:
-            raise ValueError("its body is too long")
+            raise ValueError("response body is too long")
 
     def on_message_complete(self) -> None:
-        self.complete = self.call is not None and self.call.status is not None and self.call.status >= 200
+        self.is_complete = self.call is not None and self.call.status is not None and self.call.status >= 200
 
-    def finish(self) -> None:
-        call, self.call, self.complete = self.call, None, False
-        call.base = call.written                 # the count survives the connection
+    def finish_call(self) -> None:
+        """Ends the call with its complete response; the connection is reused where the peer allows it."""
+        call, self.call, self.is_complete = self.call, None, False
+        call.offset = call.written               # keep the count without the connection
         call.connection = None
         if self.parser.should_keep_alive():
-            self.pool.free(self)
+            self.pool.release(self)
         else:
             self.stream.close()
         call.end(None)
 
-    def closed(self, stream, why: str | None) -> None:
+    def closed(self, stream, reason: str | None) -> None:
         call, self.call = self.call, None
-        self.pool.lost(self, why)
+        self.pool.connection_lost(self, reason)
         if call is not None:
-            call.base = min(call.size, max(0, stream.bytes_sent - call.base))
+            call.offset = min(call.size, max(0, stream.bytes_sent - call.offset))
             call.connection = None
             call.status = None
-            call.end(why or "the peer closed before its answer was whole")
+            call.end(reason or "the peer closed the connection before its response was complete")
 
 
 class Pool:
-    """Connections to one peer, opened as needed, capped, and reused until idle for long."""
+    """Connections to one peer: opened as needed, limited in number, reused until idle for `idle_ms`."""
 
     def __init__(self, loop, address: tuple[str, int], limits: PoolLimits = PoolLimits(), tap: Callable | None = None):
         self.loop, self.address, self.limits, self.tap = loop, tuple(address), limits, tap
-        self.all: dict[Connection, None] = {}
+        self.connections: dict[Connection, None] = {}
         self.idle: list[Connection] = []
         self.waiting: deque[Call] = deque()
         self.host = f"{address[0]}:{address[1]}".encode()
-        self.sweep, self.opening = None, 0
+        self.idle_timer, self.opening_count = None, 0
 
-    def tapped(self, what: str, call: Call) -> None:
+    def report(self, event: str, call: Call) -> None:
         if self.tap is not None and call.label is not None:
-            self.tap(what, self.loop.now, call)
+            self.tap(event, self.loop.now, call)
 
-    def call(self, method: str, path: str, body: bytes, done: Callable[[Call], None],
-             line: Callable | None = None, label=None, headers: str = "") -> Call:
-        """Sends a request as soon as a connection is free. `line` makes the answer a stream of lines (None first,
-        when it begins); `headers`: whole lines to add. Never calls `done` within this call."""
-        data = b"%s %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
+    def call(self, method: str, path: str, body: bytes, on_end: Callable[[Call], None], on_line: Callable | None = None, label=None, headers: str = "") -> Call:
+        """Sends a request as soon as a connection is free. `on_line` reads the response as a stream of lines (None first,
+        when it begins); `headers`: complete lines to add. Never calls `on_end` before it returns."""
+        request = b"%s %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
             method.encode(), path.encode(), self.host, headers.encode(), len(body), body)
-        call = Call(self, data, done, line, label)
+        call = Call(self, request, on_end, on_line, label)
         while self.idle:
             connection = self.idle.pop()
-            if connection.up and connection.stream is not None:
+            if connection.is_open and connection.stream is not None:
                 connection.start(call)
                 return call
         if len(self.waiting) >= self.limits.max_waiting:
             self.loop.call_soon(lambda: call.end("too many calls wait for this peer"))
             return call
         self.waiting.append(call)
-        self.grow()
+        self.open_connection()
         return call
 
-    def grow(self) -> None:
-        if self.opening < len(self.waiting) and len(self.all) < self.limits.max_connections:
-            self.opening += 1
-            self.all[Connection(self)] = None
+    def open_connection(self) -> None:
+        if self.opening_count < len(self.waiting) and len(self.connections) < self.limits.max_connections:
+            self.opening_count += 1
+            self.connections[Connection(self)] = None
 
-    def opened(self, connection: Connection) -> None:
-        self.opening -= 1
+    def connection_opened(self, connection: Connection) -> None:
+        self.opening_count -= 1
         if self.waiting:
             connection.start(self.waiting.popleft())
             if self.waiting:
-                self.grow()
+                self.open_connection()
         else:
-            self.free(connection)
+            self.release(connection)
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
+        """Gives a free connection to the next waiting call, or keeps it idle."""
         connection.used_at = self.loop.now
         if self.waiting:
             return connection.start(self.waiting.popleft())
         self.idle.append(connection)
-        if self.sweep is None:
-            self.sweep = self.loop.call_later(self.limits.idle_ms, self.drop_idle)
+        if self.idle_timer is None:
+            self.idle_timer = self.loop.call_later(self.limits.idle_ms, self.close_idle)
 
-    def drop_idle(self) -> None:
-        self.sweep = None
-        keep = []
+    def close_idle(self) -> None:
+        self.idle_timer = None
+        still_idle = []
         for connection in self.idle:
             if self.loop.now - connection.used_at >= self.limits.idle_ms:
-                connection.up = False
+                connection.is_open = False
                 connection.stream.close()
             else:
-                keep.append(connection)
-        self.idle = keep
-        if keep:
-            self.sweep = self.loop.call_later(self.limits.idle_ms, self.drop_idle)
+                still_idle.append(connection)
+        self.idle = still_idle
+        if still_idle:
+            self.idle_timer = self.loop.call_later(self.limits.idle_ms, self.close_idle)
 
-    def lost(self, connection: Connection, why: str | None) -> None:
-        self.all.pop(connection, None)
+    def connection_lost(self, connection: Connection, reason: str | None) -> None:
+        self.connections.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
-        self.opening -= not connection.was_up
-        if not connection.was_up and self.waiting:   # a connect that failed takes one waiting call with it
-            self.waiting.popleft().end(f"no connection: {why}")
-        connection.up = False
+        self.opening_count -= not connection.was_opened
+        if not connection.was_opened and self.waiting:   # a failed connect ends one waiting call
+            self.waiting.popleft().end(f"no connection: {reason}")
+        connection.is_open = False
         if self.waiting:
-            self.grow()
+            self.open_connection()
 
-    def forget(self, call: Call) -> None:
+    def remove_waiting(self, call: Call) -> None:
         if call in self.waiting:
             self.waiting.remove(call)
 
     def withdraw_waiting(self) -> list[Call]:
-        """All calls of which no byte has left, given up."""
+        """Cancels the waiting calls, of which no byte was sent, and returns them."""
         return [call for call in list(self.waiting) if call.withdraw()]
 
     def close(self) -> None:
-        for connection in list(self.all):
+        for connection in list(self.connections):
             connection.stream.abort()
         for call in list(self.waiting):
-            self.forget(call)
+            self.remove_waiting(call)
             call.end("pool closed")
-        if self.sweep is not None:
-            self.sweep.cancel()
-            self.sweep = None
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+            self.idle_timer = None
