--- a/laddergw/hls/__init__.py
+++ b/laddergw/hls/__init__.py
@@ -1,1 +1,1 @@
-"""HLS playlists as immutable values: read, checked, written, rewritten, stitched. No I/O."""
+"""HLS playlists as immutable values: parsed, validated, written and stitched. No I/O."""
--- a/laddergw/hls/writing.py
+++ b/laddergw/hls/writing.py
@@ -1,31 +1,32 @@
-"""Playlists written as text. What was read is written as it stood where only its value counts: read(write(x)) = x."""
+"""Writes playlists as text. Where a value was read from a playlist, its original text is written: read(write(x)) = x."""
 import math
 
 from laddergw.hls.values import Media, Multivariant, Playlist, Segment, seconds_text, time_text
 
 
 def write(playlist: Playlist) -> str:
-    """The playlist's text, each line ended by a line feed."""
+    """Returns the playlist's text; each line ends with a line feed."""
     lines = ["#EXTM3U"]
     if playlist.version is not None:
         lines.append(f"#EXT-X-VERSION:{playlist.version}")
     if playlist.independent_segments:
         lines.append("#EXT-X-INDEPENDENT-SEGMENTS")
     if isinstance(playlist, Media):
-        media_head(playlist, lines)
+        write_media_head(playlist, lines)
         for segment in playlist.segments:
             lines.append(segment_text(segment))
         lines.extend(playlist.trailing_lines)
         if playlist.ended:
             lines.append("#EXT-X-ENDLIST")
     else:
-        multivariant(playlist, lines)
+        write_multivariant(playlist, lines)
         lines.extend(playlist.trailing_lines)
     lines.append("")
     return "\n".join(lines)
 
 
-def media_head(media: Media, lines: list[str]) -> None:
+def write_media_head(media: Media, lines: list[str]) -> None:
+    """Appends the tags of a media playlist before its segments, after version and independence."""
     lines.append(f"#EXT-X-TARGETDURATION:{math.ceil(media.target_ms / 1000)}")
     if media.sequence:
         lines.append(f"#EXT-X-MEDIA-SEQUENCE:{media.sequence}")
@@ -38,7 +39,7 @@
 
 
 def segment_text(segment: Segment) -> str:
-    """The lines of one segment, its address last; no line feed at the end."""
+    """Returns the lines of one segment, its URI last, without a line feed at the end."""
     lines = list(segment.unknown_lines)
     if segment.discontinuity:
         lines.append("#EXT-X-DISCONTINUITY")
@@ -47,7 +48,7 @@
         lines.append(f"#EXT-X-MAP:{segment.map.write()}")
     if segment.time_ms is not None:
         lines.append(f"#EXT-X-PROGRAM-DATE-TIME:{segment.time_text or time_text(segment.time_ms)}")
-    lines.extend(f"#EXT-X-DATERANGE:{found.write()}" for found in segment.date_ranges)
+    lines.extend(f"#EXT-X-DATERANGE:{date_range.write()}" for date_range in segment.date_ranges)
     if segment.gap:
         lines.append("#EXT-X-GAP")
     if segment.byte_range is not None:
@@ -57,8 +58,9 @@
     return "\n".join(lines)
 
 
-def multivariant(playlist: Multivariant, lines: list[str]) -> None:
-    lines.extend(f"#{tag}:{found.write()}" for tag, found in playlist.head_tags)
+def write_multivariant(playlist: Multivariant, lines: list[str]) -> None:
+    """Appends the head's tags and the variants."""
+    lines.extend(f"#{tag}:{attributes.write()}" for tag, attributes in playlist.head_tags)
     for variant in playlist.variants:
         lines.extend(variant.unknown_lines)
         lines.append(f"#EXT-X-STREAM-INF:{variant.attributes.write()}")
