--- a/benchmarks/playlists.py
+++ b/benchmarks/playlists.py
@@ -42,12 +42,12 @@
         rendered, text = RenderedPlaylist(whole), write(whole)
         plain = bytearray(text.encode())
         notices = [Insertion(0, item), Insertion(400, item)]
-        assert rendered.stitched(notices) == write(stitch(whole, notices)).encode()
+        assert rendered.stitched_bytes(notices) == write(stitch(whole, notices)).encode()
         composer = Composer(TitlePlaylists((whole,)), [PlacedItem(0, 0.0, "notice", RULE), PlacedItem(400, 0.0, "notice", RULE)])
         composer.extend(1e12, SegmentSource(1, 0, ""), lambda placed, lead: ChosenSource("notice", 1), lambda chosen: AvailableItem(item, ""))
-        assert [s.uri for s in read(composer.text()).segments] == [s.uri for s in read(rendered.stitched(notices)).segments]
-        rows = {"a session's next reload, two items": composer.text, "copy of its bytes": lambda: bytes(plain), "pieces, nothing stitched": rendered.plain,
-                "pieces, two items": lambda: rendered.stitched(notices), "stitch and write": lambda: write(stitch(whole, notices)),
+        assert [s.uri for s in read(composer.text()).segments] == [s.uri for s in read(rendered.stitched_bytes(notices)).segments]
+        rows = {"a session's next reload, two items": composer.text, "copy of its bytes": lambda: bytes(plain), "pieces, nothing stitched": rendered.source_bytes,
+                "pieces, two items": lambda: rendered.stitched_bytes(notices), "stitch and write": lambda: write(stitch(whole, notices)),
                 "read by us": lambda: read(text), "parse and write by m3u8": lambda: m3u8.loads(text).dumps()}
         figures = {name: median_us(call, 3 if "m3u8" in name or "read" in name else 20) for name, call in rows.items()}
         print(f"{SEGMENTS} segments, {len(text)} bytes, programme time at {'each segment' if timed else 'the first'}")
--- a/tests/test_hls.py
+++ b/tests/test_hls.py
@@ -141,7 +141,7 @@
         self.assertEqual(programme_whole(out, addresses(insertions), source), [])
         self.assertEqual(unstitch(out, source), source)
         self.assertEqual(unstitch(read(write(out)), source), source)
-        self.assertEqual(RenderedPlaylist(source).stitched(insertions).decode(), write(out))
+        self.assertEqual(RenderedPlaylist(source).stitched_bytes(insertions).decode(), write(out))
 
     @settings(max_examples=100, deadline=None)
     @given(evening())
@@ -170,7 +170,7 @@
             window = whole._replace(segments=whole.segments[start:start + width], sequence=whole.sequence + start, discontinuity_sequence=cuts)
             out = stitch(window, insertions)
             self.assertEqual(judge.reload(out), [])
-            self.assertEqual(RenderedPlaylist(window).stitched(insertions).decode(), write(out))
+            self.assertEqual(RenderedPlaylist(window).stitched_bytes(insertions).decode(), write(out))
             cuts += window.segments[0].discontinuity
 
     def test_splices_by_hand(self):
@@ -191,8 +191,8 @@
     def test_items_that_cannot_stand(self):
         source = Media((Segment("p", 1_000.0, map=attributes.read('URI="i"')),), 6_000.0, ended=True)
         grows = Media((Segment("n", 1_000.0),), 6_000.0)
-        for item, told in ((Item("n", grows), "still grows"), (Item("n", grows._replace(ended=True, segments=())), "no segment"),
-                           (Item("n", grows._replace(ended=True)), "no initialisation section"), (Item("", grows._replace(ended=True)), "not a name")):
+        for item, told in ((Item("n", grows), "no EXT-X-ENDLIST"), (Item("n", grows._replace(ended=True, segments=())), "no segments"),
+                           (Item("n", grows._replace(ended=True)), "no initialisation section"), (Item("", grows._replace(ended=True)), "invalid name")):
             with self.assertRaisesRegex(StitchingError, told):
                 stitch(source, [Insertion(1, item)])
 
