--- a/laddergw/http/client.py
+++ b/laddergw/http/client.py
@@ -88,7 +88,7 @@
         self.record_progress()
 
     def record_progress(self) -> None:
-        """Notes when the first and the last byte of the request were taken."""
+        """Notes when the first and the last byte of the request were taken by the kernel."""
         call = self.call
         if call is not None and call.first_byte_at is None and call.written:
             call.first_byte_at = self.pool.loop.now
@@ -219,7 +219,7 @@
 
     def release(self, connection: Connection) -> None:
         """Gives a free connection to the next waiting call, or keeps it idle."""
-        connection.used_at = self.loop.now
+        connection.last_used_at = self.loop.now
         if self.waiting:
             return connection.start(self.waiting.popleft())
         self.idle.append(connection)
@@ -230,7 +230,7 @@
         self.idle_timer = None
         still_idle = []
         for connection in self.idle:
-            if self.loop.now - connection.used_at >= self.limits.idle_ms:
+            if self.loop.now - connection.last_used_at >= self.limits.idle_ms:
                 connection.is_open = False
                 connection.stream.close()
             else:
--- a/laddergw/http/server.py
+++ b/laddergw/http/server.py
@@ -239,7 +239,7 @@
         self.rejected = True
         if self.current is not None or self.waiting:
             return self.stream.abort() if self.stream is not None else None
-        self.server.refused_requests[status] = self.server.refused_requests.get(status, 0) + 1
+        self.server.rejected_requests[status] = self.server.rejected_requests.get(status, 0) + 1
         exchange, self.incoming = self.incoming or Exchange(self), None
         exchange.keep_alive, self.current = False, exchange
         exchange.answer(status, b'{"error": "%s"}\n' % reason.replace('"', "'").encode())
@@ -260,7 +260,7 @@
                  limits: PeerLimits = PeerLimits(), tap: Callable | None = None):
         self.loop, self.serve, self.limits, self.tap = loop, serve, limits, tap
         self.connections: dict[ServerConnection, None] = {}
-        self.refused_requests: dict[int, int] = {}
+        self.rejected_requests: dict[int, int] = {}    # by status
         self.rejected_connections = 0
         self.is_closing = False
         self.listener = loop.listen(address, self.accept)
