--- a/laddergw/fleet/__init__.py
+++ b/laddergw/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet's processes act on: versions of things, who acted under which, and what is kept of it. Pure modules, time handed in."""
+"""Versions that the fleet's processes act on, who acted under which, and the records of it. No module here does input or output; callers pass the time in."""
--- a/laddergw/fleet/fair_share.py
+++ b/laddergw/fleet/fair_share.py
@@ -1,54 +1,56 @@
-"""Divides a whole among those who want of it: max-min fair with weights, in whole numbers, what is too small to divide by turns. Pure, deterministic."""
+"""Weighted max-min fair division of a total into whole numbers; what is too small to divide rotates over rounds. Deterministic, no input or output."""
 from typing import NamedTuple
 from zlib import crc32
 
-KEEP_PART = 0.2            # a share is taken back only past so much over what is fair: shares do not dance
+# A share is reduced only where what is held exceeds the fair share by more than this fraction of it, so that shares do not oscillate.
+KEEP_SHARE = 0.2
 
 
 class Need(NamedTuple):
-    """Who wants how much, and what is charged to it already."""
+    """What one process wants. `charged`: what is charged to it already; `need`: the part of `want` that it would spend now, the rest is a reserve."""
     name: str
     want: int
     charged: int
-    need: int = 0              # of that, what it would spend now; the rest is kept in hand
+    need: int = 0
     weight: float = 1.0
 
 
-def max_min_shares(whole: int, wants: list[tuple[str, int, float]], turn: int) -> dict[str, int]:
-    """Of (name, want, weight): nobody gets more than it wants, and who gets less has, by weight, no less than any other. What is left over of whole numbers goes one by one,
-    in an order drawn anew for each turn, so that three among 230 come to all in time."""
-    shares, left, weights = dict.fromkeys((name for name, *_ in wants), 0), whole, sum(weight for _, want, weight in wants if want > 0)
+def max_min_shares(total: int, wants: list[tuple[str, int, float]], round_number: int) -> dict[str, int]:
+    """Divides a total among (name, want, weight). Nobody gets more than it wants, and whoever gets less has, by weight, no less than any other. What rounding leaves over
+    goes out one by one, in an order drawn anew for each round, so that three units among 230 processes reach all of them in time."""
+    shares, left, weights = dict.fromkeys((name for name, *_ in wants), 0), total, sum(weight for _, want, weight in wants if want > 0)
     rising = sorted((want / weight, name, want, weight) for name, want, weight in wants if want > 0)
-    for place, (height, name, want, weight) in enumerate(rising):
-        if height * weights > left:              # from here on nobody gets all: a level for the rest
+    for index, (height, name, want, weight) in enumerate(rising):
+        # From here on nobody gets all it wants: the rest share one level.
+        if height * weights > left:
             level = left / weights
-            for _, name, want, weight in rising[place:]:
+            for _, name, want, weight in rising[index:]:
                 shares[name] = int(level * weight)
-            left -= sum(shares[name] for _, name, *_ in rising[place:])
-            for name in sorted((row[1] for row in rising[place:]), key=lambda name: (crc32(b"%d %s" % (turn, name.encode())), name))[:max(0, left)]:
+            left -= sum(shares[name] for _, name, *_ in rising[index:])
+            for name in sorted((row[1] for row in rising[index:]), key=lambda name: (crc32(b"%d %s" % (round_number, name.encode())), name))[:max(0, left)]:
                 shares[name] += 1
             break
         shares[name], left, weights = want, left - want, weights - weight
     return shares
 
 
-def fair(whole: int, needs: list[Need], turn: int) -> dict[str, int]:
-    """What is needed now comes before what is wanted in hand."""
-    shares = max_min_shares(whole, [(need.name, min(need.need, need.want), need.weight) for need in needs], turn)
-    left = whole - sum(shares.values())
+def fair_shares(total: int, needs: list[Need], round_number: int) -> dict[str, int]:
+    """Serves what is needed now before what is wanted as a reserve."""
+    shares = max_min_shares(total, [(need.name, min(need.need, need.want), need.weight) for need in needs], round_number)
+    left = total - sum(shares.values())
     if left <= 0:
         return shares
-    rest = max_min_shares(left, [(need.name, need.want - shares[need.name], need.weight) for need in needs], turn)
+    rest = max_min_shares(left, [(need.name, need.want - shares[need.name], need.weight) for need in needs], round_number)
     return {name: share + rest[name] for name, share in shares.items()}
 
 
-def target_shares(whole: int, needs: list[Need], turn: int) -> dict[str, int]:
-    """What each should come to hold. Who holds a little over what is fair keeps it, unless somebody has nothing."""
-    shares = fair(whole, needs, turn)
+def target_shares(total: int, needs: list[Need], round_number: int) -> dict[str, int]:
+    """Returns what each should come to hold. A process that holds slightly more than its fair share keeps it, unless another has nothing."""
+    shares = fair_shares(total, needs, round_number)
     starving = any(shares[need.name] > need.charged and need.charged == 0 for need in needs)
-    found = {}
+    targets = {}
     for need in needs:
-        share, over = shares[need.name], need.charged - shares[need.name]
-        keeps = not starving and need.want >= need.charged and 0 < over <= KEEP_PART * need.charged
-        found[need.name] = need.charged if keeps else share
-    return found
+        share, excess = shares[need.name], need.charged - shares[need.name]
+        keeps = not starving and need.want >= need.charged and 0 < excess <= KEEP_SHARE * need.charged
+        targets[need.name] = need.charged if keeps else share
+    return targets
--- a/laddergw/fleet/fleet_log.py
+++ b/laddergw/fleet/fleet_log.py
@@ -9,7 +9,7 @@
 
 from laddergw.fleet.rights import OPEN, Seen
 from laddergw.fleet.action_counts import DECLINED, FAILED, ADMITTED, PLAYING, Key
-from laddergw.fleet.state_reports import Part, InvalidReport, checked
+from laddergw.fleet.state_reports import Part, InvalidReport, parse_part
 from laddergw.fleet.versions import ROLLOUT_KINDS, VersionSet, Version, version_set
 from laddergw.fleet.wanted import Answers, ProcessProgress
 
@@ -89,7 +89,7 @@
 
     def merge(self, name: str, part: Part, at_ms: float, now: float, number: int = 0) -> bool:
         """Takes in what a process told at `at_ms` of its clock, with its digest of that number; False where it says nothing new. Raises InvalidReport."""
-        turns, counts = checked(part)
+        turns, counts = parse_part(part)
         process = self.processes.setdefault(name, Process(name))
         if any(turn.stand not in part.stands and turn.stand not in self.version_sets for turn in turns):
             raise InvalidReport("a turn of a stand that was never told")
--- a/laddergw/fleet/state_reports.py
+++ b/laddergw/fleet/state_reports.py
@@ -1,6 +1,6 @@
-"""What a director tells of its stands and counts, a part of each digest: what changed since the last one on the same connection, all of it on a new one.
+"""What a director reports of its version sets and counts, a part of each digest: the changes since the last digest of the same connection, everything on a new one.
 
-Numbers of turns and counts only grow, so a part that is lost with its connection, doubled or out of order does no harm: the next connection begins whole.
+Numbers of turns and counts only grow, so a part that is lost with its connection, doubled or out of order does no harm: the next connection begins with everything.
 """
 import msgspec
 
@@ -8,65 +8,73 @@
 from laddergw.fleet.action_counts import ACTIONS, Key, ActionCounts, Turn
 from laddergw.fleet.versions import KINDS, Version, version_set
 
-TURNS_TOLD, COUNTS_TOLD, STANDS_TOLD = 512, 65_536, 1_024      # of one part, at most: twice what a director holds
-MAX_TEXT_CHARS = 600            # letters of one text
+# Bounds of one part: twice what a director holds.
+MAX_REPORTED_TURNS, MAX_REPORTED_COUNTS, MAX_REPORTED_SETS = 512, 65_536, 1_024
+# Characters of one text of a part.
+MAX_TEXT_CHARS = 600
 
 
 class Part(msgspec.Struct, frozen=True, omit_defaults=True):
-    """`turns`: number, time, stand; `stands`: by id, the versions; `counts`: turn, kept, product, action, how many so far."""
+    """`turns`: number, time, id of the version set; `stands`: the versions of each set, by its id; `counts`: turn, kept, product, action, how many so far.
+
+    `untold`: actions of turns that were dropped before any planner kept them; `alone_ms`: how long no planner could be reached before this connection; `without`: "open" or
+    "closed" from a director that requests a right to admit plays, what it does without one; `over`: it is stopping and admits nothing any more; `takes`: kinds of which
+    a file is accepted there; `came`: number, hash, outcome and reason of the last file a planner offered; `trouble`: what is wrong with the director's own limits file.
+    """
     turns: tuple[tuple[int, float, str], ...] = ()
     stands: dict[str, tuple[tuple[str, int, str, str], ...]] = {}
     counts: tuple[tuple[int, str, str, str, int], ...] = ()
-    untold: int = 0                                             # actions of turns that were dropped before any planner kept them
-    alone_ms: float = 0.0                                       # before this connection, no planner was to be reached so long
-    without: str = ""                                           # "open" or "closed": it asks for a right to let plays in, and what it does without one
-    over: bool = False                                          # it stops: it lets nothing in any more
+    untold: int = 0
+    alone_ms: float = 0.0
+    without: str = ""
+    over: bool = False
     zone: int = 0
-    takes: tuple[str, ...] = ()                                 # kinds of which a file can be brought up there
-    came: tuple[int, str, str, str] = (0, "", "", "")           # of what a planner wanted there: its number, hash, what came of it, why
-    trouble: str = ""                                           # what speaks against the director's own file of limits
+    takes: tuple[str, ...] = ()
+    came: tuple[int, str, str, str] = (0, "", "", "")
+    trouble: str = ""
 
 
 class InvalidReport(ValueError):
-    """A part that cannot be; the text says why."""
+    """A part that cannot be valid; the text says why."""
 
 
 class ReportedState:
-    """What went out on one connection."""
+    """What has been reported on one connection."""
 
     def __init__(self):
-        self.turn, self.counts, self.stands = 0, {}, set()
+        self.turn, self.counts, self.version_set_ids = 0, {}, set()
 
-    def next_part(self, stamps: ActionCounts, **more) -> Part:
-        """What has changed since the last part, and counts as told by now; `more`: the part's other fields."""
-        turns = [turn for turn in stamps.turns if turn.number > self.turn]
+    def next_part(self, actions: ActionCounts, **more) -> Part:
+        """Returns what has changed since the last part, and marks it as reported. `more`: the part's other fields."""
+        turns = [turn for turn in actions.turns if turn.number > self.turn]
         counts = []
-        for number, mine in stamps.counts.items():
-            if number < self.turn and number in self.counts:    # an earlier turn's counts stand still once it is over and told
+        for number, turn_counts in actions.counts.items():
+            # The counts of a past turn no longer change, and are complete once reported.
+            if number < self.turn and number in self.counts:
                 continue
             before = self.counts.get(number, {})
-            counts += [(*key, count) for key, count in mine.items() if before.get(key) != count]
-        self.counts = {number: dict(mine) for number, mine in stamps.counts.items()}
-        named = {turn.stand for turn in turns} | {row[1] for row in counts if row[1]}
-        stands = {name: tuple(tuple(v) for v in stamps.version_sets[name].versions) for name in sorted(named - self.stands) if name in stamps.version_sets}
-        self.stands |= stands.keys()
+            counts += [(*key, count) for key, count in turn_counts.items() if before.get(key) != count]
+        self.counts = {number: dict(turn_counts) for number, turn_counts in actions.counts.items()}
+        referenced = {turn.stand for turn in turns} | {row[1] for row in counts if row[1]}
+        version_sets = {set_id: tuple(tuple(v) for v in actions.version_sets[set_id].versions) for set_id in sorted(referenced - self.version_set_ids) if set_id in actions.version_sets}
+        self.version_set_ids |= version_sets.keys()
         if turns:
             self.turn = turns[-1].number
-        return Part(tuple(tuple(turn) for turn in turns), stands, tuple(counts), stamps.dropped, **more)
+        return Part(tuple(tuple(turn) for turn in turns), version_sets, tuple(counts), actions.dropped, **more)
 
 
-def checked(part: Part) -> tuple[list[Turn], list[tuple[Key, int]]]:
-    """Its turns and counts. Raises InvalidReport."""
-    if len(part.turns) > TURNS_TOLD or len(part.counts) > COUNTS_TOLD or len(part.stands) > STANDS_TOLD or part.untold < 0 or part.without not in ("", OPEN, CLOSED) or not 0 <= part.alone_ms < 1e15 or part.zone < 0 \
+def parse_part(part: Part) -> tuple[list[Turn], list[tuple[Key, int]]]:
+    """Returns the part's turns and counts. Raises InvalidReport."""
+    if len(part.turns) > MAX_REPORTED_TURNS or len(part.counts) > MAX_REPORTED_COUNTS or len(part.stands) > MAX_REPORTED_SETS or part.untold < 0 or part.without not in ("", OPEN, CLOSED) or not 0 <= part.alone_ms < 1e15 or part.zone < 0 \
             or len(part.takes) > len(KINDS) or part.came[0] < 0 or max(map(len, (*part.came[1:], part.trouble))) > MAX_TEXT_CHARS:
         raise InvalidReport("more than a director holds")
     turns = [Turn(*turn) for turn in part.turns]
     if any(turn.number < 1 or not 0 <= turn.at_ms < 1e15 for turn in turns) or [t.number for t in turns] != sorted({t.number for t in turns}):
-        raise InvalidReport("turns that do not follow each other")
+        raise InvalidReport("turns are not in ascending order, or a number or time is out of range")
     counts = [(Key(*row[:4]), row[4]) for row in part.counts]
     if any(count < 0 or key.turn < 1 or key.action not in ACTIONS for key, count in counts):
-        raise InvalidReport("counts of nothing")
-    for name, versions in part.stands.items():
-        if any(version[0] not in KINDS for version in versions) or version_set(Version(*version) for version in versions).id != name:
-            raise InvalidReport(f"stand {name[:20]!r} is not made of what it names")
+        raise InvalidReport("a count is negative, or of an unknown turn or action")
+    for set_id, versions in part.stands.items():
+        if any(version[0] not in KINDS for version in versions) or version_set(Version(*version) for version in versions).id != set_id:
+            raise InvalidReport(f"version set {set_id[:20]!r} does not have the id of its versions")
     return turns, counts
