--- a/laddergw/fleet/fleet_log.py
+++ b/laddergw/fleet/fleet_log.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from laddergw.fleet.rights import OPEN, Seen
+from laddergw.fleet.rights import OPEN, ObservedProcess
 from laddergw.fleet.action_counts import DECLINED, FAILED, ADMITTED, PLAYING, Key
 from laddergw.fleet.state_reports import Part, InvalidReport, parse_part
 from laddergw.fleet.versions import ROLLOUT_KINDS, VersionSet, Version, version_set
@@ -186,9 +186,9 @@
                     sums[version != name][1] += bad
         return Answers(*sums[0]), Answers(*sums[1])
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[ObservedProcess]:
         """The last word of each process that may let plays in, for rights. One that asks for none stays open."""
-        return [Seen(name, frozenset((v.kind, v.hash) for v in self.version_sets[held.stand].versions), process.heard_ms, process.without or OPEN, process.said.zone)
+        return [ObservedProcess(name, frozenset((v.kind, v.hash) for v in self.version_sets[held.stand].versions), process.heard_ms, process.without or OPEN, process.said.zone)
                 for name, process in sorted(self.processes.items()) if not process.gone and (held := process.last()) is not None]
 
     # The ledger's side
--- a/laddergw/fleet/rights.py
+++ b/laddergw/fleet/rights.py
@@ -1,101 +1,110 @@
-"""Rights to let plays in: leases by which a version can be shut out of the whole fleet though nobody reaches some of it. Pure.
+"""Rights to admit plays: leases by which a version can be excluded from the whole fleet even though parts of it cannot be reached. Does no input or output.
 
-A director asks with each digest; the planner that keeps the journal grants, and tells which versions must not be used any more. A right lasts from when it was
-*asked* for, on the director's own monotonic clock, so it ends there no later than the lease after the planner granted it, whatever the network did. A director
-on a forbidden version shuts its door as it hears of it; one that is cut off shuts its own when its right ends, if its file says so (`closed`). So,
-a lease and a margin after a version was forbidden, nobody that closes lets a play in under it.
+A director requests a right with each digest; the planner that keeps the journal grants it and names the versions that are forbidden. A right lasts from when it was
+*requested*, on the director's own monotonic clock, so it ends there no later than one lease after the planner granted it, whatever the network did. A director on a
+forbidden version stops admitting plays as soon as it learns of it; one that is cut off stops when its right ends, if its file says so (`closed`). So one lease and a
+margin after a version was forbidden, no director that closes admits a play under it.
 
-No version is forbidden that most of the fleet is on, nor one that all of a zone are on: that would close it by a slip.
+A version that most of the fleet is on is not forbidden, nor one that all directors of a zone are on: a mistake would close all of them.
 """
 from collections import OrderedDict
 from typing import Iterable, NamedTuple
 
-LEASE_MS = 5_000.0         # of a right: two losses of a planner's connection (2 s of silence each) pass by it
-MARGIN_MS = 500.0          # past a lease, for clocks that run apart by parts in a thousand, and a turn in which both fall
-FIRST_WORD_MS = 2_000.0    # a process that begins, and stays open without planners, waits so long for their first word: a dial and a digest, twice
-MAX_PENDING_REQUESTS = 64            # askings that a grant may answer: digests of 16 s, past any lease
-MOST_SHUT = 0.5            # share of the directors heard lately that a forbidden version may shut out
-FORBIDDEN_MOST = 64        # versions
-OPEN, CLOSED = "open", "closed"    # what a director does whose right has ended
+# Of a right. It outlasts two losses of the connection to a planner, of 2 s of silence each.
+LEASE_MS = 5_000.0
+# Added to a lease, for clocks that drift by parts in a thousand and for a loop turn in which both ends fall.
+MARGIN_MS = 500.0
+# A process that has just begun, and stays open without planners, waits this long for their first answer: a dial and a digest, twice.
+FIRST_GRANT_WAIT_MS = 2_000.0
+# Requests that a grant may answer: the digests of 16 s, longer than any lease.
+MAX_PENDING_REQUESTS = 64
+# Of the directors heard lately, the share that forbidding a version may exclude.
+MAX_EXCLUDED_SHARE = 0.5
+MAX_FORBIDDEN_VERSIONS = 64
+# What a director does whose right has ended.
+OPEN, CLOSED = "open", "closed"
 
-Named = tuple[str, str]    # a version by its kind and hash
+# A version by its kind and hash.
+VersionKey = tuple[str, str]
 
 
 class Right:
-    """A director's right. `alone`: what it does without one; OPEN never shuts for the lack of one, only on a forbidden version."""
+    """A director's right to admit plays. `without_right`: what it does without one; OPEN never stops for lack of one, only on a forbidden version."""
 
-    def __init__(self, alone: str = OPEN, began: float = float("-inf")):
-        self.alone, self.began, self.until, self.rank = alone, began, float("-inf"), (0, 0)
-        self.asked: OrderedDict[int, float] = OrderedDict()
-        self.forbidden: frozenset[Named] = frozenset()
+    def __init__(self, without_right: str = OPEN, began: float = float("-inf")):
+        self.without_right, self.began, self.until, self.rank = without_right, began, float("-inf"), (0, 0)
+        self.requested: OrderedDict[int, float] = OrderedDict()
+        self.forbidden: frozenset[VersionKey] = frozenset()
 
     def record_request(self, number: int, now: float) -> None:
-        self.asked[number] = now
-        while len(self.asked) > MAX_PENDING_REQUESTS:
-            self.asked.popitem(last=False)
-
-    def apply_grant(self, number: int, epoch: int, lease_ms: float, forbidden: Iterable[Named]) -> bool:
-        """An answer to what was asked under that number; False where it is older than what was obeyed, by epoch or number, or answers nothing."""
-        if (epoch, number) <= self.rank or epoch < self.rank[0] or number not in self.asked:
+        """Notes that the digest of that number requests a right."""
+        self.requested[number] = now
+        while len(self.requested) > MAX_PENDING_REQUESTS:
+            self.requested.popitem(last=False)
+
+    def apply_grant(self, number: int, epoch: int, lease_ms: float, forbidden: Iterable[VersionKey]) -> bool:
+        """Applies the answer to the request of that number; returns False if its epoch or number is older than what was applied, or it answers no pending request."""
+        if (epoch, number) <= self.rank or epoch < self.rank[0] or number not in self.requested:
             return False
         self.rank, self.forbidden = (epoch, number), frozenset(forbidden)
-        self.until = max(self.until, self.asked[number] + min(lease_ms, LEASE_MS))
+        self.until = max(self.until, self.requested[number] + min(lease_ms, LEASE_MS))
         return True
 
-    def refusal_reason(self, stand: frozenset[Named], now: float) -> str | None:
-        """Why no play may be let in at this moment under these versions; None where one may."""
-        if banned := self.forbidden & stand:
+    def refusal_reason(self, versions: frozenset[VersionKey], now: float) -> str | None:
+        """Returns why no play may be admitted now under these versions, None if one may."""
+        if banned := self.forbidden & versions:
             kind, name = min(banned)
             return f"{kind} {name[:8]} must not be used any more"
-        if self.alone == CLOSED and now >= self.until:
+        if self.without_right == CLOSED and now >= self.until:
             return "no planner has granted the right to let plays in"
-        if self.rank == (0, 0) and now < self.began + FIRST_WORD_MS:     # it may begin on a version that was forbidden while it was away
+        # It may begin on a version that was forbidden while it was away.
+        if self.rank == (0, 0) and now < self.began + FIRST_GRANT_WAIT_MS:
             return "it has just begun, and waits for a planner's first word"
         return None
 
 
-class Seen(NamedTuple):
-    """What a planner knows of one director's process. `stand`: versions of its last word; `heard_ms`: when that came."""
+class ObservedProcess(NamedTuple):
+    """What a planner knows of one director's process. `versions`: in force by its last report; `heard_ms`: when that arrived."""
     name: str
-    stand: frozenset[Named]
+    versions: frozenset[VersionKey]
     heard_ms: float
-    alone: str
+    without_right: str
     zone: int = 0
 
 
 class Floors:
-    """Versions that must not be used any more, at the planner that keeps the journal."""
+    """The forbidden versions, at the planner that keeps the journal."""
 
     def __init__(self):
-        self.since: dict[Named, float] = {}
+        self.since: dict[VersionKey, float] = {}
 
-    def forbid(self, version: Named, seen: list[Seen], now: float, silent_ms: float) -> str | None:
-        """From now on; why not, where it is refused."""
+    def forbid(self, version: VersionKey, seen: list[ObservedProcess], now: float, silent_ms: float) -> str | None:
+        """Forbids a version from now on; returns why if that is refused."""
         alive = [one for one in seen if now - one.heard_ms < silent_ms]
-        on = [one for one in alive if version in one.stand]
-        if version not in self.since and len(self.since) >= FORBIDDEN_MOST:
-            return f"{FORBIDDEN_MOST} versions are forbidden already"
+        on = [one for one in alive if version in one.versions]
+        if version not in self.since and len(self.since) >= MAX_FORBIDDEN_VERSIONS:
+            return f"{MAX_FORBIDDEN_VERSIONS} versions are forbidden already"
         if not alive:
             return "no director is heard: who would be shut out is not known"
-        if len(on) > MOST_SHUT * len(alive):
-            return f"{len(on)} of {len(alive)} directors are on it: over {MOST_SHUT:.0%} would be shut out"
+        if len(on) > MAX_EXCLUDED_SHARE * len(alive):
+            return f"{len(on)} of {len(alive)} directors are on it: over {MAX_EXCLUDED_SHARE:.0%} would be shut out"
         for zone in sorted({one.zone for one in on}):
-            if all(version in one.stand for one in alive if one.zone == zone):
+            if all(version in one.versions for one in alive if one.zone == zone):
                 return f"all that are heard in zone {zone} are on it: the zone would be shut out"
         self.since.setdefault(version, now)
         return None
 
-    def allow(self, version: Named) -> bool:
-        """The way back."""
+    def allow(self, version: VersionKey) -> bool:
+        """Allows a forbidden version again; returns False if it is not forbidden."""
         return self.since.pop(version, None) is not None
 
-    def restore(self, versions: Iterable[Named], now: float) -> None:
-        """As the journal has them: whoever was granted something by the planner of before was granted it before now."""
+    def restore(self, versions: Iterable[VersionKey], now: float) -> None:
+        """Takes over the forbidden versions of the journal, as of now: whatever the previous planner granted, it granted before now."""
         self.since = {version: now for version in versions}
 
-    def check_unused(self, version: Named, seen: list[Seen], now: float) -> tuple[bool, list[str]]:
-        """Whether nobody lets plays in under a forbidden version any more, and who may still: of the directors that stay open alone, whose last word
-        tells of it (what is told to them may be lost while they are heard), and who is silent (it may go over to it unheard)."""
+    def check_unused(self, version: VersionKey, seen: list[ObservedProcess], now: float) -> tuple[bool, list[str]]:
+        """Returns whether no director admits plays under a forbidden version any more, and which may still: of those that stay open without a right, whoever last
+        reported it (what is sent to it may be lost although it is heard) and whoever is silent (it may have switched to it unheard)."""
         since = self.since[version]
-        may = [one.name for one in seen if one.alone == OPEN and (version in one.stand or now - one.heard_ms >= LEASE_MS)]
+        may = [one.name for one in seen if one.without_right == OPEN and (version in one.versions or now - one.heard_ms >= LEASE_MS)]
         return now >= since + LEASE_MS + MARGIN_MS and not may, may
--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -1,4 +1,4 @@
-"""A small town whose directors have a planner, for tests of the fleet: lines of ours between them, a store, files of limits."""
+"""A cluster in memory whose directors have a planner, for tests of the fleet: faulty links between them, the planner's store, limits files."""
 import json
 import os
 import tempfile
@@ -13,8 +13,8 @@
 from tests.town import Town
 
 
-class FleetTown(unittest.TestCase):
-    """Directors behind lines that fail, and one planner with its store; `zones`: of directors, by number."""
+class FleetCluster(unittest.TestCase):
+    """Directors behind faulty links, and one planner with its store; `zones`: of directors, by number."""
     directors, bounds, zones = 2, "(without-planner closed)", {}
 
     def setUp(self):
@@ -22,21 +22,21 @@
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
         self.path = os.path.join(folder.name, "store")
-        self.town = Town(directors=self.directors, bounds=self.bounds)
+        self.cluster = Town(directors=self.directors, bounds=self.bounds)
         self.planners = 0
         self.start_planner()
-        self.lines, self.sides, self.files = {}, {}, {}
-        for number in self.town.directors:
-            line = Line(self.town.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.town.record)
-            self.lines[number] = line
-            self.join(number)
-        self.town.run(1_500)
+        self.links, self.sides, self.files = {}, {}, {}
+        for number in self.cluster.directors:
+            link = Line(self.cluster.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.cluster.record)
+            self.links[number] = link
+            self.connect_planner(number)
+        self.cluster.run(1_500)
 
-    def join(self, number):
-        """The director's process tells the planner, and takes files over the line."""
-        director = self.town.directors[number]
+    def connect_planner(self, number):
+        """Makes a director report to the planner, and accept files from it."""
+        director = self.cluster.directors[number]
         director.house = director.house._replace(deployment=director.house.deployment._replace(zone=self.zones.get(number, 0)))
-        self.sides[number] = side = EdgeSide(director, (self.lines[number].address,))
+        self.sides[number] = side = EdgeSide(director, (self.links[number].address,))
         path = os.path.join(self.folder, f"limits.{number}")
         if not os.path.exists(path):
             with open(path, "w") as stream:
@@ -44,30 +44,35 @@
         self.files[number] = LimitsFile(director.loop, path, InPlace(director.house), director.change_limits, director.limits_refused, b"(limits)")
         side.audit.brings(self.files[number].bring)
 
-    def strike(self, number, what, value=None):
-        line = self.lines[number]
-        line.loop.now = self.town.world.now
-        line.fault(what, value)
+    def inject_fault(self, number, what, value=None):
+        """Applies a fault to the link between a director and the planner."""
+        link = self.links[number]
+        link.loop.now = self.cluster.world.now
+        link.fault(what, value)
 
     def kill_planner(self):
-        self.town.world.hosts["p0"].kill()
+        """Kills the planner's process; its store stays as it is."""
+        self.cluster.world.hosts["p0"].kill()
         self.planner.store.db.close()
 
     def restart(self, number):
-        """A director is killed, and begins anew under its number."""
-        self.town.world.hosts[f"d{number}"].kill()
-        self.town.start_director(number)
-        self.join(number)
+        """Kills a director and starts it anew under its number."""
+        self.cluster.world.hosts[f"d{number}"].kill()
+        self.cluster.start_director(number)
+        self.connect_planner(number)
 
     def start_planner(self):
+        """Starts a planner on the same store."""
         self.planners += 1
-        self.planner = Planner(self.town.world.host("p0"), f"p0.{self.planners}", ("p0", 8300), Store(self.path), (("k", b"key-of-the-small-town"),), clock=lambda: self.town.world.now)
+        self.planner = Planner(self.cluster.world.host("p0"), f"p0.{self.planners}", ("p0", 8300), Store(self.path), (("k", b"key-of-the-small-town"),), clock=lambda: self.cluster.world.now)
         self.addCleanup(self.planner.store.db.close)
 
-    def ask(self, number, **facts):
-        ask = self.town.ask(number, key=f"v{self.town.world.now}", **facts)
-        self.town.run(400)
-        return ask.answer, ask.lines[0][1].get("reason")
+    def request_play(self, number, **facts):
+        """Requests a play of a director; returns the answer and its reason."""
+        viewer = self.cluster.ask(number, key=f"v{self.cluster.world.now}", **facts)
+        self.cluster.run(400)
+        return viewer.answer, viewer.lines[0][1].get("reason")
 
-    def question(self, what, name=""):
+    def ask_planner(self, what, name=""):
+        """Returns the planner's answer to an operator's question."""
         return json.loads(self.planner.auditing.ask(wire.Ask(what, name)))
--- a/tests/test_budgets_cluster.py
+++ b/tests/test_budgets_cluster.py
@@ -13,13 +13,13 @@
 from laddergw.terms.sexpr import Refused
 from laddergw.terms import limits as files
 from laddergw.terms.loading import usual
-from tests.fleet_cluster import FleetTown
+from tests.fleet_cluster import FleetCluster
 
 NAME, WINDOW_MS, WHOLE = "tenant basin", 2_000.0, 12
 TEXT = b'(limits (defaults (attempts 3)) (tenant "basin" (budget (free 5) (window-ms %d) (scope fleet))) (route "/" (tenant "basin")))'
 
 
-class Spent(FleetTown):
+class Spent(FleetCluster):
     """Three directors that share a tenant's further allocations."""
     directors, bounds = 3, ""
 
@@ -27,27 +27,27 @@
         super().setUp()
         self.spends = []
         self.issuer = identity(self.planner.store)
-        for number in self.town.directors:
+        for number in self.cluster.directors:
             self.begin(number)
         self.planner.auditing.budgeting.set((Budget(NAME, WHOLE, WINDOW_MS),))
-        self.town.run(charge_duration_ms(LEASE_MS, WINDOW_MS) + 1_000)
+        self.cluster.run(charge_duration_ms(LEASE_MS, WINDOW_MS) + 1_000)
 
-    def join(self, number):
-        director = self.town.directors[number]
+    def connect_planner(self, number):
+        director = self.cluster.directors[number]
         director.house = director.house._replace(issuer=identity(self.planner.store))
-        super().join(number)
+        super().connect_planner(number)
 
     def begin(self, number, window_ms=int(WINDOW_MS)):
-        director = self.town.directors[number]
+        director = self.cluster.directors[number]
         director.change_limits(load(TEXT % window_ms, "limits", director.house).limits)
 
     def spend(self, number, times=1):
         """As `allocate` does for each further allocation."""
-        director, had = self.town.directors[number], 0
+        director, had = self.cluster.directors[number], 0
         for _ in range(times):
-            director.loop.now = max(director.loop.now, self.town.world.now)
+            director.loop.now = max(director.loop.now, self.cluster.world.now)
             if director.budgets.may_retry((NAME,), director.loop.now) is None:
-                self.spends.append(self.town.world.now)
+                self.spends.append(self.cluster.world.now)
                 had += 1
         return had
 
@@ -55,7 +55,7 @@
         """All want more than there is."""
         had = dict.fromkeys(numbers, 0)
         for _ in range(int(ms / 50)):
-            self.town.run(50)
+            self.cluster.run(50)
             for number in numbers:
                 had[number] += self.spend(number, 2)
         self.assertLessEqual(most_within(self.spends, WINDOW_MS)[0], WHOLE)
@@ -66,15 +66,15 @@
         self.assertGreater(alone[0], 0.4 * WHOLE * 10)                   # half of it may be out as floors of a planner of before
         both = self.storm(20_000)
         self.assertGreater(min(both.values()), 0.15 * sum(both.values()))
-        self.assertEqual(self.town.directors[0].budgets.may_retry((NAME,), self.town.directors[0].loop.now), NAME)
+        self.assertEqual(self.cluster.directors[0].budgets.may_retry((NAME,), self.cluster.directors[0].loop.now), NAME)
         row, = json.loads(self.planner.auditing.ask(wire.Ask("budgets")))["budgets"]
         self.assertEqual((row["whole"], len(row["held"]), row["charged"] <= WHOLE), (WHOLE, 3, True), row)
 
     def test_cut_off_killed_and_taken_over(self):
         self.storm(6_000)
-        self.strike(1, "hole")
+        self.inject_fault(1, "hole")
         self.storm(12_000)
-        self.strike(1, "heal")
+        self.inject_fault(1, "heal")
         self.storm(3_000)
         self.kill_planner()
         self.storm(3_000)
@@ -87,12 +87,12 @@
         self.restart(2)
         self.begin(2)
         self.storm(15_000)
-        self.town.world.hosts["d0"].freeze(9_000)
+        self.cluster.world.hosts["d0"].freeze(9_000)
         self.storm(12_000, (1, 2))
         self.storm(6_000)
 
     def test_the_whole_lowered_raised_and_taken_out(self):
-        self.town.run(FLOOR_LEASE_MS)                                    # what a planner of before granted is surely over
+        self.cluster.run(FLOOR_LEASE_MS)                                    # what a planner of before granted is surely over
         self.assertGreater(sum(self.storm(8_000).values()), 0.7 * WHOLE * 4)
         self.planner.auditing.budgeting.set((Budget(NAME, 3, WINDOW_MS),))
         self.storm(LEASE_MS + WINDOW_MS)
@@ -110,10 +110,10 @@
     def test_a_file_that_comes_back_does_not_make_its_past_forgotten(self):
         self.storm(6_000)
         for _ in range(6):
-            for number in self.town.directors:
+            for number in self.cluster.directors:
                 self.begin(number, 700)
             self.storm(300)
-            for number in self.town.directors:
+            for number in self.cluster.directors:
                 self.begin(number)
             self.storm(500)
 
@@ -121,10 +121,10 @@
         for side in self.sides.values():
             side.holding.issuer = identity(Store(self.path + ".other"))
         self.storm(LEASE_MS + 1_000)
-        self.assertEqual([side.holding.held[NAME].right(self.town.world.now + 60_000) for side in self.sides.values()], [0, 0, 0])
+        self.assertEqual([side.holding.held[NAME].right(self.cluster.world.now + 60_000) for side in self.sides.values()], [0, 0, 0])
 
     def test_what_a_file_may_say(self):
-        house = self.town.directors[0].house
+        house = self.cluster.directors[0].house
         for text in b'(limits (budget (free 5) (scope fleet)))', b'(limits (tenant "basin" (budget (free 5) (scope world))))':
             with self.assertRaises(Refused):
                 files.read(text.decode(), house.names, usual(house))
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -12,30 +12,30 @@
 from laddergw.planner import rollouts, wire
 from laddergw.planner.audit_side import limits_text
 from laddergw.terms.loading import load
-from tests.fleet_cluster import FleetTown
+from tests.fleet_cluster import FleetCluster
 
 GOOD, OTHER, BAD = b"(limits (defaults (attempts 2)))", b"(limits (defaults (attempts 1)))", b"(limits (defaults (attempts 0)))"
 
 
-class TakenOut(FleetTown):
+class TakenOut(FleetCluster):
     """Five directors in two zones."""
     directors, zones = 5, {0: 0, 1: 0, 2: 0, 3: 1, 4: 1}
 
     def want(self, data, soak_ms=500.0, by_ms=0.0, name=None):
-        loaded = load(data, "wanted", self.town.directors[0].house)
+        loaded = load(data, "wanted", self.cluster.directors[0].house)
         name = name or versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         self.name = name
         return json.loads(self.planner.auditing.ask(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": soak_ms, "by_ms": by_ms})))
 
     def stragglers(self):
-        return self.question("stragglers", "limits")
+        return self.ask_planner("stragglers", "limits")
 
     def on_it(self):
         return {number for number, side in self.sides.items() if side.audit.held[versions.LIMITS].hash == self.name}
 
     def until_done(self, ms=30_000):
         for _ in range(int(ms / 500)):
-            self.town.run(500)
+            self.cluster.run(500)
             if (found := self.stragglers())["state"] != "going" and not found["behind"]:
                 return found
         self.fail(self.stragglers())
@@ -43,9 +43,9 @@
     def test_in_steps_and_kept_on_the_disk(self):
         self.assertNotIn("refused", self.want(GOOD))
         self.assertIn("goes on", self.want(OTHER)["refused"])
-        self.town.run(600)
+        self.cluster.run(600)
         self.want_name = self.name
-        self.name = versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.town.directors[0].house).limits)).hash
+        self.name = versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash
         self.assertEqual({self.zones[number] for number in self.on_it()}, {0, 1})
         self.assertEqual(len(self.on_it()), 2)
         self.assertEqual(self.until_done()["state"], "done")
@@ -54,7 +54,7 @@
             with open(os.path.join(self.folder, f"limits.{number}"), "rb") as stream:
                 self.assertEqual(stream.read(), GOOD)
         self.restart(2)
-        self.town.run(3_000)
+        self.cluster.run(3_000)
         self.assertIn(2, self.on_it())                                               # by its own file
         self.assertNotIn("refused", self.want(OTHER))                                # and the way on, or back, is the same step
         self.until_done()
@@ -72,7 +72,7 @@
         os.rmdir(blocked)
         self.restart(2)
         self.assertEqual(self.on_it(), {0, 1, 3, 4})
-        self.town.run(3_000)
+        self.cluster.run(3_000)
         self.assertEqual(self.until_done()["state"], "done")
         self.assertEqual(self.on_it(), set(range(5)))
 
@@ -85,26 +85,26 @@
     def test_one_that_is_refused_halts_and_touches_nobody(self):
         before = {number: side.audit.held[versions.LIMITS].hash for number, side in self.sides.items()}
         self.want(BAD, name="f" * 16)
-        self.town.run(8_000)
+        self.cluster.run(8_000)
         found = self.stragglers()
         self.assertEqual((found["state"], found["on_it"]), ("halted", 0))
         self.assertIn("attempts", found["why"])
         self.assertLessEqual(sum(row["cause"] == wanted.REFUSED for row in found["behind"]), 2)
         self.assertEqual({number: side.audit.held[versions.LIMITS].hash for number, side in self.sides.items()}, before)
         self.assertNotIn("refused", self.want(GOOD, name="e" * 16))                  # a name that is not its content's
-        self.town.run(3_000)
+        self.cluster.run(3_000)
         self.assertIn("is wanted", self.stragglers()["why"])
         self.want(GOOD)
         self.assertEqual(self.until_done()["want"]["number"], 1_003)
 
     def test_an_operator_halts_it_and_goes_on_with_another(self):
-        self.assertIn("nothing goes on", self.question("halt", "limits")["refused"])
+        self.assertIn("nothing goes on", self.ask_planner("halt", "limits")["refused"])
         self.want(GOOD, soak_ms=5_000.0)
-        self.town.run(1_500)
-        self.assertEqual(self.question("halt", "limits")["state"], "halted")
+        self.cluster.run(1_500)
+        self.assertEqual(self.ask_planner("halt", "limits")["state"], "halted")
         self.kill_planner()                                                          # the word is in the journal
         self.start_planner()
-        self.town.run(12_000)
+        self.cluster.run(12_000)
         self.assertEqual((self.stragglers()["state"], len(self.on_it())), ("halted", 2))
         self.assertNotIn("refused", self.want(OTHER))
         self.until_done()
@@ -115,17 +115,17 @@
         self.planner.auditing.rollouts.fetch = lambda peer, frame: (offsets.append((peer.other.name, frame.offset)), fetch(self.planner.auditing.rollouts, peer, frame))
         self.want(data)
         for number in range(5):
-            self.strike(number, "rate", 60_000.0)
+            self.inject_fault(number, "rate", 60_000.0)
         for wait in 1_500, 1_500:
-            self.town.run(wait)
+            self.cluster.run(wait)
             for number in range(5):
-                self.strike(number, "reset", 20_000)
-        self.town.run(1_500)
+                self.inject_fault(number, "reset", 20_000)
+        self.cluster.run(1_500)
         for number in range(5):
-            self.strike(number, "stall", "back")
-        self.town.run(4_000)
+            self.inject_fault(number, "stall", "back")
+        self.cluster.run(4_000)
         for number in range(5):
-            self.strike(number, "heal")
+            self.inject_fault(number, "heal")
         self.until_done(60_000)
         by_name = {name: [offset for told, offset in offsets if told == name] for name, _ in offsets}
         self.assertTrue(all(told == sorted(told) for told in by_name.values()), by_name)     # never back: what came stays
@@ -140,7 +140,7 @@
         self.kill_planner()
         shutil.copy(self.path + ".backup", self.path)
         self.start_planner()
-        self.town.run(3_000)
+        self.cluster.run(3_000)
         self.assertEqual(self.stragglers()["want"], None)
         self.assertNotIn("refused", self.want(OTHER))
         self.assertEqual(self.until_done()["want"]["number"], 2_001)                   # past what directors told of
@@ -152,27 +152,27 @@
         def fragile(number):
             def bring(data, sure, done):
                 crashed.append(number)
-                self.town.loop_at = self.town.world.schedule(self.town.world.now + 1, lambda: (self.restart(number), fragile(number)))
+                self.cluster.loop_at = self.cluster.world.schedule(self.cluster.world.now + 1, lambda: (self.restart(number), fragile(number)))
             self.sides[number].audit.bring = bring
-        first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.town.directors[0].house).limits)).hash, "", 1),
-                                   self.planner.auditing.book.progress("limits", 1, self.town.world.now))[0].director[1:])
+        first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash, "", 1),
+                                   self.planner.auditing.book.progress("limits", 1, self.cluster.world.now))[0].director[1:])
         fragile(first)
         self.want(GOOD)
-        self.town.run(40_000)
+        self.cluster.run(40_000)
         self.assertEqual(crashed, [first] * 2)
         found = self.stragglers()
         self.assertEqual([(row["process"].partition("-")[0], row["cause"]) for row in found["behind"]], [(f"d{first}", wanted.CRASHED)])
         self.assertEqual(self.on_it(), set(range(5)) - {first})                      # the others do not wait for it
 
     def test_who_is_cut_off_or_stands_still_is_told_apart_and_brought_up_later(self):
-        self.strike(1, "hole")
-        self.town.world.hosts["d3"].freeze(9_000)
+        self.inject_fault(1, "hole")
+        self.cluster.world.hosts["d3"].freeze(9_000)
         self.want(GOOD)
-        self.town.run(7_000)
+        self.cluster.run(7_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"] if row["process"][:2] in ("d1", "d3")}, {"d1": wanted.UNREACHABLE, "d3": wanted.UNREACHABLE})
-        self.strike(1, "heal")
+        self.inject_fault(1, "heal")
         self.planner.auditing.rollouts.offer = lambda *given: None
-        self.town.run(4_000)
+        self.cluster.run(4_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"] if row["process"][:2] in ("d1", "d3")}, {"d1": wanted.COMING, "d3": wanted.STILL})
         del self.planner.auditing.rollouts.offer
         self.until_done()
@@ -181,24 +181,24 @@
         for number in 2, 3:
             self.sides[number].audit.bringing.kinds = ()                             # an older program
         self.want(GOOD, by_ms=9_000.0)
-        self.town.run(8_000)
+        self.cluster.run(8_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"]}, {"d2": wanted.OLD, "d3": wanted.OLD})
-        self.assertEqual(self.ask(2)[0], "playing")
-        self.town.run(2_500)
-        self.assertEqual([self.ask(number)[0] for number in (2, 3, 4)], ["declined", "declined", "playing"])
-        self.town.run(LEASE_MS + MARGIN_MS)
-        self.assertTrue(self.question("floors")["floors"][0]["nobody_acts_on_it"])
-        self.assertIn("halt its rollout", self.question("forbid", f"limits {self.name[:8]}")["refused"])
+        self.assertEqual(self.request_play(2)[0], "playing")
+        self.cluster.run(2_500)
+        self.assertEqual([self.request_play(number)[0] for number in (2, 3, 4)], ["declined", "declined", "playing"])
+        self.cluster.run(LEASE_MS + MARGIN_MS)
+        self.assertTrue(self.ask_planner("floors")["floors"][0]["nobody_acts_on_it"])
+        self.assertIn("halt its rollout", self.ask_planner("forbid", f"limits {self.name[:8]}")["refused"])
 
     def test_the_last_directors_of_a_zone_stay_open(self):
         for number in 3, 4:
             self.sides[number].audit.bringing.kinds = ()
         self.want(GOOD, by_ms=6_000.0)
-        self.town.run(12_000)
-        self.assertEqual(self.question("floors")["floors"], [])
-        self.assertEqual([self.ask(number)[0] for number in (0, 4)], ["playing", "playing"])
+        self.cluster.run(12_000)
+        self.assertEqual(self.ask_planner("floors")["floors"], [])
+        self.assertEqual([self.request_play(number)[0] for number in (0, 4)], ["playing", "playing"])
         old = self.sides[4].audit.held[versions.LIMITS].hash
-        self.assertIn("zone 1", self.question("forbid", f"limits {old[:8]}")["refused"])
+        self.assertIn("zone 1", self.ask_planner("forbid", f"limits {old[:8]}")["refused"])
 
 
 if __name__ == "__main__":
