--- a/laddergw/fleet/state_reports.py
+++ b/laddergw/fleet/state_reports.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from laddergw.fleet.rights import CLOSED, OPEN
-from laddergw.fleet.action_counts import ACTIONS, Key, ActionCounts, Turn
+from laddergw.fleet.action_counts import ACTIONS, ActionCounts, Key, Turn
 from laddergw.fleet.versions import KINDS, Version, version_set
 
 # Bounds of one part: twice what a director holds.
--- a/laddergw/planner/budgeting.py
+++ b/laddergw/planner/budgeting.py
@@ -79,7 +79,7 @@
             issuer.update(now)
             window = issuer.budget.window_ms
             held = [{"process": process, "charged": charge.amount(now, window), "floor": charge.floor(now, window), "spent": charge.used, "needs": charge.need, "wants": charge.want,
-                     "silent": now - charge.asked_ms >= ACTIVE_MS} for process, charge in sorted(issuer.charges.items())]
+                     "silent": now - charge.requested_ms >= ACTIVE_MS} for process, charge in sorted(issuer.charges.items())]
             rows.append({"budget": name, "whole": issuer.budget.whole, "window_ms": window, "charged": issuer.charged_total, "floors": issuer.floors_total, "reserve": issuer.reserve(),
                          "unknown": issuer.unknown_floors(now), "divided": issuer.division_reason, "held": held,
                          "waits_ms": max(0.0, issuer.began + (0.0 if issuer.is_settled(LEASE_MS, now) else 1.0) * (LEASE_MS + issuer.past_ms) - now),
--- a/tests/broken_budgets.py
+++ b/tests/broken_budgets.py
@@ -1,100 +1,103 @@
-"""Directors and planners with one mistake each in how they keep a fleet's budget."""
+"""Directors and planners with one mistake each in how they handle a budget of the fleet; the checker of spends must find every one."""
 from laddergw.fleet import grant_issuer, grants
-from laddergw.fleet.grants import HeldGrant, GrantHolder
-from laddergw.fleet.grant_issuer import Charge, GrantIssuer, Sent
+from laddergw.fleet.grants import GrantHolder, HeldGrant
+from laddergw.fleet.grant_issuer import Charge, GrantIssuer, SentGrant
 from laddergw.fleet.rights import LEASE_MS
 from laddergw.lab.budget_parts import Rules
 
 
-def holding(mistake=None, **of_held):
-    """A director whose budgets have other functions; `mistake(holding)` after each grant, with how the budget stood before."""
-    made = type("BrokenHeld", (HeldGrant,), of_held)
+def holding(mistake=None, **grant_methods):
+    """Returns rules for a director whose held grants have other methods. `mistake`: called after each answer, with the attributes of the held grant from before."""
+    broken_grant = type("BrokenHeldGrant", (HeldGrant,), grant_methods)
 
     class Broken(GrantHolder):
         def configure(self, windows):
             super().configure(windows)
             for name, held in self.held.items():
-                held.__class__ = made
+                held.__class__ = broken_grant
 
-        def apply_grants(self, number, epoch, issuer, told, now):
+        def apply_grants(self, number, epoch, issuer, answer, now):
             before = {name: dict(vars(held)) for name, held in self.held.items()}
-            super().apply_grants(number, epoch, issuer, told, now)
+            super().apply_grants(number, epoch, issuer, answer, now)
             if mistake is not None:
                 for name, held in self.held.items():
-                    mistake(self, held, before[name], number, epoch, told[0])
+                    mistake(self, held, before[name], number, epoch, answer[0])
     return Rules(holding=Broken)
 
 
-def issuer(fenced=True, **of_issuer):
-    return Rules(issuer=type("BrokenIssuer", (GrantIssuer,), of_issuer), fenced=fenced)
+def issuer(fenced=True, **issuer_methods):
+    """Returns rules for a planner whose issuer has other methods."""
+    return Rules(issuer=type("BrokenIssuer", (GrantIssuer,), issuer_methods), fenced=fenced)
 
 
-def charging(**of_charge):
-    """A planner that charges in another way."""
-    made = type("BrokenCharge", (Charge,), of_charge)
+def charging(**charge_methods):
+    """Returns rules for a planner whose charges have other methods."""
+    broken_charge = type("BrokenCharge", (Charge,), charge_methods)
 
     class Broken(GrantIssuer):
         def handle_request(self, process, number, row, now):
             charge = self.charges.setdefault(process, Charge())
-            charge.__class__ = made
+            charge.__class__ = broken_charge
             return super().handle_request(process, number, row, now)
     return Rules(issuer=Broken)
 
 
-def from_the_answer(holding, held, before, number, epoch, grant):
+def mark_answered(holding, held, before, number, epoch, grant):
     held.answered = held.rank != before["rank"]
 
 
-def right_from_the_answer(held, now):
-    if getattr(held, "answered", False):         # it looks at the clock after the answer
+def right_from_answer_time(held, now):
+    # It takes the time of the answer instead of that of the request.
+    if getattr(held, "answered", False):
         held.answered, held.until = False, now + LEASE_MS
     return HeldGrant.right(held, now)
 
 
-def floor_from_the_answer(holding, held, before, number, epoch, grant):
+def floor_lease_too_long(holding, held, before, number, epoch, grant):
     if held.rank != before["rank"]:
-        held.floor_until = holding.asked[max(holding.asked)] + 3 * grants.FLOOR_LEASE_MS
+        held.floor_until = holding.requested[max(holding.requested)] + 3 * grants.FLOOR_LEASE_MS
 
 
-def older_too(holding, held, before, number, epoch, grant):
-    if (epoch, number) < held.rank and number in holding.asked:
+def obey_older_grant(holding, held, before, number, epoch, grant):
+    if (epoch, number) < held.rank and number in holding.requested:
         held.amount = max(held.amount, grant.amount)
 
 
-def forgets_its_past(holding, held, before, number, epoch, grant):
+def forget_spent(holding, held, before, number, epoch, grant):
     if held.rank != before["rank"]:
         held.spent = grants.SlidingWindowCounter(held.window_ms)
 
 
-def keeps_the_larger(holding, held, before, number, epoch, grant):
+def keep_larger_amount(holding, held, before, number, epoch, grant):
     held.amount = max(held.amount, before["amount"])
 
 
-def tells(**changes):
+def reports(**changes):
+    """Returns rules for a director that reports other values in its rows."""
     return holding(row=lambda held, name, now, stopping: HeldGrant.row(held, name, now, stopping)._replace(**{key: value(held, now) for key, value in changes.items()}))
 
 
-def only_the_latest(self, process, number, row, now):
-    taken = GrantIssuer.handle_request(self, process, number, row, now)
+def charge_latest_only(self, process, number, row, now):
+    accepted = GrantIssuer.handle_request(self, process, number, row, now)
     self.charges[process].sent = dict(list(self.charges[process].sent.items())[-1:])
-    return taken
+    return accepted
 
 
-def past_forgotten(self, process, number, row, now):
+def ignore_used(self, process, number, row, now):
     return GrantIssuer.handle_request(self, process, number, row._replace(used=0), now)
 
 
-def grants_over(self, process, now):
+def grant_beyond_total(self, process, now):
     grant = GrantIssuer.grant(self, process, now)
     charge = self.charges.get(process)
     if grant is None or not self.is_settled(LEASE_MS, now):
         return grant
     amount = max(grant.amount, min(charge.want, self.targets.get(process, 0)))
-    charge.sent[charge.number] = Sent(amount, grant.floor, now)
+    charge.sent[charge.number] = SentGrant(amount, grant.floor, now)
     return grant._replace(amount=amount)
 
 
-def grants_before_it_charges(self, process, now):
+def grant_without_charge(self, process, now):
     grant = GrantIssuer.grant(self, process, now)
     charge = self.charges.get(process)
     if grant is not None:
@@ -102,37 +105,37 @@
     return grant
 
 
-def whole_to_each(self, process, now):
+def grant_whole_to_each(self, process, now):
     grant = GrantIssuer.grant(self, process, now)
     return grant and grant._replace(amount=min(self.charges[process].want, grant.whole))
 
 
-def floor_lent_twice(self, process, now):
+def grant_floor_twice(self, process, now):
     grant = GrantIssuer.grant(self, process, now)
     return grant and grant._replace(floor=min(grant.amount, self.reserve()))
 
 
-def until_the_lease(self, now, window_ms):
+def amount_until_lease_end(self, now, window_ms):
     return max(self.floor(now, window_ms), *(one.amount for one in (self.before, *self.sent.values()) if now < one.at_ms + LEASE_MS), 0)
 
 
-def made_good_again(self, now, window_ms):
-    """What has ended counts again once another is sent: found by the checker in the first version."""
+def amount_with_expired_grants(self, now, window_ms):
+    """An expired grant counts again once another is sent: a fault that the checker found in the first version."""
     last = max((one.at_ms for one in self.sent.values()), default=self.before.at_ms)
     return max(self.used, self.before.amount, *(one.amount for one in self.sent.values()), 0) if now < last + grant_issuer.charge_duration_ms(LEASE_MS, window_ms) else self.floor(now, window_ms)
 
 
 BROKEN = {
-    "the lease counts from the answer": holding(from_the_answer, right=right_from_the_answer), "the floor's lease is longer than told": holding(floor_from_the_answer),
+    "the lease counts from the answer": holding(mark_answered, right=right_from_answer_time), "the floor's lease is longer than told": holding(floor_lease_too_long),
     "a grant never ends": holding(right=lambda held, now: held.amount), "a floor never ends": holding(right=lambda held, now: held.amount if now < held.until else held.floor),
-    "older grants are obeyed, too": holding(older_too), "a smaller grant is not obeyed": holding(keeps_the_larger), "a grant makes its past forgotten": holding(forgets_its_past),
-    "it tells that it spent nothing": tells(used=lambda held, now: 0), "it tells what has ended as if it held": tells(amount=lambda held, now: held.amount),
-    "it tells a grant as obeyed that is not": tells(number=lambda held, now: held.rank[1] + 2), "it spends one more": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
+    "older grants are obeyed, too": holding(obey_older_grant), "a smaller grant is not obeyed": holding(keep_larger_amount), "a grant makes its past forgotten": holding(forget_spent),
+    "it tells that it spent nothing": reports(used=lambda held, now: 0), "it tells what has ended as if it held": reports(amount=lambda held, now: held.amount),
+    "it tells a grant as obeyed that is not": reports(number=lambda held, now: held.rank[1] + 2), "it spends one more": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
     "no waiting after a takeover": issuer(is_settled=lambda self, lease, now: True),
     "waiting out leases without windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
-    "only the latest grant is charged": issuer(handle_request=only_the_latest), "a share moves and its past is forgotten": issuer(handle_request=past_forgotten),
-    "more than is left": issuer(grant=grants_over),
-    "granted, and not charged": issuer(grant=grants_before_it_charges), "the whole to each": issuer(grant=whole_to_each), "the floor lent twice": issuer(grant=floor_lent_twice),
-    "unknown floors are not counted": issuer(unknown_floors=lambda self, now: 0), "a charge ends with the lease": charging(amount=until_the_lease), "an ended charge counts again": charging(amount=made_good_again),
+    "only the latest grant is charged": issuer(handle_request=charge_latest_only), "a share moves and its past is forgotten": issuer(handle_request=ignore_used),
+    "more than is left": issuer(grant=grant_beyond_total),
+    "granted, and not charged": issuer(grant=grant_without_charge), "the whole to each": issuer(grant=grant_whole_to_each), "the floor lent twice": issuer(grant=grant_floor_twice),
+    "unknown floors are not counted": issuer(unknown_floors=lambda self, now: 0), "a charge ends with the lease": charging(amount=amount_until_lease_end), "an ended charge counts again": charging(amount=amount_with_expired_grants),
     "floors are charged no longer than leases": charging(floor=lambda self, now, window: 0),
 }
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Fleet budgets: what directors and planners decide, drawn schedules of all that goes wrong, and mistakes that the checker of spends must see."""
+"""Budgets of the fleet: decisions of directors and planners, random schedules of faults, and mistakes that the checker of spends must find."""
 import unittest
 
 from laddergw.fleet.fair_share import Need, max_min_shares, target_shares
@@ -13,8 +13,9 @@
 KINDS = (Kind(troubles=0.1, seconds=200), Kind(directors=4, whole=12, troubles=0.2, seconds=150),
          Kind(troubles=0.1, seconds=200, whole=10, directors=12, spends=60, skew=0.4, shifts=True), Kind(troubles=0.05, seconds=300, window_ms=1_000.0, loss=0.1))
 STAGED = Kind(directors=8, whole=32, window_ms=2_000.0, seconds=160, spends=160, troubles=0)
-SEEN_BY = {"two issuers": split, "a floor never ends": long_cut, "the floor's lease is longer than told": long_cut}
-SEEN_ON = {                            # of KINDS, and the first seed that shows it
+FOUND_BY = {"two issuers": split, "a floor never ends": long_cut, "the floor's lease is longer than told": long_cut}
+# The index into KINDS, and the first seed that shows the mistake.
+FOUND_WITH = {
     "a grant makes its past forgotten": (1, 1), "a smaller grant is not obeyed": (2, 2), "it tells that it spent nothing": (2, 2),
     "a grant never ends": (3, 7), "older grants are obeyed, too": (2, 6), "no waiting after a takeover": (1, 1), "it spends one more": (2, 2),
     "waiting out leases without windows": (3, 3), "only the latest grant is charged": (0, 60), "a share moves and its past is forgotten": (2, 2),
@@ -24,26 +25,26 @@
     "an ended charge counts again": (3, 75)}
 
 
-class Divided(unittest.TestCase):
-    def test_max_min(self):
+class FairShares(unittest.TestCase):
+    def test_max_min_shares(self):
         wants = [("a", 2, 1.0), ("b", 50, 1.0), ("c", 50, 1.0), ("d", 0, 1.0)]
         self.assertEqual(max_min_shares(30, wants, 1), {"a": 2, "b": 14, "c": 14, "d": 0})
         self.assertEqual(max_min_shares(200, wants, 1), {"a": 2, "b": 50, "c": 50, "d": 0})
         self.assertEqual(max_min_shares(32, [("a", 90, 3.0), ("b", 90, 1.0)], 1), {"a": 24, "b": 8})
         self.assertEqual(sum(max_min_shares(31, wants, 1).values()), 31)
 
-    def test_too_little_goes_round(self):
-        had = [name for turn in range(2_000) for name, share in max_min_shares(3, [(f"d{n}", 1, 1.0) for n in range(230)], turn).items() if share]
-        self.assertEqual((len(had), len(set(had))), (6_000, 230))
+    def test_too_small_a_total_rotates_over_all(self):
+        served = [name for turn in range(2_000) for name, share in max_min_shares(3, [(f"d{n}", 1, 1.0) for n in range(230)], turn).items() if share]
+        self.assertEqual((len(served), len(set(served))), (6_000, 230))
 
-    def test_need_before_what_is_kept_in_hand_and_shares_do_not_dance(self):
+    def test_needs_come_before_reserves_and_small_excesses_are_kept(self):
         self.assertEqual(target_shares(10, [Need("a", 8, 0, 8), Need("b", 8, 0, 0)], 1), {"a": 8, "b": 2})
-        self.assertEqual(target_shares(10, [Need("a", 6, 6, 6), Need("b", 6, 4, 6)], 1), {"a": 6, "b": 5})      # a little over what is fair
+        self.assertEqual(target_shares(10, [Need("a", 6, 6, 6), Need("b", 6, 4, 6)], 1), {"a": 6, "b": 5})      # slightly above the fair share
         self.assertEqual(target_shares(10, [Need("a", 9, 10, 9), Need("b", 9, 0, 9)], 1), {"a": 5, "b": 5})
 
 
-class Decided(unittest.TestCase):
-    def test_a_grant_lasts_from_the_asking_and_its_floor_longer(self):
+class GrantDecisions(unittest.TestCase):
+    def test_a_grant_lasts_from_its_request_and_its_floor_longer(self):
         holding = GrantHolder(STORE)
         holding.configure({"b": 1_000.0})
         holding.build_rows(4, 1_000.0)
@@ -52,13 +53,13 @@
         holding.apply_grants(4, 2, STORE, [Grant("b", 10, 5, 1, 1_000.0)], 1_000.0)
         self.assertEqual([holding.held["b"].right(at) for at in (1_000.0, 1_000.0 + LEASE_MS, 1_000.0 + FLOOR_LEASE_MS)], [5, 1, 0])
         for number, epoch, grant in ((4, 2, Grant("b", 10, 9, 1, 1_000.0)), (4, 1, Grant("b", 10, 9, 1, 1_000.0)), (9, 2, Grant("b", 10, 9, 1, 1_000.0)), (5, 2, Grant("b", 10, 11, 1, 1_000.0)), (5, 2, Grant("b", 10, 1, 2, 1_000.0))):
-            holding.asked[5] = 1_000.0
+            holding.requested[5] = 1_000.0
             holding.apply_grants(number, epoch, STORE, [grant], 1_000.0)
             self.assertEqual(holding.held["b"].amount, 5, grant)
         self.assertEqual(sum(holding.spend("b", 1_200.0 + n) for n in range(20)), 5)
         self.assertTrue(holding.spend("b", 2_400.0))
 
-    def test_a_share_moves_once_its_past_is_out_of_the_window(self):
+    def test_a_share_moves_once_its_spends_left_the_window(self):
         issuer, now = GrantIssuer(Budget("b", 10, 1_000.0), 1, -1e9), 0.0
 
         def ask(name, number, amount, granted, used, want):
@@ -80,17 +81,17 @@
         now = 2_200.0
         self.assertEqual(ask("b", 3, 1, 2, 0, 10), 10)
 
-    def test_a_planner_that_takes_over_grants_nobody_more_until_all_before_is_over(self):
+    def test_a_planner_that_takes_over_grants_no_more_until_earlier_grants_expired(self):
         issuer, now, amounts = GrantIssuer(Budget("b", 10, 1_000.0), 7, 0.0), 0.0, []
         for number in range(1, 40):
             now = 250.0 * number
             issuer.handle_request("a", number, Row("b", 1_000.0, 6 if number < 3 else 7, number - 1, 4 if number < 20 else amounts[-1][1], 0, 0, 9, 10), now)
             amounts.append((now, issuer.grant("a", now).amount))
         self.assertEqual({amount for at, amount in amounts if at < charge_duration_ms(LEASE_MS, 1_000.0)}, {4})
-        self.assertEqual(amounts[-1][1], 5)                              # what may be out as floors is not to be had yet
+        self.assertEqual(amounts[-1][1], 5)                              # what may still be held as floors cannot be granted yet
 
 
-class Played(unittest.TestCase):
+class RandomSchedules(unittest.TestCase):
     def test_no_window_holds_more_than_the_whole(self):
         for kind in KINDS:
             for seed, found in outcomes(range(1, 2), kind):
@@ -99,22 +100,22 @@
         for trouble in split, long_cut, stand_stills:
             found = Play(1, STAGED, trouble=trouble).run()
             self.assertLessEqual(found.most, found.whole)
-            self.assertGreater(found.most, 0.9 * found.whole)            # and nearly all of it is put to use
+            self.assertGreater(found.most, 0.9 * found.whole)            # and nearly all of it is used
 
     def test_230_directors(self):
         found = Play(1, Kind(directors=230, whole=600, window_ms=5_000.0, seconds=20, spends=300, troubles=0.0)).run()
         self.assertLessEqual(found.most, found.whole)
-        self.assertGreater(found.most, 0.4 * found.whole)               # half may be out as floors of before
+        self.assertGreater(found.most, 0.4 * found.whole)               # half may be held as earlier floors
 
-    def test_the_checker_sees_each_mistake(self):
-        self.assertGreaterEqual(len(SEEN_BY.keys() | SEEN_ON.keys()), 20)
-        for name in sorted(SEEN_BY.keys() | SEEN_ON.keys()):
+    def test_the_checker_finds_each_mistake(self):
+        self.assertGreaterEqual(len(FOUND_BY.keys() | FOUND_WITH.keys()), 20)
+        for name in sorted(FOUND_BY.keys() | FOUND_WITH.keys()):
             with self.subTest(name):
-                rules, (kind, seed) = BROKEN[name], SEEN_ON.get(name, (None, 1))
-                found = Play(seed, STAGED, rules, SEEN_BY[name]).run() if name in SEEN_BY else Play(seed, KINDS[kind], rules).run()
+                rules, (kind, seed) = BROKEN[name], FOUND_WITH.get(name, (None, 1))
+                found = Play(seed, STAGED, rules, FOUND_BY[name]).run() if name in FOUND_BY else Play(seed, KINDS[kind], rules).run()
                 self.assertGreater(found.most, found.whole)
 
-    def test_the_count_of_a_window(self):
+    def test_most_within_a_window(self):
         self.assertEqual(most_within([0.0, 5.0, 9.0, 10.0, 14.0], 10.0), (4, 5.0))
         self.assertEqual(most_within([], 10.0), (0, 0.0))
 
