--- a/laddergw/fleet/rights_check.py
+++ b/laddergw/fleet/rights_check.py
@@ -9,7 +9,7 @@
 from typing import Callable, Iterator, NamedTuple
 
 from laddergw.fleet.breadth_first_search import Outcome, search
-from laddergw.fleet.rights import CLOSED, LEASE_MS, MARGIN_MS, Floors, Right, ObservedProcess
+from laddergw.fleet.rights import CLOSED, LEASE_MS, Floors, ObservedProcess, Right
 
 # A lease is three to four ticks.
 TICK_MS = 1_500.0
--- a/laddergw/fleet/wanted.py
+++ b/laddergw/fleet/wanted.py
@@ -1,8 +1,8 @@
-"""A wanted version of a thing and how it is taken out over the fleet: in steps, halted by itself, each director that is behind with its cause. Pure.
+"""The rollout of a wanted version over the fleet: in steps, halting by itself, with the cause for each director that is behind. Does no input or output.
 
-A rollout goes to a first few directors, then to shares of all, zone by zone in turn; a step is passed when whoever can be on it has been for a while and does
-no worse than the others. It halts at the first refusal, at crashes, and where answers get worse; a halted one sends nothing more, and the way back is to want
-the version of before. One kind has one rollout at a time. What it decided is in the journal before anybody is told.
+A rollout goes to a first few directors, then to shares of all, alternating between zones. A step is passed when every director that can be on the version has been on it
+for a while and does no worse than the others. It halts at the first refusal, at crashes, and where answers get worse. A halted rollout sends nothing more; the way back
+is to want the earlier version. One kind has one rollout at a time. Decisions are in the journal before any director is told.
 """
 import math
 from typing import Iterable, NamedTuple
@@ -10,23 +10,34 @@
 
 from laddergw.fleet.file_transfer import IN_FORCE
 
-FIRST = 2                  # directors of the first step: one could be odd by itself
-STEP_SHARES = (0.0, 0.1, 0.3, 1.0)      # of all directors, by step; FIRST at least
-SOAK_MS = 10_000.0         # that a step stands before the next: plays that began under it have had their answers
-SENT_MOST = 2              # times that one director is sent the whole of it: who was brought up twice and is not on it is left alone
-CRASHES_LEAST = 2          # directors that began anew while on it
-WORSE_BY, WORSE_Z, ANSWERS_LEAST = 0.05, 3.0, 50      # answers that are no play: a share so much higher, by so many standard errors, of so many answers
-GRACE_MS = 15_000.0        # from its turn on: then a director that is not on it is called behind
-STILL_TOLD_MS = 60_000.0   # so long a stand-still is given as the cause
-NUMBERS_OF_EPOCH = 1_000   # wants of one epoch; more run into the next one's, which are above them anyway
+# Directors of the first step: a single one could be an exception.
+FIRST_STEP_DIRECTORS = 2
+# Of all directors, by step; FIRST_STEP_DIRECTORS at least.
+STEP_SHARES = (0.0, 0.1, 0.3, 1.0)
+# How long a step lasts before the next: plays that began under it have had their answers by then.
+SOAK_MS = 10_000.0
+# Times that one director is sent the whole file: one that received it twice and is not on it gets it no more.
+MAX_SENDS = 2
+# Directors that restarted while on it, to halt the rollout.
+MIN_CRASHES = 2
+# Answers without a play: the share that halts is higher than the others' by this much and by this many standard errors, of at least this many answers on each side.
+WORSE_MARGIN, WORSE_Z_SCORE, MIN_ANSWERS = 0.05, 3.0, 50
+# After its turn in the rollout, a director that is not on the version is called behind.
+GRACE_MS = 15_000.0
+# How long a stall is given as the cause.
+STALL_REPORTED_MS = 60_000.0
+# Wants of one epoch. More of them run into the numbers of the next epoch, whose wants are numbered above them anyway.
+NUMBERS_PER_EPOCH = 1_000
 GOING, HALTED, DONE = "going", "halted", "done"
-UNREACHABLE, REFUSED, CRASHED, OLD, STILL, FILE, TURN, COMING = ("cannot be reached", "refused it", "was brought up and is not on it", "its program does not know the form",
-                                                                "stood still", "its own file is at fault", "waits for its turn", "is being brought up")
-CAUSES_FOR_OPERATOR = (UNREACHABLE, REFUSED, CRASHED, OLD, STILL, FILE)       # causes that want somebody's eye; the others pass by themselves
+UNREACHABLE, REFUSED, CRASHED, UNSUPPORTED, STALLED, FILE, WAITING_FOR_TURN, IN_PROGRESS = (
+    "cannot be reached", "refused it", "was brought up and is not on it", "its program does not know the form",
+    "stood still", "its own file is at fault", "waits for its turn", "is being brought up")
+# Causes that need an operator; the others resolve by themselves.
+CAUSES_FOR_OPERATOR = (UNREACHABLE, REFUSED, CRASHED, UNSUPPORTED, STALLED, FILE)
 
 
 class Want(NamedTuple):
-    """A version that is wanted. `sha`: of its bytes; `by_ms`: after so long from the start, versions that others are on are forbidden; 0: never."""
+    """A version that is wanted. `sha`: SHA-256 of its bytes; `by_ms`: how long after the start the versions of the other directors are forbidden; 0: never."""
     kind: str
     number: int
     hash: str
@@ -37,7 +48,8 @@
 
 
 class ProcessProgress(NamedTuple):
-    """One director as the planner knows it: its latest process. `on`: hash of the kind in force; `outcome`: what it told of this want, with its error."""
+    """One director as the planner knows it: its latest process. `on`: hash of the kind in force; `outcome`, `why`: its report of this want, with its error; `stall_ms`,
+    `stall_end`: length of its last stall, and when it was heard again."""
     director: str
     process: str
     zone: int
@@ -48,161 +60,170 @@
     outcome: str = ""
     why: str = ""
     trouble: str = ""
-    still_ms: float = 0.0              # of its last stand-still
-    still_at: float = -math.inf        # when it was heard again
+    stall_ms: float = 0.0
+    stall_end: float = -math.inf
 
 
 class Answers(NamedTuple):
-    """Plays, and answers that were none."""
+    """Numbers of answers: `good` with a play, `bad` without."""
     good: int
     bad: int
 
     def share(self) -> float:
+        """Returns the share of answers without a play."""
         return self.bad / max(1, self.good + self.bad)
 
 
-class Step(NamedTuple):
-    """What a look came to: processes that may be sent it, whether something must be kept, versions whose time is over."""
+class Decision(NamedTuple):
+    """A decision: processes that may be sent the file, whether the rollout must be written to the journal, versions to forbid."""
     offer: tuple[str, ...]
     keep: bool
     forbid: tuple[str, ...] = ()
 
 
 def next_number(epoch: int, highest: int) -> int:
-    """Of a new want. The epoch is in it, so that a journal that was set back does not give a number again that may still be on its way to somebody."""
-    return max(epoch * NUMBERS_OF_EPOCH, highest) + 1
+    """Returns the number of a new want. It contains the epoch, so that a journal that was restored from a backup does not reuse a number that may still be in flight."""
+    return max(epoch * NUMBERS_PER_EPOCH, highest) + 1
 
 
-def in_turn(want: Want, seats: Iterable[ProcessProgress]) -> list[ProcessProgress]:
-    """Directors in the order in which they get it: drawn within each zone by the version, zones one after the other."""
-    found, places = [], {}
-    for seat in sorted(seats, key=lambda s: (crc32(f"{want.hash} {s.director}".encode()), s.director)):
-        places[seat.zone] = places.get(seat.zone, 0) + 1
-        found.append((places[seat.zone], seat.zone, seat))
-    return [seat for *_, seat in sorted(found, key=lambda row: row[:2])]
+def rollout_order(want: Want, all_progress: Iterable[ProcessProgress]) -> list[ProcessProgress]:
+    """Returns the directors in the order of the rollout: shuffled within each zone by the version's hash, alternating between zones."""
+    ordered, positions = [], {}
+    for progress in sorted(all_progress, key=lambda s: (crc32(f"{want.hash} {s.director}".encode()), s.director)):
+        positions[progress.zone] = positions.get(progress.zone, 0) + 1
+        ordered.append((positions[progress.zone], progress.zone, progress))
+    return [progress for *_, progress in sorted(ordered, key=lambda row: row[:2])]
 
 
 def worse(new: Answers, others: Answers) -> bool:
-    """A stated test of two shares."""
+    """Returns whether the share of bad answers is significantly higher, by a two-proportion z-test."""
     counts = sum(new), sum(others)
-    if min(counts) < ANSWERS_LEAST or new.share() - others.share() <= WORSE_BY:
+    if min(counts) < MIN_ANSWERS or new.share() - others.share() <= WORSE_MARGIN:
         return False
-    both = (new.bad + others.bad) / sum(counts)
-    error = math.sqrt(max(both * (1 - both), 1e-9) * (1 / counts[0] + 1 / counts[1]))
-    return (new.share() - others.share()) / error > WORSE_Z
+    pooled = (new.bad + others.bad) / sum(counts)
+    error = math.sqrt(max(pooled * (1 - pooled), 1e-9) * (1 / counts[0] + 1 / counts[1]))
+    return (new.share() - others.share()) / error > WORSE_Z_SCORE
 
 
 class Rollout:
-    """One want on its way. What must survive a planner is in `kept`; what it only watches begins anew with the next."""
+    """The rollout of one want. `as_record` holds what must survive the planner; what is only observed begins anew with the next one."""
 
     def __init__(self, want: Want, now: float, step: int = 0, state: str = GOING, why: str = "", sent: dict[str, list[str]] | None = None, crashed: Iterable[str] = ()):
         self.want, self.step, self.state, self.why, self.sent = want, step, state, why, dict(sent or {})
-        self.since = now                             # of this step, or of the takeover
-        self.began, self.stood = now, None           # `stood`: since when all of the step are on it
-        self.process: dict[str, str] = {}            # of each director that was seen on it: the process
+        # Start of this step, or of the takeover.
+        self.since = now
+        # `complete_since`: since when all members of the step are on it.
+        self.began, self.complete_since = now, None
+        # The process of each director that was seen on it.
+        self.process: dict[str, str] = {}
         self.crashed = set(crashed)
-        self.ready: dict[str, float] = {}            # since when a director's turn has come
+        # Since when it is a director's turn.
+        self.ready: dict[str, float] = {}
 
     def as_record(self) -> dict:
-        return {"want": list(self.want), "step": self.step, "state": self.state, "why": self.why, "sent": {director: list(told) for director, told in self.sent.items()}, "crashed": sorted(self.crashed)}
-
-    def members(self, seats: list[ProcessProgress]) -> list[ProcessProgress]:
-        """Who may be on it by now."""
-        return in_turn(self.want, [seat for seat in seats if self.able(seat)])[:max(FIRST, math.ceil(STEP_SHARES[self.step] * len(seats)))]
-
-    def able(self, seat: ProcessProgress) -> bool:
-        """Whether it is on it, refused it, or can be brought there: nobody waits for the others."""
-        return seat.on == self.want.hash or seat.heard and seat.takes and seat.outcome != IN_FORCE and self.may_try(seat)
-
-    def update(self, seats: list[ProcessProgress], new: Answers, others: Answers, now: float) -> Step:
-        """`new`, `others`: answers since it began, under the wanted version and under others."""
-        members, before = self.members(seats), (self.step, self.state, len(self.crashed))
-        self.watch_processes(seats)
-        if self.state == GOING and (why := self.halt_reason(members, seats, new, others)) is not None:
+        """Returns the state that the journal keeps."""
+        return {"want": list(self.want), "step": self.step, "state": self.state, "why": self.why, "sent": {director: list(processes) for director, processes in self.sent.items()}, "crashed": sorted(self.crashed)}
+
+    def members(self, all_progress: list[ProcessProgress]) -> list[ProcessProgress]:
+        """Returns the directors that may be on it by this step."""
+        return rollout_order(self.want, [progress for progress in all_progress if self.able(progress)])[:max(FIRST_STEP_DIRECTORS, math.ceil(STEP_SHARES[self.step] * len(all_progress)))]
+
+    def able(self, progress: ProcessProgress) -> bool:
+        """Returns whether a director is on it, refused it, or can be sent it; the rollout does not wait for the others."""
+        return progress.on == self.want.hash or progress.heard and progress.takes and progress.outcome != IN_FORCE and self.may_try(progress)
+
+    def update(self, all_progress: list[ProcessProgress], new: Answers, others: Answers, now: float) -> Decision:
+        """Returns the next decision. `new`, `others`: answers since the start, under the wanted version and under others."""
+        members, before = self.members(all_progress), (self.step, self.state, len(self.crashed))
+        self.watch_processes(all_progress)
+        if self.state == GOING and (why := self.halt_reason(members, all_progress, new, others)) is not None:
             self.state, self.why = HALTED, why
         if self.state != HALTED:
-            self.go_on(members, now)
-        offer = () if self.state == HALTED else tuple(seat.process for seat in self.members(seats) if self.may_be_sent(seat, now))
-        late = self.want.by_ms and now - self.began >= self.want.by_ms and self.state != HALTED
-        forbid = tuple(sorted({seat.on for seat in seats if seat.on and seat.on != self.want.hash})) if late else ()
-        return Step(offer, before != (self.step, self.state, len(self.crashed)), forbid)
-
-    def may_try(self, seat: ProcessProgress) -> bool:
-        """Not a third process of one director; one that has it already goes on trying."""
-        return self.tries(seat.director) < SENT_MOST or seat.process in self.sent[seat.director]
-
-    def watch_processes(self, seats: list[ProcessProgress]) -> None:
-        """A director on it whose process is another than before began anew: told it stopped, or it crashed."""
-        for seat in seats:
-            last = self.process.get(seat.director)
-            if last is not None and seat.process != last:
-                self.crashed.add(seat.director)
-                del self.process[seat.director]
-            if seat.heard and seat.on == self.want.hash:
-                self.process[seat.director] = seat.process
+            self.advance(members, now)
+        offer = () if self.state == HALTED else tuple(progress.process for progress in self.members(all_progress) if self.may_be_sent(progress, now))
+        overdue = self.want.by_ms and now - self.began >= self.want.by_ms and self.state != HALTED
+        forbid = tuple(sorted({progress.on for progress in all_progress if progress.on and progress.on != self.want.hash})) if overdue else ()
+        return Decision(offer, before != (self.step, self.state, len(self.crashed)), forbid)
+
+    def may_try(self, progress: ProcessProgress) -> bool:
+        """Returns whether a director may be sent the file: not to a third process of it, but one that has received it may retry."""
+        return self.attempts(progress.director) < MAX_SENDS or progress.process in self.sent[progress.director]
+
+    def watch_processes(self, all_progress: list[ProcessProgress]) -> None:
+        """Notes directors on it whose process changed: they restarted, and crashed unless they reported a stop."""
+        for progress in all_progress:
+            last = self.process.get(progress.director)
+            if last is not None and progress.process != last:
+                self.crashed.add(progress.director)
+                del self.process[progress.director]
+            if progress.heard and progress.on == self.want.hash:
+                self.process[progress.director] = progress.process
 
     def process_stopped(self, director: str) -> None:
-        """A director ended as it was told to: what comes next under its name is no crash."""
+        """Notes that a director stopped as it was told to: the next process under its name is no crash."""
         self.process.pop(director, None)
 
-    def halt_reason(self, members: list[ProcessProgress], seats: list[ProcessProgress], new: Answers, others: Answers) -> str | None:
-        for seat in members:
-            if seat.outcome not in ("", IN_FORCE):
-                return f"{seat.process} refused it: {seat.why}"
-        on = sum(seat.on == self.want.hash for seat in seats)
-        if len(self.crashed) >= max(CRASHES_LEAST, math.ceil(0.1 * on)):
+    def halt_reason(self, members: list[ProcessProgress], all_progress: list[ProcessProgress], new: Answers, others: Answers) -> str | None:
+        """Returns why the rollout must halt, None if it need not."""
+        for progress in members:
+            if progress.outcome not in ("", IN_FORCE):
+                return f"{progress.process} refused it: {progress.why}"
+        on = sum(progress.on == self.want.hash for progress in all_progress)
+        if len(self.crashed) >= max(MIN_CRASHES, math.ceil(0.1 * on)):
             return f"{', '.join(sorted(self.crashed)[:5])} began anew while on it"
         if worse(new, others):
             return f"{new.share():.1%} of {sum(new)} answers under it are no play, {others.share():.1%} of {sum(others)} under others"
         return None
 
-    def go_on(self, members: list[ProcessProgress], now: float) -> None:
-        """To the next step once all that can be on it have been so for a while."""
-        if not members or any(seat.on != self.want.hash for seat in members):
-            self.stood = None
+    def advance(self, members: list[ProcessProgress], now: float) -> None:
+        """Goes to the next step once every director that can be on it has been on it for a while."""
+        if not members or any(progress.on != self.want.hash for progress in members):
+            self.complete_since = None
             self.state = GOING if members else self.state
             return
-        self.stood = now if self.stood is None else self.stood
+        self.complete_since = now if self.complete_since is None else self.complete_since
         if self.step == len(STEP_SHARES) - 1:
             self.state = DONE
-        elif now - self.stood >= self.want.soak_ms:
-            self.step, self.since, self.stood = self.step + 1, now, None
+        elif now - self.complete_since >= self.want.soak_ms:
+            self.step, self.since, self.complete_since = self.step + 1, now, None
 
-    def may_be_sent(self, seat: ProcessProgress, now: float) -> bool:
-        if seat.on == self.want.hash:
-            self.ready.pop(seat.director, None)
+    def may_be_sent(self, progress: ProcessProgress, now: float) -> bool:
+        """Returns whether to send the file to a director whose turn it is."""
+        if progress.on == self.want.hash:
+            self.ready.pop(progress.director, None)
             return False
-        self.ready.setdefault(seat.director, now)
-        return seat.heard and seat.takes and seat.outcome == "" and self.may_try(seat)
+        self.ready.setdefault(progress.director, now)
+        return progress.heard and progress.takes and progress.outcome == "" and self.may_try(progress)
 
     def record_sent(self, process: str) -> None:
-        """The last piece has gone out to it; a second time, as its line broke, is no other try."""
-        told = self.sent.setdefault(process.partition("-")[0], [])
-        if process not in told:
-            told.append(process)
+        """Notes that a process was sent the last piece; a second time, after its connection broke, does not count as another attempt."""
+        processes = self.sent.setdefault(process.partition("-")[0], [])
+        if process not in processes:
+            processes.append(process)
 
-    def tries(self, director: str) -> int:
+    def attempts(self, director: str) -> int:
+        """Returns to how many processes of a director the whole file was sent."""
         return len(self.sent.get(director, ()))
 
-    def cause(self, seat: ProcessProgress, now: float) -> tuple[str, str] | None:
-        """Why a director is not on the wanted version, and what else is known; None where it is on it."""
-        if seat.on == self.want.hash:
-            return None if seat.heard else (UNREACHABLE, f"on it when it was last heard, {(now - seat.heard_ms) / 1000:.1f} s ago")
-        if not seat.heard:
-            return UNREACHABLE, f"silent since {(now - seat.heard_ms) / 1000:.1f} s ago"
-        if seat.outcome == IN_FORCE:
+    def cause(self, progress: ProcessProgress, now: float) -> tuple[str, str] | None:
+        """Returns why a director is not on the wanted version, with details; None if it is on it and heard."""
+        if progress.on == self.want.hash:
+            return None if progress.heard else (UNREACHABLE, f"on it when it was last heard, {(now - progress.heard_ms) / 1000:.1f} s ago")
+        if not progress.heard:
+            return UNREACHABLE, f"silent since {(now - progress.heard_ms) / 1000:.1f} s ago"
+        if progress.outcome == IN_FORCE:
             return FILE, "it was in force there, and its own file was changed since"
-        if seat.outcome:
-            return REFUSED, f"{seat.outcome}: {seat.why}"
-        if not seat.takes:
-            return OLD, "no file is taken over the line there: an older program, or one that was started without a limits file"
-        if not self.may_try(seat):
-            return CRASHED, f"sent {self.tries(seat.director)} times, it is not sent again" + (", began anew while on it" if seat.director in self.crashed else "")
-        if now - seat.still_at <= STILL_TOLD_MS:
-            return STILL, f"for {seat.still_ms / 1000:.1f} s, until {(now - seat.still_at) / 1000:.1f} s ago"
-        due = self.ready.get(seat.director)
+        if progress.outcome:
+            return REFUSED, f"{progress.outcome}: {progress.why}"
+        if not progress.takes:
+            return UNSUPPORTED, "no file is taken over the line there: an older program, or one that was started without a limits file"
+        if not self.may_try(progress):
+            return CRASHED, f"sent {self.attempts(progress.director)} times, it is not sent again" + (", began anew while on it" if progress.director in self.crashed else "")
+        if now - progress.stall_end <= STALL_REPORTED_MS:
+            return STALLED, f"for {progress.stall_ms / 1000:.1f} s, until {(now - progress.stall_end) / 1000:.1f} s ago"
+        due = self.ready.get(progress.director)
         if due is None or self.state == HALTED:
-            return TURN, f"the rollout is at step {self.step + 1} of {len(STEP_SHARES)}" + (f", halted: {self.why}" if self.state == HALTED else "")
-        if seat.trouble and now - due >= GRACE_MS:
-            return FILE, seat.trouble
-        return COMING, f"since {(now - due) / 1000:.1f} s"
+            return WAITING_FOR_TURN, f"the rollout is at step {self.step + 1} of {len(STEP_SHARES)}" + (f", halted: {self.why}" if self.state == HALTED else "")
+        if progress.trouble and now - due >= GRACE_MS:
+            return FILE, progress.trouble
+        return IN_PROGRESS, f"since {(now - due) / 1000:.1f} s"
--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -128,7 +128,7 @@
         yield
         if self.ledger.needs_compaction():
             self.guarded(lambda: self.ledger.compact(fold))
-            self.book.forget_stands()
+            self.book.drop_unused_version_sets()
         for peer in list(peers):
             if peer.other is not None and peer.other.role == wire.EDGE and (turn := self.book.acknowledged(peer.other.name)):
                 peer.send(wire.Kept(turn))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's audit: versions and stands, counts that survive whatever the lines do, answers."""
+"""The fleet's audit: versions and version sets, counts that survive every fault of the connections, answers to operators."""
 import unittest
 
 from hypothesis import given, settings, strategies as st
@@ -8,11 +8,11 @@
 from laddergw.fleet.action_counts import SET_UP_RETRIED, MAX_KEYS_PER_TURN, ADMITTED, PLAYING, MAX_STEPS_PER_PLAY, MAX_TURNS, MAX_TRACKED_PLAYS, Key, ActionCounts
 from laddergw.fleet.state_reports import Part, InvalidReport, ReportedState
 
-STANDS = [versions.version_set([versions.version(versions.PROGRAM, ["text"]), versions.version(versions.LIMITS, [f"limits {n}"], "ops")]) for n in range(6)]
+VERSION_SETS = [versions.version_set([versions.version(versions.PROGRAM, ["text"]), versions.version(versions.LIMITS, [f"limits {n}"], "ops")]) for n in range(6)]
 
 
 class Versions(unittest.TestCase):
-    def test_the_same_content_is_the_same_stand(self):
+    def test_the_same_content_has_the_same_id(self):
         one, other = (versions.version(versions.LIMITS, ["a", "b"], issuer, number) for issuer, number in (("x", 3), ("y", 0)))
         keys = versions.version(versions.KEYS, ["k"])
         self.assertEqual(versions.version_set([one, keys]).id, versions.version_set([keys, other]).id)
@@ -22,82 +22,82 @@
         self.assertRaises(ValueError, versions.version_set, [versions.version("hat", ["a"])])
 
 
-class Stamped(unittest.TestCase):
-    def test_counts_of_past_turns_go_once_they_are_kept(self):
-        stamps = ActionCounts()
-        self.assertEqual([stamps.set_in_force(STANDS[n], float(n)) for n in (0, 0, 1)], [True, False, True])
-        stamps.record("v", "safe", STANDS[0].id, PLAYING, 5.0)
-        stamps.record("w", "safe", STANDS[1].id, ADMITTED, 6.0)
-        self.assertEqual(stamps.counts[2], {Key(2, STANDS[0].id, "safe", PLAYING): 1, Key(2, "", "safe", ADMITTED): 1})
-        stamps.acknowledge(2)
-        self.assertEqual(([t.number for t in stamps.turns], set(stamps.version_sets)), ([2], {STANDS[0].id, STANDS[1].id}))     # one play keeps the old one
-        stamps.acknowledge(99)                                       # nonsense: the present turn stays
-        self.assertEqual(stamps.current_id, STANDS[1].id)
-
-    def test_memory_is_bounded_and_what_goes_is_told(self):
-        stamps = ActionCounts()
+class ActionCountsTest(unittest.TestCase):
+    def test_acknowledged_turns_are_dropped(self):
+        actions = ActionCounts()
+        self.assertEqual([actions.set_in_force(VERSION_SETS[n], float(n)) for n in (0, 0, 1)], [True, False, True])
+        actions.record("v", "safe", VERSION_SETS[0].id, PLAYING, 5.0)
+        actions.record("w", "safe", VERSION_SETS[1].id, ADMITTED, 6.0)
+        self.assertEqual(actions.counts[2], {Key(2, VERSION_SETS[0].id, "safe", PLAYING): 1, Key(2, "", "safe", ADMITTED): 1})
+        actions.acknowledge(2)
+        self.assertEqual(([t.number for t in actions.turns], set(actions.version_sets)), ([2], {VERSION_SETS[0].id, VERSION_SETS[1].id}))     # one play keeps the old set
+        actions.acknowledge(99)                                          # invalid: the current turn stays
+        self.assertEqual(actions.current_id, VERSION_SETS[1].id)
+
+    def test_memory_is_bounded_and_drops_are_counted(self):
+        actions = ActionCounts()
         for n in range(3 * MAX_TURNS):
-            stamps.set_in_force(STANDS[n % 2], float(n))
-            stamps.record(f"v{n}", "safe", "", ADMITTED, float(n))
-        self.assertEqual((len(stamps.turns), len(stamps.counts), stamps.dropped), (MAX_TURNS, MAX_TURNS, 2 * MAX_TURNS))
+            actions.set_in_force(VERSION_SETS[n % 2], float(n))
+            actions.record(f"v{n}", "safe", "", ADMITTED, float(n))
+        self.assertEqual((len(actions.turns), len(actions.counts), actions.dropped), (MAX_TURNS, MAX_TURNS, 2 * MAX_TURNS))
         for n in range(2 * MAX_KEYS_PER_TURN):
-            stamps.record("v", f"product {n}", "", SET_UP_RETRIED, 0.0)
+            actions.record("v", f"product {n}", "", SET_UP_RETRIED, 0.0)
         for n in range(2 * MAX_TRACKED_PLAYS):
-            stamps.record(f"w{n}", "safe", "", ADMITTED, 0.0)
-        self.assertLessEqual(len(stamps.counts[stamps.turns[-1].number]), MAX_KEYS_PER_TURN + 2)
-        self.assertEqual((len(stamps.play_steps), max(map(len, stamps.play_steps.values())) <= MAX_STEPS_PER_PLAY), (MAX_TRACKED_PLAYS, True))
+            actions.record(f"w{n}", "safe", "", ADMITTED, 0.0)
+        self.assertLessEqual(len(actions.counts[actions.turns[-1].number]), MAX_KEYS_PER_TURN + 2)
+        self.assertEqual((len(actions.play_steps), max(map(len, actions.play_steps.values())) <= MAX_STEPS_PER_PLAY), (MAX_TRACKED_PLAYS, True))
 
 
-class Telling(unittest.TestCase):
+class Reporting(unittest.TestCase):
     @settings(max_examples=120, deadline=None)
     @given(st.lists(st.tuples(st.sampled_from(("turn", "do", "do", "do", "tell", "tell", "lose", "double", "late", "keep", "new line", "planner dies")), st.integers(0, 5)), max_size=60))
-    def test_nothing_is_lost_or_doubled_whatever_the_lines_do(self, steps):
-        """Parts lost with their connection, doubled, late, planners that die between hearing and writing: the journal ends with what was done."""
-        stamps, done, now = ActionCounts(), {}, 0.0
-        stamps.set_in_force(STANDS[0], 0.0)
-        disk, book, told, flying = [], FleetLog(), ReportedState(), []
-
-        def hear(part):
-            book.merge("d0-1", part, now, now)
+    def test_nothing_is_lost_or_counted_twice_whatever_connections_do(self, steps):
+        """Parts are lost with their connection, doubled or late, and planners are killed between receiving and writing: the journal ends with what was done."""
+        actions, done, now = ActionCounts(), {}, 0.0
+        actions.set_in_force(VERSION_SETS[0], 0.0)
+        stored, log, reported, in_flight = [], FleetLog(), ReportedState(), []
+
+        def receive(part):
+            log.merge("d0-1", part, now, now)
         for what, which in [*steps, ("new line", 0), ("tell", 0), ("keep", 0)]:
             now += 10.0
             if what == "turn":
-                stamps.set_in_force(STANDS[which], now)
+                actions.set_in_force(VERSION_SETS[which], now)
             elif what == "do":
-                stamps.record("v", f"p{which % 2}", STANDS[which].id, ADMITTED, now)
+                actions.record("v", f"p{which % 2}", VERSION_SETS[which].id, ADMITTED, now)
                 done[f"p{which % 2}"] = done.get(f"p{which % 2}", 0) + 1
             elif what == "tell":
-                flying.append(told.next_part(stamps))
-                hear(flying[-1])
-            elif what == "lose":                                         # told into a connection that is dead; the next one begins whole
-                told.next_part(stamps)
-                told = ReportedState()
-            elif what in ("double", "late") and flying:
+                in_flight.append(reported.next_part(actions))
+                receive(in_flight[-1])
+            elif what == "lose":                                         # sent into a dead connection; the next one begins with everything
+                reported.next_part(actions)
+                reported = ReportedState()
+            elif what in ("double", "late") and in_flight:
                 try:
-                    hear(flying[which % len(flying)])
+                    receive(in_flight[which % len(in_flight)])
                 except InvalidReport:
-                    self.assertEqual(book.processes, {})                 # a part of before, at a planner that knows nothing yet
+                    self.assertEqual(log.processes, {})                 # an older part, at a planner that knows nothing yet
             elif what == "keep":
-                for name in sorted(book.changed):
-                    disk.append(book.record(name, now))
-                    book.mark_stored(disk[-1])
-                stamps.acknowledge(book.acknowledged("d0-1"))
+                for name in sorted(log.changed):
+                    stored.append(log.record(name, now))
+                    log.mark_stored(stored[-1])
+                actions.acknowledge(log.acknowledged("d0-1"))
             elif what == "new line":
-                told = ReportedState()
+                reported = ReportedState()
             elif what == "planner dies":
-                book, told, flying = FleetLog(), ReportedState(), []
-                for record in disk:
-                    book.restore(record)
+                log, reported, in_flight = FleetLog(), ReportedState(), []
+                for record in stored:
+                    log.restore(record)
         found = FleetLog()
-        for record in disk:
+        for record in stored:
             found.restore(record)
         counts = {}
         for (_, _, product, _), count in answers.total_counts(found).items():
             counts[product] = counts.get(product, 0) + count
         self.assertEqual(counts, done)
 
-    def test_parts_that_make_no_sense(self):
-        good = STANDS[0]
+    def test_invalid_parts_are_rejected(self):
+        good = VERSION_SETS[0]
         told = {good.id: tuple(tuple(v) for v in good.versions)}
         for part in (Part(turns=((0, 1.0, good.id),), stands=told), Part(turns=((2, 1.0, good.id), (1, 1.0, good.id)), stands=told), Part(turns=((1, float("nan"), good.id),), stands=told),
                      Part(turns=((1, 1.0, good.id),)), Part(stands={"0" * 12: told[good.id]}), Part(counts=((1, "", "safe", "sang", 1),)),
@@ -106,47 +106,47 @@
                 self.assertRaises(InvalidReport, FleetLog().merge, "d0-1", part, 1.0, 1.0)
 
 
-class Answers(unittest.TestCase):
+class AnswersTest(unittest.TestCase):
     def setUp(self):
-        self.book = FleetLog()
+        self.log = FleetLog()
         for name, turns in ("d0-a", (0, 1)), ("d1-b", (0,)):
-            stamps, told = ActionCounts(), ReportedState()
+            actions, reported = ActionCounts(), ReportedState()
             for n, which in enumerate(turns):
-                stamps.set_in_force(STANDS[which], 1_000.0 * n)
-                stamps.record("v", "safe", STANDS[0].id, ADMITTED, 1_000.0 * n + 1)
-            self.book.merge(name, told.next_part(stamps), 2_000.0, 10_000.0)
+                actions.set_in_force(VERSION_SETS[which], 1_000.0 * n)
+                actions.record("v", "safe", VERSION_SETS[0].id, ADMITTED, 1_000.0 * n + 1)
+            self.log.merge(name, reported.next_part(actions), 2_000.0, 10_000.0)
 
     def test_versions(self):
-        found = answers.versions(self.book, 10_500.0, 1e6)["versions"]
+        found = answers.versions(self.log, 10_500.0, 1e6)["versions"]
         self.assertEqual([(row["kind"], row["directors"], row["let_in_last_minute"]) for row in found],
                          [("program", ["d0-a", "d1-b"], 3), *sorted([("limits", ["d1-b"], 2), ("limits", ["d0-a"], 1)], key=lambda row: row[1] != found[1]["directors"])])
         self.assertEqual(found[0]["since_wall_ms"], 1e6 - 2_500.0)
 
     def test_two_processes_under_one_name(self):
-        """Each that is heard has a seat; the one that began last is the director, whichever spoke last. One that is silent beside another has none."""
-        stamps, told = ActionCounts(), ReportedState()
-        stamps.set_in_force(STANDS[1], 0.0)
-        self.book.merge("d1-a", told.next_part(stamps), 100.0, 10_400.0)        # it began 2.3 s after d1-b
+        """Each process that is heard is listed; the one that began last is the director, whichever was heard last. One that is silent beside another is not listed."""
+        actions, reported = ActionCounts(), ReportedState()
+        actions.set_in_force(VERSION_SETS[1], 0.0)
+        self.log.merge("d1-a", reported.next_part(actions), 100.0, 10_400.0)        # it began 2.3 s after d1-b
         for heard, now in (("d1-b", 11_000.0), ("d1-a", 11_100.0)):
-            self.book.processes[heard].heard(now, 1)
+            self.log.processes[heard].record_digest(now, 1)
             with self.subTest(heard):
-                seats = self.book.progress(versions.LIMITS, 1, now)
-                self.assertEqual([(seat.director, seat.process) for seat in seats], [("d0", "d0-a"), ("d1", "d1-a"), ("d1-b", "d1-b")])
-                self.assertEqual(answers.list_unknown(self.book, now)[0], "2 processes run as d1: d1-a, d1-b")
-        self.book.processes["d1-a"].heard(17_000.0, 2)
-        self.assertEqual([seat.process for seat in self.book.progress(versions.LIMITS, 1, 17_000.0)], ["d0-a", "d1-a"])
-        self.assertNotIn("2 processes", answers.list_unknown(self.book, 17_000.0)[0])
+                progress = self.log.progress(versions.LIMITS, 1, now)
+                self.assertEqual([(one.director, one.process) for one in progress], [("d0", "d0-a"), ("d1", "d1-a"), ("d1-b", "d1-b")])
+                self.assertEqual(answers.list_unknown(self.log, now)[0], "2 processes run as d1: d1-a, d1-b")
+        self.log.processes["d1-a"].record_digest(17_000.0, 2)
+        self.assertEqual([one.process for one in self.log.progress(versions.LIMITS, 1, 17_000.0)], ["d0-a", "d1-a"])
+        self.assertNotIn("2 processes", answers.list_unknown(self.log, 17_000.0)[0])
 
     def test_who_acted_on_what_and_when(self):
-        at = lambda ms: answers.director(self.book, "d0", 1e6 - (10_500.0 - ms), 10_500.0, 1e6)["processes"][0]
-        self.assertEqual([at(ms)["stand"] for ms in (7_000.0, 8_500.0, 9_500.0)], [None, STANDS[0].id, STANDS[1].id])
+        at = lambda ms: answers.director(self.log, "d0", 1e6 - (10_500.0 - ms), 10_500.0, 1e6)["processes"][0]
+        self.assertEqual([at(ms)["stand"] for ms in (7_000.0, 8_500.0, 9_500.0)], [None, VERSION_SETS[0].id, VERSION_SETS[1].id])
         self.assertEqual((at(9_500.0)["did"], at(9_500.0)["until_wall_ms"], at(8_500.0)["until_wall_ms"]), ({"safe let in": 1}, None, 1e6 - 1_500.0))
-        acted = answers.version(self.book, STANDS[0].of(versions.LIMITS).hash[:6], 10_500.0, 1e6)["acted"]
+        acted = answers.version(self.log, VERSION_SETS[0].of(versions.LIMITS).hash[:6], 10_500.0, 1e6)["acted"]
         self.assertEqual([(row["process"], row["let_in"], row["kept_later"]) for row in acted], [("d0-a", {"safe": 1}, {"safe let in": 1}), ("d1-b", {"safe": 1}, {})])
 
-    def test_what_is_not_known_is_said(self):
-        self.assertEqual(answers.list_unknown(self.book, 10_500.0), [])
-        said = answers.versions(self.book, 10_000.0 + SILENT_MS, 1e6)
+    def test_answers_state_what_is_not_known(self):
+        self.assertEqual(answers.list_unknown(self.log, 10_500.0), [])
+        said = answers.versions(self.log, 10_000.0 + SILENT_MS, 1e6)
         self.assertEqual((said["versions"], len(said["not_known"])), ([], 2))
         self.assertIn("d0-a silent since 5.0 s ago", said["not_known"][0])
 
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -154,7 +154,7 @@
                 crashed.append(number)
                 self.cluster.loop_at = self.cluster.world.schedule(self.cluster.world.now + 1, lambda: (self.restart(number), fragile(number)))
             self.sides[number].audit.bring = bring
-        first = int(wanted.in_turn(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash, "", 1),
+        first = int(wanted.rollout_order(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash, "", 1),
                                    self.planner.auditing.book.progress("limits", 1, self.cluster.world.now))[0].director[1:])
         fragile(first)
         self.want(GOOD)
@@ -173,7 +173,7 @@
         self.inject_fault(1, "heal")
         self.planner.auditing.rollouts.offer = lambda *given: None
         self.cluster.run(4_000)
-        self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"] if row["process"][:2] in ("d1", "d3")}, {"d1": wanted.COMING, "d3": wanted.STILL})
+        self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"] if row["process"][:2] in ("d1", "d3")}, {"d1": wanted.IN_PROGRESS, "d3": wanted.STALLED})
         del self.planner.auditing.rollouts.offer
         self.until_done()
 
@@ -182,7 +182,7 @@
             self.sides[number].audit.bringing.kinds = ()                             # an older program
         self.want(GOOD, by_ms=9_000.0)
         self.cluster.run(8_000)
-        self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"]}, {"d2": wanted.OLD, "d3": wanted.OLD})
+        self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"]}, {"d2": wanted.UNSUPPORTED, "d3": wanted.UNSUPPORTED})
         self.assertEqual(self.request_play(2)[0], "playing")
         self.cluster.run(2_500)
         self.assertEqual([self.request_play(number)[0] for number in (2, 3, 4)], ["declined", "declined", "playing"])
