--- a/laddergw/store/__init__.py
+++ b/laddergw/store/__init__.py
@@ -1,1 +1,1 @@
-"""What survives a process: history and snapshots on an embedded store."""
+"""What survives a process: a planner's history, snapshots and journal in an embedded database."""
--- a/tests/test_fleet_ledger.py
+++ b/tests/test_fleet_ledger.py
@@ -1,4 +1,4 @@
-"""The journal of the fleet's audit: chained, compacted, cut at every write, and what was done to it by hand is found."""
+"""The journal of the fleet's audit: chained, compacted, interrupted at every write; changes made by hand are detected."""
 import os
 import tempfile
 import unittest
@@ -10,7 +10,7 @@
 from laddergw.store.ledger import Ledger
 
 
-class Journal(unittest.TestCase):
+class LedgerTest(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -23,31 +23,31 @@
         self.addCleanup(store.db.close)
         return Ledger(store, **bounds)
 
-    def test_what_is_appended_is_found_by_the_next_who_opens_it(self):
+    def test_appended_records_are_found_by_the_next_opener(self):
         first = self.open()
         self.assertEqual((first.append([b"a", b"b"]), first.append([]), first.append([b"c"])), (2, 2, 3))
         second = self.open()
         self.assertEqual((list(second.records()), second.number, second.verify()), ([b"a", b"b", b"c"], 3, ledgers.Verdict(3, 3, ())))
-        self.assertRaises(FencedError, first.append, [b"late"])              # its planner was fenced out: nothing of it is written
+        self.assertRaises(FencedError, first.append, [b"late"])              # its planner was fenced out: nothing is written
         second.append([b"d"])
         self.assertEqual(second.verify(), ledgers.Verdict(4, 4, ()))
 
-    def test_whatever_is_done_by_hand_is_found(self):
-        deeds = {"UPDATE ledger SET record = x'00' WHERE number = 3": "record 3 is not", "DELETE FROM ledger WHERE number = 1": "records 1 to 1 are missing",
+    def test_changes_made_by_hand_are_detected(self):
+        changes = {"UPDATE ledger SET record = x'00' WHERE number = 3": "record 3 is not", "DELETE FROM ledger WHERE number = 1": "records 1 to 1 are missing",
                  "DELETE FROM ledger WHERE number = 5": "ends with record 4, 5 was the last", "DELETE FROM ledger WHERE number IN (2, 3)": "records 2 to 3 are missing",
                  "UPDATE ledger SET number = 9 WHERE number = 5": "records 5 to 8 are missing", "DELETE FROM ledger_ends": "its ends are missing",
                  "UPDATE ledger SET record = (SELECT record FROM ledger WHERE number = 1) WHERE number = 2": "record 2 is not",
                  "UPDATE ledger SET link = x'00' WHERE number = 4": "record 4 is not"}
-        for deed, told in deeds.items():
-            with self.subTest(deed):
+        for statement, fault in changes.items():
+            with self.subTest(statement):
                 if os.path.exists(self.path):
                     os.remove(self.path)
                 journal = self.open()
                 journal.append([b"%d" % n for n in range(5)])
-                journal.store.db.execute(deed)
-                self.assertIn(told, "; ".join(journal.verify().faults))
+                journal.store.db.execute(statement)
+                self.assertIn(fault, "; ".join(journal.verify().faults))
 
-    def test_compaction_says_the_same_under_a_bound(self):
+    def test_compaction_keeps_the_content_within_a_bound(self):
         journal = self.open(max_records=10)
 
         def fold(records):
@@ -60,12 +60,12 @@
         self.assertEqual((sum(int(record) for record in journal.records()), journal.verify().faults, journal.number), (sum(range(200)), (), 200))
         journal.store.db.execute("UPDATE ledger SET record = x'31' WHERE number = (SELECT min(number) FROM ledger)")
         before = list(journal.records())
-        journal.compact(fold)                                           # what does not verify is not made good by folding it
+        journal.compact(fold)                                           # a journal that does not verify is not repaired by compaction
         self.assertEqual((list(journal.records()), len(journal.verify().faults)), (before, 1))
 
-    def test_cut_at_every_write(self):
-        """A copy of the file as it stands at each write, opened by another: the journal is as it was before or after that append."""
-        journal, seen = self.open(), []
+    def test_a_kill_at_any_write_leaves_a_valid_journal(self):
+        """Opens a copy of the file as it is at each write: the journal is as it was before or after that append."""
+        journal, last_numbers = self.open(), []
         journal.append([b"0"])
         copies = []
         for n in range(1, 6):
@@ -78,12 +78,13 @@
         for copy in copies:
             db = apsw.Connection(copy)
             verdict = ledgers.verify(db)
-            seen.append(verdict.last)
+            last_numbers.append(verdict.last)
             db.close()
             self.assertEqual(verdict.faults, ())
-        self.assertEqual(seen, [1, 2, 2, 3, 3, 4, 4, 5, 5, 6])
+        self.assertEqual(last_numbers, [1, 2, 2, 3, 3, 4, 4, 5, 5, 6])
 
     def copy(self, name):
+        """Returns the path of a copy of the file and its rollback journal."""
         path = f"{self.path}.{name}"
         for end in "", "-journal":
             if os.path.exists(self.path + end):
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -28,7 +28,7 @@
 from laddergw.programme.rules import Programme
 from laddergw.store.planner_store import Store, StoreError
 from laddergw.terms.loading import load
-from tests.test_fleet import STANDS
+from tests.test_fleet import VERSION_SETS
 from tests.test_programme import GOOD
 from tests.town import Town
 
@@ -38,7 +38,7 @@
         """Rehearsed: an older connection's end took the base away under the next one; the digest was asked for again, its part of the audit was lost."""
         world, back, stamps = MemoryNetwork(3), [], ActionCounts()
         planner = Planner(world.host("p0"), "p0.1", ("p0", 8300), None, (("lab", b"key of the planners"),), clock=lambda: world.now)
-        stamps.set_in_force(STANDS[0], world.now)
+        stamps.set_in_force(VERSION_SETS[0], world.now)
         stamps.record("v", "safe", "", ADMITTED, world.now)
         peer = Peer(world.host("d0"), wire.Hello(wire.VERSION, "d0-1", wire.EDGE, 0), lambda peer, frame: back.append(frame), lambda peer: None, lambda peer, why: None)
         world.hosts["d0"].dial(("p0", 8300), peer, 500.0)
@@ -46,7 +46,7 @@
         peer.send(wire.as_frame(Digest("d0-1", 9, world.now, {}, {}, (), {}, ()), wire.Base(8, {}), audit=ReportedState().next_part(stamps)))
         world.run(world.now + 50)
         self.assertIn(wire.Again(9), back)
-        self.assertEqual(answers.total_counts(planner.auditing.book), {("d0-1", STANDS[0].id, "safe", ADMITTED): 1})
+        self.assertEqual(answers.total_counts(planner.auditing.book), {("d0-1", VERSION_SETS[0].id, "safe", ADMITTED): 1})
 
     def test_one_planner_at_a_time_keeps_the_journal(self):
         """Rehearsed: one that was fenced out was asked, and did not know what its successor had been told; and one that takes the store back must read it first."""
@@ -62,7 +62,7 @@
             keepers.append(made)
             return made
         first = keeper()
-        stamps.set_in_force(STANDS[0], 1.0)
+        stamps.set_in_force(VERSION_SETS[0], 1.0)
         stamps.record("v", "safe", "", ADMITTED, 2.0)
         first.book.merge("d0-1", ReportedState().next_part(stamps), 2.0, 2.0)
         list(first.keep(()))
@@ -70,7 +70,7 @@
         self.assertEqual([one.keeps() for one in keepers], [False, True])
         stamps.acknowledge(2)
         stamps.record("w", "safe", "", ADMITTED, 3.0)
-        stamps.set_in_force(STANDS[1], 4.0)
+        stamps.set_in_force(VERSION_SETS[1], 4.0)
         second.book.merge("d0-1", ReportedState().next_part(stamps), 4.0, 4.0)
         list(second.keep(()))
         stamps.acknowledge(second.book.acknowledged("d0-1"))
@@ -118,7 +118,7 @@
         path, stamps = os.path.join(folder.name, "store"), ActionCounts()
         keeper, told = self.keeper(path), ReportedState()
         for n in range(6):
-            stamps.set_in_force(STANDS[n], float(n))
+            stamps.set_in_force(VERSION_SETS[n], float(n))
             stamps.record("v", "safe", "", ADMITTED, float(n))
             keeper.book.merge("d0-1", told.next_part(stamps), float(n), float(n))
             list(keeper.keep(()))
@@ -129,7 +129,7 @@
         back = self.keeper(path + ".backup")
         back.book.merge("d0-1", ReportedState().next_part(stamps), 7.0, 7.0)
         self.assertIn("its turns 4 to 5 are missing here", answers.list_unknown(back.book, 7.0)[0])
-        self.assertEqual(answers.total_counts(back.book)["d0-1", STANDS[5].id, "safe", ADMITTED], 1)
+        self.assertEqual(answers.total_counts(back.book)["d0-1", VERSION_SETS[5].id, "safe", ADMITTED], 1)
 
     def test_a_full_disk_acknowledges_nothing_and_loses_nothing(self):
         folder = tempfile.TemporaryDirectory()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: cut at every write and at any byte of it, full, flipped, of an older format, and opened twice."""
+"""The store: interrupted at every write and within it, full, with flipped bits, of an older format, and opened twice."""
 import os
 import shutil
 import tempfile
@@ -6,77 +6,81 @@
 
 import apsw
 
-from laddergw.store.planner_store import FORMAT, FencedError, StoreFullError, Store, StoreError
+from laddergw.store.planner_store import FORMAT, FencedError, Store, StoreError, StoreFullError
 
 
-class Power:
-    """Goes off at a write: that write lands in part, nothing after it."""
+class PowerSupply:
+    """A simulated power supply that fails at a write: part of that write reaches the disk, and nothing after it."""
 
     def __init__(self):
-        self.left, self.part, self.writes, self.off = None, 1.0, 0, False
+        self.writes_left, self.written_share, self.writes, self.off = None, 1.0, 0, False
 
     def write(self, data):
-        """What of it lands."""
+        """Returns the part of a write that reaches the disk."""
         if self.off:
             raise apsw.IOError("off")
         self.writes += 1
-        if self.left is not None:
-            self.left -= 1
-            if self.left < 0:
+        if self.writes_left is not None:
+            self.writes_left -= 1
+            if self.writes_left < 0:
                 self.off = True
-                return data[:int(len(data) * self.part)]
+                return data[:int(len(data) * self.written_share)]
         return data
 
-    def other(self):
+    def require_power(self):
+        """Lets an operation other than a write pass while the power is on."""
         if self.off:
             raise apsw.IOError("off")
         return True
 
 
-class Files(apsw.VFS):
-    """Virtual files under one power."""
+class PoweredFiles(apsw.VFS):
+    """Virtual files that share one power supply."""
 
     def __init__(self, power):
         self.power = power
         super().__init__("cut", "")
 
     def xOpen(self, name, flags):
-        return File(self.power, name, flags)
+        return PoweredFile(self.power, name, flags)
 
     def xDelete(self, name, sync):
         self.power.write(b"")
-        self.power.other()
+        self.power.require_power()
         return super().xDelete(name, sync)
 
 
-class File(apsw.VFSFile):
+class PoweredFile(apsw.VFSFile):
+    """A file whose writes depend on the power supply."""
+
     def __init__(self, power, name, flags):
         self.power = power
         super().__init__("", name, flags)
 
     def xWrite(self, data, offset):
-        landed = self.power.write(data)
-        if landed:
-            super().xWrite(landed, offset)
-        self.power.other()
+        written = self.power.write(data)
+        if written:
+            super().xWrite(written, offset)
+        self.power.require_power()
 
     def xTruncate(self, size):
         self.power.write(b"")
-        self.power.other()
+        self.power.require_power()
         super().xTruncate(size)
 
     def xSync(self, flags):
-        self.power.other()                       # what was written counts as landed: the order of writes is what is tested
+        # What was written counts as on the disk: the order of writes is what is tested.
+        self.power.require_power()
 
 
-class Kept(unittest.TestCase):
+class StoreTest(unittest.TestCase):
     def setUp(self):
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder)
         self.path = os.path.join(self.folder, "store")
 
-    def work(self, store, acknowledged):
-        """A history with snapshots in it; what returned is noted."""
+    def write_history(self, store, acknowledged):
+        """Writes a history with snapshots in it; adds what was acknowledged to the list."""
         for number in range(12):
             store.append([b"r%d" % number * 300, b"s%d" % number])
             acknowledged += [b"r%d" % number * 300, b"s%d" % number]
@@ -84,19 +88,20 @@
                 store.snapshot(b"|".join(acknowledged))
 
     def found(self):
+        """Returns all records that the next process recovers."""
         store = Store(self.path)
         recovered = store.recover()
         store.close()
         self.assertEqual(recovered.faults, [])
         return (recovered.state.split(b"|") if recovered.state else []) + recovered.records
 
-    def test_every_write_is_a_place_to_be_killed(self):
-        """Hundreds of writes, each cut to nothing, half and all but a byte: what was acknowledged is there, and at most the one write more."""
-        power = Power()
-        files = Files(power)
+    def test_acknowledged_writes_survive_a_kill_at_any_write(self):
+        """Hundreds of writes, each interrupted after none, half and nearly all of it: what was acknowledged is there, and at most the interrupted append besides."""
+        power = PowerSupply()
+        files = PoweredFiles(power)
         store = Store(self.path, vfs="cut")
         before, acknowledged = power.writes, []
-        self.work(store, acknowledged)
+        self.write_history(store, acknowledged)
         writes = power.writes - before
         store.close()
         self.assertGreater(writes, 100)
@@ -104,11 +109,11 @@
             for part in (0.0, 0.5, 0.999):
                 for name in os.listdir(self.folder):
                     os.remove(os.path.join(self.folder, name))
-                power.off, power.left = False, None
+                power.off, power.writes_left = False, None
                 store, acknowledged = Store(self.path, vfs="cut"), []
-                power.left, power.part = write, part
+                power.writes_left, power.written_share = write, part
                 with self.assertRaises(StoreError):
-                    self.work(store, acknowledged)
+                    self.write_history(store, acknowledged)
                 try:
                     store.close()
                 except apsw.Error:
@@ -118,7 +123,7 @@
                 self.assertIn(len(found) - len(acknowledged), (0, 2))
         files.unregister()
 
-    def test_only_the_last_to_open_writes(self):
+    def test_only_the_last_opener_writes(self):
         first = Store(self.path)
         first.append([b"a"])
         second = Store(self.path)
@@ -133,7 +138,7 @@
         first.append([b"e"])
         self.assertEqual((Store(self.path).epoch, first.recover().records), (11, [b"a", b"c", b"e"]))
 
-    def test_no_room_keeps_what_was_and_goes_on_when_there_is(self):
+    def test_a_full_store_keeps_its_records_and_resumes_once_there_is_space(self):
         store = Store(self.path, max_bytes=120_000)
         store.append([b"a" * 1_000])
         with self.assertRaises(StoreFullError):
@@ -145,7 +150,7 @@
         store.append([b"c"])
         self.assertEqual(store.recover().records, [b"a" * 1_000, b"c"])
 
-    def test_flipped_bits_are_told_and_cost_what_follows(self):
+    def test_flipped_bits_are_reported_and_end_the_history(self):
         store = Store(self.path)
         store.append([b"first"])
         store.snapshot(b"state-one")
@@ -156,8 +161,8 @@
         with open(self.path, "rb") as stream:
             data = bytearray(stream.read())
         for word, state, records in ((b"fourth-record", b"state-two", []), (b"state-two", b"state-one", [b"second-record", b"third"])):
-            place = data.index(word)
-            data[place] ^= 1
+            position = data.index(word)
+            data[position] ^= 1
             with open(self.path, "wb") as stream:
                 stream.write(data)
             store = Store(self.path)
@@ -166,7 +171,7 @@
             self.assertTrue(found.faults and "checksum is wrong" in found.faults[0])
             store.close()
 
-    def test_formats(self):
+    def test_older_newer_and_foreign_formats(self):
         db = apsw.Connection(self.path)
         db.execute("CREATE TABLE facts (name TEXT PRIMARY KEY, value INTEGER); INSERT INTO facts VALUES ('format', 1), ('epoch', 6);"
                    "CREATE TABLE history (number INTEGER PRIMARY KEY, record BLOB); CREATE TABLE snapshots (number INTEGER PRIMARY KEY, state BLOB);"
