--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -75,7 +75,7 @@
         loaded = load(b"(limits (defaults (attempts 2)))", "own", director.house)
         host.deliver_at(self.cluster.world.now, lambda: director.change_limits(loaded.limits))
         self.cluster.run(1_500)
-        return self.sides[1].audit.held[versions.LIMITS].hash[:8]
+        return self.sides[1].audit.active_versions[versions.LIMITS].hash[:8]
 
     def test_a_forbidden_version_is_declined_until_it_is_allowed(self):
         self.assertEqual([self.request_play(number)[0] for number in (0, 1)], ["playing", "playing"])
@@ -85,7 +85,7 @@
         self.cluster.run(600)
         self.assertEqual(self.request_play(0)[0], "playing")
         self.assertEqual(self.request_play(1), ("declined", f"{name} must not be used any more"))
-        self.assertEqual(self.cluster.directors[1].held, 1)                 # its running play continues
+        self.assertEqual(self.cluster.directors[1].active_plays, 1)                 # its running play continues
         self.cluster.run(LEASE_MS)
         self.assertTrue(self.ask_planner("floors")["floors"][0]["nobody_acts_on_it"])
         self.cluster.world.hosts["p0"].kill()                               # the next planner reads it from the journal
@@ -109,7 +109,7 @@
         for step in range(80):
             self.cluster.run(100)
             director.loop.now = self.cluster.world.now
-            is_open, unused = director.shut() is None, self.ask_planner("floors")["floors"][0]["nobody_acts_on_it"]
+            is_open, unused = director.closed_rejection() is None, self.ask_planner("floors")["floors"][0]["nobody_acts_on_it"]
             self.assertFalse(is_open and unused, step)
             open_steps, unused_since = open_steps + is_open, unused_since or (unused and step)
         self.assertGreater(open_steps, 40)                                 # it does not stop at once: nothing reaches it
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -3,15 +3,15 @@
 import unittest
 
 from laddergw import peer_messages
-from laddergw.terms import house as houses
-from laddergw.director.carrying import LOST
+from laddergw.terms import director_file as director_files
+from laddergw.director.allocation_calls import LOST
 from laddergw.director.director import Director
-from laddergw.director.post import STALE_MS, Post
+from laddergw.director.director_messages import STALE_MS, DirectorMessages
 from laddergw.lab import move, script
 from laddergw.lab.audit import audit
 from laddergw.lab.plant import plant
 from laddergw.loop.memory import MemoryNetwork
-from tests.town import FILE, Town
+from tests.in_memory_cluster import FILE, Cluster
 
 SECONDS = 14.0
 KEYS = (("k", b"key-of-the-small-town"),)
@@ -53,42 +53,42 @@
     def test_the_audit_sees_a_switch_that_drops_plays(self):
         """The same rehearsal with a director that lets its plays go at a switch: it must be caught."""
         class Dropping(Director):
-            def change_house(self, house):
-                super().change_house(house)
-                for ply in list(self.tries.values()):
-                    self.take_off(ply, LOST)
+            def change_director_file(self, house):
+                super().change_director_file(house)
+                for ply in list(self.attempts.values()):
+                    self.remove_from_node(ply, LOST)
         the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
         records = move.MemoryMove(the_plant, [], director_class=Dropping).run()
         self.assertGreater(move.switched(records)["dropped"], 0)
 
     def test_plays_keep_their_terms_and_a_refused_file_changes_nothing(self):
-        town = Town()
+        town = Cluster()
         ask = town.ask()
         town.run(300)
         director = town.directors[0]
-        held = next(iter(director.tries.values()))
+        held = next(iter(director.attempts.values()))
         rate, house = director.rate(held), director.house
         for text, why in ((file_with("(told-by guess)"), "told-by"), (file_with("(join 2)"), "join"), (file_with(product="(live maybe)"), "live")):
-            with self.assertRaisesRegex(houses.Refused, why):
-                houses.read(text)
-        other = houses.read(file_with().replace("(product safe", "(product unheard (importance 1)) (product safe"))
-        self.assertIn("product", houses.switch_fault(house, other))
-        new = houses.read(file_with("(probes yes) (told-by probe) (join 0.3)", product="(live yes)").replace("100 200 400", "50 90 130"))
-        director.change_house(new)
+            with self.assertRaisesRegex(director_files.FileRejected, why):
+                director_files.read(text)
+        other = director_files.read(file_with().replace("(product safe", "(product unheard (importance 1)) (product safe"))
+        self.assertIn("product", director_files.switch_fault(house, other))
+        new = director_files.read(file_with("(probes yes) (told-by probe) (join 0.3)", product="(live yes)").replace("100 200 400", "50 90 130"))
+        director.change_director_file(new)
         self.assertEqual((director.rate(held), director.house.deployment.told_by), (rate, "probe"))
-        director.change_house(house)
+        director.change_director_file(house)
         town.run(3_000)
         self.assertIsNone(ask.ended)
-        self.assertEqual((director.held, director.house), (1, house))
+        self.assertEqual((director.active_plays, director.house), (1, house))
 
     def test_a_probe_is_sent_and_its_answer_places_the_play(self):
-        town = Town()
+        town = Cluster()
         director = town.directors[0]
-        director.change_house(houses.read(file_with("(probes yes) (told-by probe)")))
+        director.change_director_file(director_files.read(file_with("(probes yes) (told-by probe)")))
         ask = town.ask()
         town.run(600)
         self.assertEqual(ask.answer, "playing")
-        self.assertGreater(len(town.told("probed")), 0)
+        self.assertGreater(len(town.records_of("probed")), 0)
         town.fault(1, "mute", True)
         town.fault(2, "mute", True)
         late = town.ask(wait_ms=1_000)
@@ -102,7 +102,7 @@
         super().setUp()
         self.wall = 1_000_000.0
         world = MemoryNetwork(1)
-        self.post = Post(world.host("d1"), 1, ((0, ("d0", 80)), (1, ("d1", 80))), lambda: KEYS, lambda: self.wall)
+        self.post = DirectorMessages(world.host("d1"), 1, ((0, ("d0", 80)), (1, ("d1", 80))), lambda: KEYS, lambda: self.wall)
         self.sent = []
         self.post.send_one = lambda pool, body: self.sent.append((pool.address, body))
 
@@ -128,7 +128,7 @@
             self.post.read(body)
 
     def test_a_director_refuses_nonsense_and_goes_on(self):
-        town = Town()
+        town = Cluster()
         calls = []
         town.pools[0].call("POST", "/v1/mail", b"nonsense", calls.append)
         town.run(100)
@@ -140,13 +140,13 @@
 
 class Files(unittest.TestCase):
     def test_peers_are_checked_with_their_place(self):
-        good = houses.read(file_with(top='(peer 1 "10.0.0.2" 8100)'))
+        good = director_files.read(file_with(top='(peer 1 "10.0.0.2" 8100)'))
         self.assertEqual((good.peers, good.deployment.peers, good.deployment.number), (((1, ("10.0.0.2", 8100)),), True, 0))
         for top in '(peer 1 "a" 80) (peer 1 "b" 80)', '(peer x "a" 80)', '(peer 1 "a" 99999)', "(peer 1)":
-            with self.assertRaisesRegex(houses.Refused, "peer"):
-                houses.read(file_with(top=top))
+            with self.assertRaisesRegex(director_files.FileRejected, "peer"):
+                director_files.read(file_with(top=top))
 
     def test_what_is_missing_leaves_the_behaviour_as_it_was(self):
-        d = houses.read(file_with()).deployment
+        d = director_files.read(file_with()).deployment
         self.assertEqual((d.probes, d.told_by, d.probe_price, d.cross_price, d.zone, d.peers, d.peer_price, d.join, d.products[0].live),
                          (False, "answers", 0.0, 0.0, 0, False, 0.0, 1.0, False))
