--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -16,14 +16,14 @@
 from laddergw.lab.plant import WARES, plant
 from laddergw.lab.script import Trouble
 from laddergw.planner import wire
-from tests.fleet_commands import COMMAND_MS, Commanding
+from tests.fleet_commands import COMMAND_TIMEOUT_MS, CommandedFleet
 
 TWIN, TWINS = 100, 1       # the number under which the second process of that director is known here
 FULL_MS, FREE_MS, KILL_MS, BACK_MS = 1_500, 6_000, 3_000, 4_000
 SOAK_S = "0.5"
 
 
-class Hard(Commanding):
+class Hard(CommandedFleet):
     """Each case in its turn; plays go on through the first two."""
 
     def __init__(self, *given):
@@ -42,7 +42,7 @@
         """A second process under the name of one that runs, asked by viewers too; later the disk of the planner is full for a while, and an edge
         is killed and begun again meanwhile."""
         self.start_twin()
-        self.wait(lambda: TWIN in self.addresses, COMMAND_MS, "the second process starts")
+        self.wait(lambda: TWIN in self.addresses, COMMAND_TIMEOUT_MS, "the second process starts")
         super().let_them_come()
         self.loop.call_later(FULL_MS, lambda: self.disk(os.path.getsize(self.file("planner.store"))))
         self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""The fleet's audit with processes of the program and faults between them: edges, planners, lines of ours, and the command that asks."""
+"""The fleet's audit with processes of the program and faults between them: edges, planners, faulty links, and the operators' command."""
 import json
 import logging
 import pathlib
@@ -12,14 +12,14 @@
 from laddergw.lab.plant import WARES, plant
 from laddergw.lab.script import Trouble
 from laddergw.planner import wire
-from tests.fleet_commands import COMMAND_MS, Commanding
+from tests.fleet_commands import COMMAND_TIMEOUT_MS, CommandedFleet
 
 
-class Asking(Commanding):
-    """Asks with the operators' command while all processes run, and once more with both planners gone."""
+class OperatorCommands(CommandedFleet):
+    """Runs the operators' command while all processes run, and once more with both planners killed."""
 
     def want(self) -> None:
-        """Nothing but what `take_out` wants."""
+        """Wants nothing; `roll_out` does."""
 
     def before_end(self) -> None:
         super().before_end()
@@ -33,15 +33,15 @@
         key = next(facts["play"] for _, what, facts in self.collect_of(source) if what == "took" and facts["play"])
         self.command("audit", "--play", key)
         self.key, self.program = key, found["program"]
-        self.shut_out()
-        self.take_out()
+        self.forbid_version()
+        self.roll_out()
         for child in self.planners.values():
             child.kill()
             child.wait()
         self.command("verify", "--json")
 
-    def shut_out(self) -> None:
-        """The edge that closes alone stands still while the others go over to new limits and its own are forbidden: it wakes to a closed door."""
+    def forbid_version(self) -> None:
+        """Stalls the edge that closes without planners while the others switch to new limits and its own are forbidden: when it resumes it declines plays."""
         leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         of = lambda: {process: row["version"] for row in self.ask(leader, wire.Ask("versions"))["versions"] if row["kind"] == "limits" for process in row["directors"]}
         old = next(version for process, version in of().items() if process.startswith("d1-"))
@@ -49,33 +49,33 @@
         self.children[1].send_signal(signal.SIGSTOP)
         self.switches += 1
         self.write_limits()
-        self.until(lambda: others() and old not in others(), "the others go over")
+        self.until(lambda: others() and old not in others(), "the others switch")
         self.command("forbid", "limits", old[:10])
         self.killed = next(name for name in map(lambda row: row["process"], self.ask(leader, wire.Ask("director", "d2"))["processes"])
                            if name != json.loads(self.fetch(2, "POST", "/v1/audit", b"{}"))["process"])
         self.command("gone", "d0-00000000")
-        self.command("gone", self.killed)          # it stays open without planners, and nobody else knows that it is dead
+        self.command("gone", self.killed)          # it stays open without planners, and only an operator knows that it was killed
         asked = self.call(1, "GET", "/healthz", b"")
         self.until(lambda: self.ask(leader, wire.Ask("floors"))["floors"][0]["nobody_acts_on_it"], "nobody acts on it")
         self.command("floors")
-        self.still = not asked
+        self.was_stalled = not asked
         self.children[1].send_signal(signal.SIGCONT)
-        self.wait(lambda: asked, COMMAND_MS, "it wakes")
-        self.woke = asked[0].status, asked[0].body
+        self.wait(lambda: asked, COMMAND_TIMEOUT_MS, "it resumes")
+        self.answer_after_stall = asked[0].status, asked[0].body
 
         def open_again() -> bool:
-            came = self.call(1, "GET", "/healthz", b"")
-            self.wait(lambda: came, COMMAND_MS, "it answers")
-            return came[0].status == 200
-        self.until(open_again, "it goes over, too, and opens")
+            answered = self.call(1, "GET", "/healthz", b"")
+            self.wait(lambda: answered, COMMAND_TIMEOUT_MS, "it answers")
+            return answered[0].status == 200
+        self.until(open_again, "it switches too, and opens")
 
-    def take_out(self) -> None:
-        """A version that the operator wants, over lines of one edge that are slow and break in the middle of the file, its planner killed as it begins: the other
-        goes on, and each edge has it on its disk."""
+    def roll_out(self) -> None:
+        """Rolls out a version over links of one edge that are slow and break during the file, with the planner killed as it begins: the other planner continues,
+        and each edge has the version on its disk."""
         text = sound(self.plant.seed, 9, self.read_house) + "\n; " + "x" * 150_000
-        slow = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
-        for line in slow:
-            line.fault("rate", 100_000.0)
+        slow_links = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
+        for link in slow_links:
+            link.fault("rate", 100_000.0)
         with open(self.file("wanted.terms"), "w") as stream:
             stream.write(text)
         self.command("want", "--soak", "0.5", "limits", self.file("wanted.terms"))
@@ -83,51 +83,52 @@
         self.planners[leader].kill()
         self.planners[leader].wait()
         self.start_planner(leader, True)
-        for line in slow:
-            line.fault("reset", 60_000)
+        for link in slow_links:
+            link.fault("reset", 60_000)
 
         def all_on_it() -> bool:
             asked = [found for planner in self.planners if (found := self.ask(planner, wire.Ask("stragglers", "limits"))) and "want" in found]
             return bool(asked) and asked[0]["want"] is not None and asked[0]["state"] == "done" and not asked[0]["behind"]
-        self.until(all_on_it, "all are on what is wanted")
+        self.until(all_on_it, "all are on the wanted version")
         self.command("stragglers")
         self.kept = [pathlib.Path(self.limits(number)).read_text() == text for number in range(self.plant.directors)]
 
     def collect_of(self, source: str) -> list:
+        """Returns the complete lines of a process's tap."""
         with open(self.file(f"{source}.jsonl"), "rb") as stream:
             return [json.loads(line) for line in stream if line.endswith(b"\n")]
 
 
-class Processes(unittest.TestCase):
-    def test_lines_that_fail_planners_that_die_and_the_command_that_asks(self):
+class FleetProcessesTest(unittest.TestCase):
+    def test_faulty_links_killed_planners_and_operator_commands(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-fleet-")
         self.addCleanup(shutil.rmtree, folder, True)
         the_plant = plant(3, directors=3, nodes=6, rate=10, seconds=6, wares=tuple(ware._replace(length_ms=(2_000, 6_000)) for ware in WARES))
-        stage = Asking(the_plant, [Trouble(2_000, "freeze", 1, 2_500.0), Trouble(3_000, "kill", 2), Trouble(4_000, "start", 2)], 2, folder)
+        stage = OperatorCommands(the_plant, [Trouble(2_000, "freeze", 1, 2_500.0), Trouble(3_000, "kill", 2), Trouble(4_000, "start", 2)], 2, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
         self.assertEqual((judged.without, judged.twice, judged.breaks, stage.verdict), (0, 0, [], []))
         self.assertGreater(stage.facts["answers"], 20)
-        struck = {facts["fault"] for _, what, facts in records if what == "line fault"}
-        self.assertGreater(len(struck), 3)
-        status, said = stage.answers["verify"]
-        self.assertEqual((status, "all as they were written" in said), (0, True), said)
-        status, said = stage.answers["versions"]
-        self.assertEqual((status, stage.program in said), (0, True), said)
+        injected = {facts["fault"] for _, what, facts in records if what == "line fault"}
+        self.assertGreater(len(injected), 3)
+        status, output = stage.answers["verify"]
+        self.assertEqual((status, "all as they were written" in output), (0, True), output)
+        status, output = stage.answers["versions"]
+        self.assertEqual((status, stage.program in output), (0, True), output)
         self.assertIn("did under it:", stage.answers["d0"][1])
         self.assertRegex(stage.answers[stage.program[:8]][1], r"d0-[0-9a-f]{8} +20\d\d-.* to now  let in ")
-        status, said = stage.answers[stage.key]
-        self.assertEqual(status, 0, said)
-        self.assertRegex(said, r"let in +under [0-9a-f]{12}")
-        status, said = stage.answers[next(words for words in stage.answers if words.startswith("forbid"))]
-        self.assertEqual((status, "some may still" in said), (0, True), said)
+        status, output = stage.answers[stage.key]
+        self.assertEqual(status, 0, output)
+        self.assertRegex(output, r"let in +under [0-9a-f]{12}")
+        status, output = stage.answers[next(words for words in stage.answers if words.startswith("forbid"))]
+        self.assertEqual((status, "some may still" in output), (0, True), output)
         self.assertIn("nobody lets plays in under it any more", stage.answers["floors"][1])
         self.assertEqual([stage.answers[f"gone {name}"][0] for name in ("d0-00000000", stage.killed)], [1, 0])
-        self.assertTrue(stage.still)
-        self.assertEqual(stage.woke[0], 503, stage.woke)
-        self.assertIn(b"no planner has granted", stage.woke[1])
+        self.assertTrue(stage.was_stalled)
+        self.assertEqual(stage.answer_after_stall[0], 503, stage.answer_after_stall)
+        self.assertIn(b"no planner has granted", stage.answer_after_stall[1])
         self.assertEqual([stage.answers[words][0] for words in stage.answers if words.startswith(("want", "stragglers"))], [0, 0])
         self.assertIn("3 of 3 directors on it", stage.answers["stragglers"][1])
         self.assertEqual(stage.kept, [True] * 3)
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -1,4 +1,4 @@
-"""Wanted versions in a small town: files that come in pieces over lines that fail, planners that die in the middle, journals that were set back."""
+"""Rollouts in a cluster in memory: files sent in pieces over faulty links, planners killed midway, journals restored from a backup."""
 import json
 import os
 import shutil
@@ -17,11 +17,12 @@
 GOOD, OTHER, BAD = b"(limits (defaults (attempts 2)))", b"(limits (defaults (attempts 1)))", b"(limits (defaults (attempts 0)))"
 
 
-class TakenOut(FleetCluster):
+class Rollouts(FleetCluster):
     """Five directors in two zones."""
     directors, zones = 5, {0: 0, 1: 0, 2: 0, 3: 1, 4: 1}
 
     def want(self, data, soak_ms=500.0, by_ms=0.0, name=None):
+        """Asks the planner for a rollout of these limits; returns its answer."""
         loaded = load(data, "wanted", self.cluster.directors[0].house)
         name = name or versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         self.name = name
@@ -31,16 +32,18 @@
         return self.ask_planner("stragglers", "limits")
 
     def on_it(self):
+        """Returns the directors on the wanted version."""
         return {number for number, side in self.sides.items() if side.audit.active_versions[versions.LIMITS].hash == self.name}
 
     def until_done(self, ms=30_000):
+        """Runs until the rollout is over and no director is behind; returns the planner's answer."""
         for _ in range(int(ms / 500)):
             self.cluster.run(500)
             if (found := self.stragglers())["state"] != "going" and not found["behind"]:
                 return found
         self.fail(self.stragglers())
 
-    def test_in_steps_and_kept_on_the_disk(self):
+    def test_a_rollout_in_steps_survives_restarts_on_disk(self):
         self.assertNotIn("refused", self.want(GOOD))
         self.assertIn("goes on", self.want(OTHER)["refused"])
         self.cluster.run(600)
@@ -55,13 +58,13 @@
                 self.assertEqual(stream.read(), GOOD)
         self.restart(2)
         self.cluster.run(3_000)
-        self.assertIn(2, self.on_it())                                               # by its own file
-        self.assertNotIn("refused", self.want(OTHER))                                # and the way on, or back, is the same step
+        self.assertIn(2, self.on_it())                                               # from its own file
+        self.assertNotIn("refused", self.want(OTHER))                                # the way forward or back is the same command
         self.until_done()
         self.assertEqual(self.on_it(), set(range(5)))
 
-    def test_one_whose_file_cannot_be_written_is_on_it_until_it_begins_anew(self):
-        """And then it is sent it a second time."""
+    def test_a_director_whose_file_cannot_be_written_loses_it_at_a_restart(self):
+        """It is sent the file a second time after the restart."""
         blocked = os.path.join(self.folder, f"limits.2.{os.getpid()}.new")
         os.mkdir(blocked)
         self.want(GOOD)
@@ -76,13 +79,13 @@
         self.assertEqual(self.until_done()["state"], "done")
         self.assertEqual(self.on_it(), set(range(5)))
 
-    def test_a_write_that_fails_leaves_nothing_behind(self):
+    def test_a_failed_write_leaves_no_temporary_file(self):
         path = os.path.join(self.folder, "taken")
         os.mkdir(path)
         self.assertIn("cannot be written", replace_file(path, GOOD))
         self.assertEqual([name for name in os.listdir(self.folder) if name.endswith(".new")], [])
 
-    def test_one_that_is_refused_halts_and_touches_nobody(self):
+    def test_a_refused_version_halts_and_changes_no_director(self):
         before = {number: side.audit.active_versions[versions.LIMITS].hash for number, side in self.sides.items()}
         self.want(BAD, name="f" * 16)
         self.cluster.run(8_000)
@@ -91,28 +94,28 @@
         self.assertIn("attempts", found["why"])
         self.assertLessEqual(sum(row["cause"] == wanted.REFUSED for row in found["behind"]), 2)
         self.assertEqual({number: side.audit.active_versions[versions.LIMITS].hash for number, side in self.sides.items()}, before)
-        self.assertNotIn("refused", self.want(GOOD, name="e" * 16))                  # a name that is not its content's
+        self.assertNotIn("refused", self.want(GOOD, name="e" * 16))                  # a hash that is not that of its content
         self.cluster.run(3_000)
         self.assertIn("is wanted", self.stragglers()["why"])
         self.want(GOOD)
         self.assertEqual(self.until_done()["want"]["number"], 1_003)
 
-    def test_an_operator_halts_it_and_goes_on_with_another(self):
+    def test_an_operator_halts_a_rollout_and_starts_another(self):
         self.assertIn("nothing goes on", self.ask_planner("halt", "limits")["refused"])
         self.want(GOOD, soak_ms=5_000.0)
         self.cluster.run(1_500)
         self.assertEqual(self.ask_planner("halt", "limits")["state"], "halted")
-        self.kill_planner()                                                          # the word is in the journal
+        self.kill_planner()                                                          # the halt is in the journal
         self.start_planner()
         self.cluster.run(12_000)
         self.assertEqual((self.stragglers()["state"], len(self.on_it())), ("halted", 2))
         self.assertNotIn("refused", self.want(OTHER))
         self.until_done()
 
-    def test_a_line_that_stalls_and_breaks_in_the_middle_of_the_file(self):
+    def test_links_that_stall_and_break_during_the_file(self):
         data = GOOD + b"\n; " + b"x" * 12 * PIECE_BYTES
-        offsets, fetch = [], rollouts.Rollouts.send_piece
-        self.planner.auditor.rollouts.send_piece = lambda peer, frame: (offsets.append((peer.remote.name, frame.offset)), fetch(self.planner.auditor.rollouts, peer, frame))
+        offsets, send_piece = [], rollouts.Rollouts.send_piece
+        self.planner.auditor.rollouts.send_piece = lambda peer, frame: (offsets.append((peer.remote.name, frame.offset)), send_piece(self.planner.auditor.rollouts, peer, frame))
         self.want(data)
         for number in range(5):
             self.inject_fault(number, "rate", 60_000.0)
@@ -127,14 +130,14 @@
         for number in range(5):
             self.inject_fault(number, "heal")
         self.until_done(60_000)
-        by_name = {name: [offset for told, offset in offsets if told == name] for name, _ in offsets}
-        self.assertTrue(all(told == sorted(told) for told in by_name.values()), by_name)     # never back: what came stays
-        self.assertTrue(any(told.count(offset) > 1 for told in by_name.values() for offset in set(told) - {0}), by_name)
+        by_name = {name: [offset for process, offset in offsets if process == name] for name, _ in offsets}
+        self.assertTrue(all(sent == sorted(sent) for sent in by_name.values()), by_name)     # never backwards: received pieces are kept
+        self.assertTrue(any(sent.count(offset) > 1 for sent in by_name.values() for offset in set(sent) - {0}), by_name)
 
-    def test_a_planner_killed_between_its_journal_and_its_order_and_one_set_back(self):
+    def test_a_planner_killed_before_its_offer_and_one_with_a_restored_journal(self):
         shutil.copy(self.path, self.path + ".backup")
         self.want(GOOD)
-        self.kill_planner()                                                          # it is in the journal, nobody was told
+        self.kill_planner()                                                          # it is in the journal, no director was told
         self.start_planner()
         self.until_done()
         self.kill_planner()
@@ -143,20 +146,20 @@
         self.cluster.run(3_000)
         self.assertEqual(self.stragglers()["want"], None)
         self.assertNotIn("refused", self.want(OTHER))
-        self.assertEqual(self.until_done()["want"]["number"], 2_001)                   # past what directors told of
+        self.assertEqual(self.until_done()["want"]["number"], 2_001)                   # above the numbers that directors reported
         self.assertEqual(self.on_it(), set(range(5)))
 
-    def test_who_crashes_on_it_is_not_sent_it_a_third_time(self):
+    def test_a_director_that_crashes_on_it_is_not_sent_it_a_third_time(self):
         crashed = []
 
-        def fragile(number):
-            def bring(data, sure, done):
+        def crash_on_file(number):
+            def apply_file(data, verify, done):
                 crashed.append(number)
-                self.cluster.loop_at = self.cluster.world.schedule(self.cluster.world.now + 1, lambda: (self.restart(number), fragile(number)))
-            self.sides[number].audit.apply_file = bring
+                self.cluster.loop_at = self.cluster.world.schedule(self.cluster.world.now + 1, lambda: (self.restart(number), crash_on_file(number)))
+            self.sides[number].audit.apply_file = apply_file
         first = int(wanted.rollout_order(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash, "", 1),
-                                   self.planner.auditor.fleet_log.progress("limits", 1, self.cluster.world.now))[0].director[1:])
-        fragile(first)
+                                         self.planner.auditor.fleet_log.progress("limits", 1, self.cluster.world.now))[0].director[1:])
+        crash_on_file(first)
         self.want(GOOD)
         self.cluster.run(40_000)
         self.assertEqual(crashed, [first] * 2)
@@ -164,7 +167,7 @@
         self.assertEqual([(row["process"].partition("-")[0], row["cause"]) for row in found["behind"]], [(f"d{first}", wanted.CRASHED)])
         self.assertEqual(self.on_it(), set(range(5)) - {first})                      # the others do not wait for it
 
-    def test_who_is_cut_off_or_stands_still_is_told_apart_and_brought_up_later(self):
+    def test_cut_off_and_stalled_directors_are_distinguished_and_updated_later(self):
         self.inject_fault(1, "hole")
         self.cluster.world.hosts["d3"].freeze(9_000)
         self.want(GOOD)
@@ -177,9 +180,9 @@
         del self.planner.auditor.rollouts.offer_file
         self.until_done()
 
-    def test_past_its_time_who_is_behind_is_shut_out_but_never_a_whole_zone(self):
+    def test_after_the_deadline_other_versions_are_forbidden_but_never_a_whole_zone(self):
         for number in 2, 3:
-            self.sides[number].audit.file_receiver.kinds = ()                             # an older program
+            self.sides[number].audit.file_receiver.kinds = ()                        # an older program
         self.want(GOOD, by_ms=9_000.0)
         self.cluster.run(8_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"]}, {"d2": wanted.UNSUPPORTED, "d3": wanted.UNSUPPORTED})
