--- a/benchmarks/budgets_use.py
+++ b/benchmarks/budgets_use.py
@@ -1,9 +1,10 @@
-"""How much of a fleet's budget is put to use, beside one that sees all at once, and what a spend and a planner's answers cost.
+"""Measures how much of a fleet's budget is used, compared with a planner that sees everything at once, and the cost of spends and of a planner's answers.
 
     PYTHONPATH=. .venv/bin/python benchmarks/budgets_use.py [seeds]
 
-The program's own GrantHolder and GrantIssuer over messages in memory (lab/budgets_play.py), the second half of 160 s. Beside them, on the same wants: one window over all
-spends, exact (what a planner that sees all at once would let through); equal shares that stay; and today's own counts, where each director holds the whole (what it lets through is over the whole).
+Runs the program's own GrantHolder and GrantIssuer over messages in memory (lab/budgets_play.py) and measures the second half of 160 s. The same wants are compared with one exact
+window over all spends (what a planner that sees everything at once would admit), with fixed equal shares, and with each director's own count, where each director may spend the
+whole (what it admits exceeds the whole).
 """
 import sys
 import time
@@ -15,23 +16,25 @@
 from laddergw.lab.budgets_play import Play
 from laddergw.machines.retry_budget import BudgetTerms, RetryBudgets
 
-HALF = 0.5
+# Of a play; what comes before is not measured.
+WARM_UP_SHARE = 0.5
 
 
-def oracle(wants: list[float], whole: int, window_ms: float) -> int:
+def admitted_by_one_window(wants: list[float], whole: int, window_ms: float) -> int:
+    """Returns how many of these wants one exact window admits."""
     spent: deque = deque()
-    had = 0
+    admitted = 0
     for at in wants:
         while spent and spent[0] <= at - window_ms:
             spent.popleft()
         if len(spent) < whole:
             spent.append(at)
-            had += 1
-    return had
+            admitted += 1
+    return admitted
 
 
-class Watched(Play):
-    """Notes who wanted when."""
+class RecordedPlay(Play):
+    """A play that records which director wanted when, and whether it spent."""
 
     def __init__(self, *given, **named):
         super().__init__(*given, **named)
@@ -41,7 +44,8 @@
         before, draws = len(self.had), self.draws
         super().want()
         if len(self.had) > before:
-            kept, self.draws = self.draws, draws + 1          # (the draw of who it was, again)
+            # Repeats the draw of the director.
+            kept, self.draws = self.draws, draws + 1
             favourite = int(self.now // 10_000) % self.kind.directors if self.kind.shifts else 0
             number = favourite if self.draw() < self.kind.skew else int(self.draw() * self.kind.directors)
             self.draws = kept
@@ -49,7 +53,7 @@
 
 
 def cut_half(play: Play) -> None:
-    """Half of the directors reach no planner for the last quarter of the play."""
+    """Cuts half of the directors off from all planners for the last quarter of the play."""
     def cut() -> None:
         for number in range(play.kind.directors // 2):
             for place in range(len(play.planners)):
@@ -58,23 +62,24 @@
 
 
 def measure(name: str, kind: Kind, seeds: int, trouble=None) -> None:
+    """Prints the mean of several seeds for one kind of load."""
     rows = []
     for seed in range(1, seeds + 1):
-        play = Watched(seed, kind, trouble=trouble)
+        play = RecordedPlay(seed, kind, trouble=trouble)
         begun = play.now
         found = play.run()
-        share = 0.75 if trouble else HALF
-        late = [row for row in play.by if row[0] - begun >= kind.seconds * 1000 * share]
-        best = oracle([at for at, _, _ in late], kind.whole, kind.window_ms)
-        static = sum(oracle([at for at, who, _ in late if who == number], max(0, kind.whole // kind.directors), kind.window_ms) for number in range(kind.directors))
-        own = sum(oracle([at for at, who, _ in late if who == number], kind.whole, kind.window_ms) for number in range(kind.directors))
-        rows.append((sum(had for *_, had in late) / best, static / best, own / best, found.most / found.whole))
+        share = 0.75 if trouble else WARM_UP_SHARE
+        measured = [row for row in play.by if row[0] - begun >= kind.seconds * 1000 * share]
+        best = admitted_by_one_window([at for at, _, _ in measured], kind.whole, kind.window_ms)
+        static = sum(admitted_by_one_window([at for at, who, _ in measured if who == number], max(0, kind.whole // kind.directors), kind.window_ms) for number in range(kind.directors))
+        own = sum(admitted_by_one_window([at for at, who, _ in measured if who == number], kind.whole, kind.window_ms) for number in range(kind.directors))
+        rows.append((sum(admitted for *_, admitted in measured) / best, static / best, own / best, found.most / found.whole))
     mean = [sum(row[column] for row in rows) / len(rows) for column in range(3)]
     print(f"{name:34} fleet budget {mean[0]:.2f}  equal shares {mean[1]:.2f}  own counts {mean[2]:.2f} of one that sees all; most in a window {max(row[3] for row in rows):.3f} of the whole")
 
 
-def freed(seeds: int) -> None:
-    """From a director's death to the use of its share by others."""
+def measure_reuse(seeds: int) -> None:
+    """Prints the time from a director's death until others use its share."""
     found = []
     for seed in range(1, seeds + 1):
         play = Play(seed, Kind(directors=12, whole=60, window_ms=2_000.0, seconds=140, spends=60, troubles=0, skew=0.8))
@@ -90,7 +95,8 @@
     print(f"a director's share is with others {sum(found) / len(found) / 1000:.1f} s after its death ({min(found) / 1000:.1f} to {max(found) / 1000:.1f}, {seeds} seeds)")
 
 
-def cost() -> None:
+def measure_cost() -> None:
+    """Prints the cost of a spend, and of a planner's answers to 230 directors."""
     holding, budgets, rounds = GrantHolder(STORE), RetryBudgets(), 200_000
     holding.configure({"b": 10_000.0})
     holding.build_rows(1, 0.0)
@@ -112,7 +118,8 @@
     spent, longest = 0.0, 0.0
     for step in range(1, 21):
         for number, holding in enumerate(fleet):
-            now = 250.0 * step + number          # (digests come spread over their pace)
+            # Digests arrive spread over their interval.
+            now = 250.0 * step + number
             holding.spend("b1", now)
             rows = holding.build_rows(step, now)
             began = time.perf_counter()
@@ -125,15 +132,15 @@
 
 if __name__ == "__main__":
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 3
-    usual = Kind(directors=12, whole=240, window_ms=10_000.0, seconds=200, spends=48, troubles=0)
+    base = Kind(directors=12, whole=240, window_ms=10_000.0, seconds=200, spends=48, troubles=0)
     for load, spends in (("wanted twice over", 48), ("0.8 of it wanted", 19.2)):
         print(f"240 in 10 s, 12 directors, {load}:")
-        kind = usual._replace(spends=spends)
+        kind = base._replace(spends=spends)
         measure("  even", kind, count)
         measure("  one has half", kind._replace(skew=0.5), count)
         measure("  one has half, another each 10 s", kind._replace(skew=0.5, shifts=True), count)
         measure("  half cut off for 50 s", kind, count, cut_half)
-    measure("3 in 2 s for 12 directors", usual._replace(whole=3, window_ms=2_000.0, spends=6), count)
-    measure("230 directors, 2,400 in 10 s", usual._replace(directors=230, whole=2_400, spends=480, seconds=180), 1)
-    freed(count)
-    cost()
+    measure("3 in 2 s for 12 directors", base._replace(whole=3, window_ms=2_000.0, spends=6), count)
+    measure("230 directors, 2,400 in 10 s", base._replace(directors=230, whole=2_400, spends=480, seconds=180), 1)
+    measure_reuse(count)
+    measure_cost()
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -1,4 +1,4 @@
-"""Fleet budgets with processes of the program and faults between them: spends taken from the edges' taps, counted within every window."""
+"""Budgets of the fleet with processes of the program and faults between them: spends are read from the edges' taps and counted within every window."""
 import logging
 import pathlib
 import shutil
@@ -15,56 +15,59 @@
 
 
 STORM_FROM_MS = 2_000
-SPENT, SECONDS = 6, 40     # spends before the planner stops; the storm ends when the order is through, or after so long
-STOP_MS, KILL_MS, AWAY_MS, LATER_MS = 4_000, 1_000, 1_000, 2_000
+# Spends before the planner is stopped; the storm ends after the last fault, or after this long.
+MIN_SPENDS, STORM_SECONDS = 6, 40
+STOP_MS, KILL_MS, DOWN_MS, END_DELAY_MS = 4_000, 1_000, 1_000, 2_000
 
 
-class Stopped(BudgetProcesses):
-    """In the middle of a storm, once two edges at least have spent, the planner that grants is stopped, an edge is cut off from both planners
-    with what it holds, and another is killed as it spends. All come back, the storm goes on, and then nobody comes any more."""
+class StoppedPlanner(BudgetProcesses):
+    """During a storm of retries, once at least two edges have spent, the granting planner is stopped, an edge is cut off from both planners with
+    what it holds, and another is killed while it spends. All of them return, the storm continues, and then no more viewers come."""
 
     def let_them_come(self) -> None:
         super().let_them_come()
-        self.look()
+        self.start_faults()
 
-    def look(self) -> None:
+    def start_faults(self) -> None:
+        """Waits for enough spends, then schedules the faults."""
         spent = Counter(source for source in self.sources for _ in range(self.spends(source)))
-        if len(spent) < 2 or spent.total() < SPENT:
-            self.loop.call_later(100, self.look)
+        if len(spent) < 2 or spent.total() < MIN_SPENDS:
+            self.loop.call_later(100, self.start_faults)
             return
         self.planners[0].send_signal(signal.SIGSTOP)
         for number in range(PLANNERS):
             self.lines.by_ends["d0", f"p{number}"].fault("cut")
-            self.loop.call_later(STOP_MS + AWAY_MS, lambda number=number: self.lines.by_ends["d0", f"p{number}"].fault("heal"))
+            self.loop.call_later(STOP_MS + DOWN_MS, lambda number=number: self.lines.by_ends["d0", f"p{number}"].fault("heal"))
         self.loop.call_later(STOP_MS, lambda: self.planners[0].send_signal(signal.SIGCONT))
         self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
-        self.loop.call_later(KILL_MS + AWAY_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
-        self.loop.call_later(STOP_MS + LATER_MS, lambda: self.viewers.tell(do="enough"))
+        self.loop.call_later(KILL_MS + DOWN_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
+        self.loop.call_later(STOP_MS + END_DELAY_MS, lambda: self.viewers.tell(do="enough"))
 
     def spends(self, source: str) -> int:
+        """Returns how many spends are in a process's tap."""
         path = pathlib.Path(self.file(f"{source}.jsonl"))
         return path.read_text().count('"budget drawn"') if path.exists() else 0
 
 
-class Processes(unittest.TestCase):
-    def test_a_storm_planners_that_stop_and_lines_that_fail(self):
+class BudgetProcessesTest(unittest.TestCase):
+    def test_no_window_exceeds_the_total_with_stopped_planners_and_faulty_links(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-budgets-")
         self.addCleanup(shutil.rmtree, folder, True)
-        the_plant = plant(2, directors=3, nodes=6, rate=10, seconds=SECONDS, wares=tuple(ware._replace(length_ms=(2_000, 4_000)) for ware in WARES))
-        storm = fault([node.node for node in the_plant.nodes], "errors", STORM_FROM_MS, SECONDS * 1000, STORM_PART)
-        stage = Stopped(the_plant, storm, 0, folder)
+        the_plant = plant(2, directors=3, nodes=6, rate=10, seconds=STORM_SECONDS, wares=tuple(ware._replace(length_ms=(2_000, 4_000)) for ware in WARES))
+        storm = fault([node.node for node in the_plant.nodes], "errors", STORM_FROM_MS, STORM_SECONDS * 1000, STORM_PART)
+        stage = StoppedPlanner(the_plant, storm, 0, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
         self.assertEqual((judged.without, judged.twice, judged.breaks, stage.verdict), (0, 0, [], []))
-        said, over = stage.judged(records)
-        self.assertFalse(over, said)
+        report, exceeded = stage.judged(records)
+        self.assertFalse(exceeded, report)
         drawn = [facts for _, what, facts in records if what == "budget drawn"]
-        self.assertGreaterEqual(len(drawn), SPENT, said)
+        self.assertGreaterEqual(len(drawn), MIN_SPENDS, report)
         self.assertGreater(len({facts["source"] for facts in drawn}), 1)
-        struck = [(facts["line"], facts["fault"]) for _, what, facts in records if what == "line fault"]
-        self.assertLessEqual({(f"d0>p{number}", "cut") for number in range(PLANNERS)}, set(struck))
+        injected = [(facts["line"], facts["fault"]) for _, what, facts in records if what == "line fault"]
+        self.assertLessEqual({(f"d0>p{number}", "cut") for number in range(PLANNERS)}, set(injected))
         row, = stage.shown["budgets"]
         self.assertEqual((row["whole"], row["charged"] <= WHOLE, len(row["held"]) >= 3), (WHOLE, True, True), row)
         self.assertEqual(stage.shown["issuer"], stage.issuer)
