--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -1,10 +1,10 @@
-"""A wanted version over a fleet at full size, in memory: how long until 99% and until all that can be reached are on it, bytes at the planner, its longest turn.
+"""Measures a rollout over a fleet of full size in memory: time until 99% and until all reachable directors are on it, bytes at the planner, its longest loop turn.
 
     PYTHONPATH=. .venv/bin/python benchmarks/rollout_at_size.py [directors] [nodes] [seed] [--plot FILE]
 
-The planner, its store, the lines' frames and the directors' side of them run as they are; directors themselves are left out but for the list, which changes each
-second, and plays counted. One of ten directors is cut off for 40 s as it begins; all come back within a second. Times of the planner are real ones, of what it did
-in one turn; the rest is on the virtual clock.
+The planner, its store, the frames and the directors' clients are the real ones; of the directors themselves there are only the fleet list, which changes each second, and
+counted plays. One director in ten is cut off for 40 s at the start; all of them return within a second. The planner's times are real time, of what it did in one loop turn;
+all other times are on the virtual clock.
 """
 import gc
 import json
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from laddergw.director.limits_file import InProcessCheck, LimitsFile
-from laddergw.fleet.action_counts import ENDED, ADMITTED, PLAYING, SET_UP
+from laddergw.fleet.action_counts import ADMITTED, ENDED, PLAYING, SET_UP
 from laddergw.interface import READY
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import draw, plant
@@ -31,14 +31,16 @@
 from laddergw.terms.limits import Limits
 from laddergw.terms.loading import load, default_terms
 
-PLAYS_A_SECOND = 2         # of each director: 24 a second for each 12
-CUT_PART, CUT_MS, SOAK_MS = 0.1, 40_000.0, 5_000.0
-PADDING = 60_000           # bytes of comment: a file of some hundred routes
+# Of each director: 24 a second for each 12.
+PLAYS_PER_SECOND = 2
+CUT_SHARE, CUT_MS, SOAK_MS = 0.1, 40_000.0, 5_000.0
+# A comment that makes the file as large as one with some hundred routes.
+PADDING_BYTES = 60_000
 PRODUCTS = ("hearing", "survey-clip", "permit-notice", "oral-history", "reading-room")
 
 
-class Light:
-    """What the planner's line needs of a director."""
+class DirectorStub:
+    """The parts of a director that its connection to the planner needs."""
 
     def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
         self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
@@ -50,16 +52,20 @@
         self.feed = lambda *given: None
 
     def change_limits(self, limits) -> None:
+        """Puts limits in force."""
         self.limits = limits
         self.watch("limits changed", generation=2)
 
     def limits_refused(self, texts) -> None:
+        """Reports limits that were refused."""
         self.watch("limits refused", first=texts[0])
 
 
 class Fleet:
+    """A planner, its links and its directors. `bytes_read`: at both ends of the links; `turns`: ms of each loop turn of the planner."""
+
     def __init__(self, directors: int, nodes: int, seed: int, folder: str):
-        self.world, self.seed, self.size = MemoryNetwork(seed), seed, 0
+        self.world, self.seed, self.bytes_read = MemoryNetwork(seed), seed, 0
         self.turns: list[float] = []
         world = self.world
         host = world.host("p0")
@@ -68,18 +74,18 @@
         house = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
         self.lines, self.directors, self.sides = Lines(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
-            light = Light(world, house, number, nodes)
+            director = DirectorStub(world, house, number, nodes)
             line = self.lines.line(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
-            side = PlannerClient(light, (line.address,), (("lab", b"key of the planners"),))
+            side = PlannerClient(director, (line.address,), (("lab", b"key of the planners"),))
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
                 stream.write(b"(limits)")
-            side.audit.accept_files(LimitsFile(light.loop, path, InProcessCheck(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
-            self.directors.append(light)
+            side.audit.accept_files(LimitsFile(director.loop, path, InProcessCheck(director.house), director.change_limits, director.limits_refused, b"(limits)").bring)
+            self.directors.append(director)
             self.sides.append(side)
 
     def time_turns(self, host) -> None:
-        """Real time of each turn of the planner."""
+        """Measures the real time of each loop turn of the planner."""
         turn = host.turn
 
         def timed(*given):
@@ -88,73 +94,77 @@
             self.turns.append((time.perf_counter() - began) * 1000)
         host.turn = timed
 
-    def second(self, number: int) -> None:
-        """Plays, and a list that changes."""
+    def play_second(self, number: int) -> None:
+        """Counts a second of plays, and changes the fleet list."""
         for index, side in enumerate(self.sides):
-            stamps, now = side.audit.action_counts, self.world.now
-            for n in range(PLAYS_A_SECOND):
+            actions, now = side.audit.action_counts, self.world.now
+            for n in range(PLAYS_PER_SECOND):
                 for action in ADMITTED, SET_UP, PLAYING, ENDED:
-                    stamps.record(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.current_id, action, now)
+                    actions.record(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], actions.current_id, action, now)
             side.audit.active_versions[versions.LIST] = versions.version(versions.LIST, [str(number)])
             side.audit.update_version_set()
 
     def on_it(self, name: str) -> int:
+        """Returns how many directors are on a version."""
         return sum(side.audit.active_versions[versions.LIMITS].hash == name for side in self.sides)
 
 
-def counted(fleet: Fleet):
-    """Each byte is read once, at one of the two ends."""
+def counting_bytes(fleet: Fleet):
+    """Counts the bytes that are read; each is read once, at one of the two ends."""
     feed = wire.Unpacker.feed
 
-    def fed(unpacker, data):
-        fleet.size += len(data)
+    def counting_feed(unpacker, data):
+        fleet.bytes_read += len(data)
         return feed(unpacker, data)
-    return mock.patch.object(wire.Unpacker, "feed", fed)
+    return mock.patch.object(wire.Unpacker, "feed", counting_feed)
 
 
 def play(directors: int, nodes: int, seed: int, folder: str) -> tuple[Fleet, list[tuple[float, int]]]:
+    """Runs one rollout; returns the fleet and how many directors were on the version at each time."""
     fleet = Fleet(directors, nodes, seed, folder)
-    with counted(fleet):
-        return fleet, wanted(fleet, directors, nodes, seed)
+    with counting_bytes(fleet):
+        return fleet, roll_out(fleet, directors, nodes, seed)
 
 
-def wanted(fleet: Fleet, directors: int, nodes: int, seed: int) -> list[tuple[float, int]]:
+def roll_out(fleet: Fleet, directors: int, nodes: int, seed: int) -> list[tuple[float, int]]:
+    """Rolls out a version, prints the measurements and returns how many directors were on it at each time (ms)."""
     world = fleet.world
     world.run(world.now + 3_000)
-    data = b"(limits (defaults (attempts 2)))\n; " + b"x" * PADDING
+    data = b"(limits (defaults (attempts 2)))\n; " + b"x" * PADDING_BYTES
     name = versions.version(versions.LIMITS, limits_text(load(data, "wanted", fleet.directors[0].house).limits)).hash
     fleet.planner.loop.now = world.now
-    said = json.loads(fleet.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
-    assert "refused" not in said, said
-    cut = [n for n in range(directors) if draw(seed, "cut", n) < CUT_PART]
-    lines = [fleet.lines.by_ends[f"d{n}", "p0"] for n in cut]
-    for line in lines:
-        line.fault("hole")
+    answer = json.loads(fleet.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
+    assert "refused" not in answer, answer
+    cut = [n for n in range(directors) if draw(seed, "cut", n) < CUT_SHARE]
+    cut_links = [fleet.lines.by_ends[f"d{n}", "p0"] for n in cut]
+    for link in cut_links:
+        link.fault("hole")
     began, curve = world.now, []
     fleet.turns.clear()
-    fleet.size = 0
+    fleet.bytes_read = 0
     for step in range(4 * 90):
         if step % 4 == 0:
-            fleet.second(step // 4)
+            fleet.play_second(step // 4)
         world.run(world.now + 250.0)
         curve.append((world.now - began, fleet.on_it(name)))
-        if world.now - began >= CUT_MS and lines:
-            for line in lines:
-                line.loop.now = world.now
-                line.fault("heal")
-            lines = []
+        if world.now - began >= CUT_MS and cut_links:
+            for link in cut_links:
+                link.loop.now = world.now
+                link.fault("heal")
+            cut_links = []
         if curve[-1][1] == directors:
             break
     print(f"{directors} directors, {nodes} nodes, seed {seed}, {len(cut)} cut off for {CUT_MS / 1000:.0f} s, steps of {SOAK_MS / 1000:.0f} s:")
-    when = lambda least: next((f"{at / 1000:.1f} s" for at, on in curve if on >= least), "not within 90 s")
+    when = lambda minimum: next((f"{at / 1000:.1f} s" for at, on in curve if on >= minimum), "not within 90 s")
     print(f"  on it: 2 after {when(2)}, half after {when(directors / 2)}, 99% of those in reach after {when(0.99 * (directors - len(cut)))}, all after {when(directors)}")
     turns = sorted(fleet.turns)
-    print(f"  planner: {fleet.size / (world.now - began) * 1000 / 1000:.0f} kB/s read at both ends, busy {sum(turns) / (world.now - began) * 100:.1f}% of the time, "
+    print(f"  planner: {fleet.bytes_read / (world.now - began) * 1000 / 1000:.0f} kB/s read at both ends, busy {sum(turns) / (world.now - began) * 100:.1f}% of the time, "
           f"turns p50 {turns[len(turns) // 2]:.2f}, p99 {turns[len(turns) * 99 // 100]:.1f}, longest {turns[-1]:.1f} ms of {len(turns)}")
     return curve
 
 
 def plot(path: str, curves: dict[str, list[tuple[float, int]]]) -> None:
+    """Draws the curves into an image file."""
     import matplotlib
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -170,14 +180,15 @@
 if __name__ == "__main__":
     words = [word for word in sys.argv[1:] if not word.startswith("--")]
     picture = sys.argv[sys.argv.index("--plot") + 1] if "--plot" in sys.argv else None
-    count, size, first = (int(word) for word in ([w for w in words if w != picture] + ["230", "400", "1"])[:3])
+    count, node_count, seed = (int(word) for word in ([w for w in words if w != picture] + ["230", "400", "1"])[:3])
     curves = {}
-    for calm in (False, True):
-        if calm:
-            gc.disable()                         # as planner/program.py does
-        print("collector of cycles " + ("as the planner sets it" if calm else "as Python has it"))
-        with tempfile.TemporaryDirectory() as place:
-            fleet, curves[f"{count} directors, a tenth cut off"] = play(count, size, first, place)
+    for without_gc in (False, True):
+        if without_gc:
+            # As planner/program.py does.
+            gc.disable()
+        print("collector of cycles " + ("as the planner sets it" if without_gc else "as Python has it"))
+        with tempfile.TemporaryDirectory() as folder:
+            fleet, curves[f"{count} directors, a tenth cut off"] = play(count, node_count, seed, folder)
             del fleet
             gc.collect()
     if picture:
