--- a/tests/broken_budgets.py
+++ b/tests/broken_budgets.py
@@ -126,16 +126,16 @@
 
 
 BROKEN = {
-    "the lease counts from the answer": holding(mark_answered, right=right_from_answer_time), "the floor's lease is longer than told": holding(floor_lease_too_long),
+    "the lease counts from the answer": holding(mark_answered, right=right_from_answer_time), "the floor's lease is too long": holding(floor_lease_too_long),
     "a grant never ends": holding(right=lambda held, now: held.amount), "a floor never ends": holding(right=lambda held, now: held.amount if now < held.until else held.floor),
-    "older grants are obeyed, too": holding(obey_older_grant), "a smaller grant is not obeyed": holding(keep_larger_amount), "a grant makes its past forgotten": holding(forget_spent),
-    "it tells that it spent nothing": reports(used=lambda held, now: 0), "it tells what has ended as if it held": reports(amount=lambda held, now: held.amount),
-    "it tells a grant as obeyed that is not": reports(number=lambda held, now: held.rank[1] + 2), "it spends one more": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
+    "older grants are obeyed": holding(obey_older_grant), "a smaller grant is not obeyed": holding(keep_larger_amount), "a grant resets what was spent": holding(forget_spent),
+    "it reports that it spent nothing": reports(used=lambda held, now: 0), "it reports expired grants as held": reports(amount=lambda held, now: held.amount),
+    "it reports another grant than it obeys": reports(number=lambda held, now: held.rank[1] + 2), "it spends one too many": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
     "no waiting after a takeover": issuer(is_settled=lambda self, lease, now: True),
-    "waiting out leases without windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
-    "only the latest grant is charged": issuer(handle_request=charge_latest_only), "a share moves and its past is forgotten": issuer(handle_request=ignore_used),
-    "more than is left": issuer(grant=grant_beyond_total),
-    "granted, and not charged": issuer(grant=grant_without_charge), "the whole to each": issuer(grant=grant_whole_to_each), "the floor lent twice": issuer(grant=grant_floor_twice),
-    "unknown floors are not counted": issuer(unknown_floors=lambda self, now: 0), "a charge ends with the lease": charging(amount=amount_until_lease_end), "an ended charge counts again": charging(amount=amount_with_expired_grants),
+    "it waits out leases but not windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
+    "only the latest grant is charged": issuer(handle_request=charge_latest_only), "a share moves before its spends left the window": issuer(handle_request=ignore_used),
+    "it grants more than is left": issuer(grant=grant_beyond_total),
+    "it grants without charging": issuer(grant=grant_without_charge), "it grants the whole to each": issuer(grant=grant_whole_to_each), "it grants the floor twice": issuer(grant=grant_floor_twice),
+    "unknown floors are not counted": issuer(unknown_floors=lambda self, now: 0), "a charge ends with the lease": charging(amount=amount_until_lease_end), "an expired charge counts again": charging(amount=amount_with_expired_grants),
     "floors are charged no longer than leases": charging(floor=lambda self, now, window: 0),
 }
--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -25,7 +25,7 @@
         self.cluster = Cluster(directors=self.directors, bounds=self.bounds)
         self.planners = 0
         self.start_planner()
-        self.links, self.sides, self.files = {}, {}, {}
+        self.links, self.clients, self.files = {}, {}, {}
         for number in self.cluster.directors:
             link = Line(self.cluster.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.cluster.record)
             self.links[number] = link
@@ -36,13 +36,13 @@
         """Makes a director report to the planner, and accept files from it."""
         director = self.cluster.directors[number]
         director.house = director.house._replace(deployment=director.house.deployment._replace(zone=self.zones.get(number, 0)))
-        self.sides[number] = side = PlannerClient(director, (self.links[number].address,))
+        self.clients[number] = client = PlannerClient(director, (self.links[number].address,))
         path = os.path.join(self.folder, f"limits.{number}")
         if not os.path.exists(path):
             with open(path, "w") as stream:
                 stream.write("(limits)")
         self.files[number] = LimitsFile(director.loop, path, InProcessCheck(director.house), director.change_limits, director.limits_refused, b"(limits)")
-        side.audit.accept_files(self.files[number].bring)
+        client.audit.accept_files(self.files[number].bring)
 
     def inject_fault(self, number, what, value=None):
         """Applies a fault to the link between a director and the planner."""
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -13,16 +13,16 @@
 KINDS = (Kind(troubles=0.1, seconds=200), Kind(directors=4, whole=12, troubles=0.2, seconds=150),
          Kind(troubles=0.1, seconds=200, whole=10, directors=12, spends=60, skew=0.4, shifts=True), Kind(troubles=0.05, seconds=300, window_ms=1_000.0, loss=0.1))
 STAGED = Kind(directors=8, whole=32, window_ms=2_000.0, seconds=160, spends=160, troubles=0)
-FOUND_BY = {"two issuers": split, "a floor never ends": long_cut, "the floor's lease is longer than told": long_cut}
+FOUND_BY = {"two issuers": split, "a floor never ends": long_cut, "the floor's lease is too long": long_cut}
 # The index into KINDS, and the first seed that shows the mistake.
 FOUND_WITH = {
-    "a grant makes its past forgotten": (1, 1), "a smaller grant is not obeyed": (2, 2), "it tells that it spent nothing": (2, 2),
-    "a grant never ends": (3, 7), "older grants are obeyed, too": (2, 6), "no waiting after a takeover": (1, 1), "it spends one more": (2, 2),
-    "waiting out leases without windows": (3, 3), "only the latest grant is charged": (0, 60), "a share moves and its past is forgotten": (2, 2),
-    "more than is left": (2, 2), "granted, and not charged": (2, 2), "the whole to each": (1, 1), "the floor lent twice": (2, 2),
-    "unknown floors are not counted": (3, 15), "a charge ends with the lease": (2, 2), "it tells a grant as obeyed that is not": (3, 91),
+    "a grant resets what was spent": (1, 1), "a smaller grant is not obeyed": (2, 2), "it reports that it spent nothing": (2, 2),
+    "a grant never ends": (3, 7), "older grants are obeyed": (2, 6), "no waiting after a takeover": (1, 1), "it spends one too many": (2, 2),
+    "it waits out leases but not windows": (3, 3), "only the latest grant is charged": (0, 60), "a share moves before its spends left the window": (2, 2),
+    "it grants more than is left": (2, 2), "it grants without charging": (2, 2), "it grants the whole to each": (1, 1), "it grants the floor twice": (2, 2),
+    "unknown floors are not counted": (3, 15), "a charge ends with the lease": (2, 2), "it reports another grant than it obeys": (3, 91),
     "floors are charged no longer than leases": (3, 3), "the lease counts from the answer": (3, 115),
-    "an ended charge counts again": (3, 75)}
+    "an expired charge counts again": (3, 75)}
 
 
 class FairShares(unittest.TestCase):
--- a/tests/test_budgets_cluster.py
+++ b/tests/test_budgets_cluster.py
@@ -119,10 +119,10 @@
             self.storm(500)
 
     def test_another_store_grants_nothing(self):
-        for side in self.sides.values():
-            side.grant_holder.issuer = store_identity(Store(self.path + ".other"))
+        for client in self.clients.values():
+            client.grant_holder.issuer = store_identity(Store(self.path + ".other"))
         self.storm(LEASE_MS + 1_000)
-        self.assertEqual([side.grant_holder.held[NAME].right(self.cluster.world.now + 60_000) for side in self.sides.values()], [0, 0, 0])
+        self.assertEqual([client.grant_holder.held[NAME].right(self.cluster.world.now + 60_000) for client in self.clients.values()], [0, 0, 0])
 
     def test_invalid_scopes_are_rejected(self):
         house = self.cluster.directors[0].house
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -75,7 +75,7 @@
         loaded = load(b"(limits (defaults (attempts 2)))", "own", director.house)
         host.deliver_at(self.cluster.world.now, lambda: director.change_limits(loaded.limits))
         self.cluster.run(1_500)
-        return self.sides[1].audit.active_versions[versions.LIMITS].hash[:8]
+        return self.clients[1].audit.active_versions[versions.LIMITS].hash[:8]
 
     def test_a_forbidden_version_is_declined_until_it_is_allowed(self):
         self.assertEqual([self.request_play(number)[0] for number in (0, 1)], ["playing", "playing"])
@@ -122,9 +122,9 @@
 
     def test_a_silent_director_that_stays_open_until_declared_gone(self):
         """A silent process that stays open may act on a forbidden version until an operator declares it gone; if it is heard again, that is taken back."""
-        for side in self.sides.values():
-            side.audit.right.without_right = OPEN
-            side.director.house = side.director.house._replace(without_planner=OPEN)
+        for client in self.clients.values():
+            client.audit.right.without_right = OPEN
+            client.director.house = client.director.house._replace(without_planner=OPEN)
         name, old = f"limits {self.own_version()}", self.cluster.directors[1].name
         self.ask_planner("forbid", name)
         self.inject_fault(1, "hole")
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -33,7 +33,7 @@
 
     def on_it(self):
         """Returns the directors on the wanted version."""
-        return {number for number, side in self.sides.items() if side.audit.active_versions[versions.LIMITS].hash == self.name}
+        return {number for number, client in self.clients.items() if client.audit.active_versions[versions.LIMITS].hash == self.name}
 
     def until_done(self, ms=30_000):
         """Runs until the rollout is over and no director is behind; returns the planner's answer."""
@@ -86,14 +86,14 @@
         self.assertEqual([name for name in os.listdir(self.folder) if name.endswith(".new")], [])
 
     def test_a_refused_version_halts_and_changes_no_director(self):
-        before = {number: side.audit.active_versions[versions.LIMITS].hash for number, side in self.sides.items()}
+        before = {number: client.audit.active_versions[versions.LIMITS].hash for number, client in self.clients.items()}
         self.want(BAD, name="f" * 16)
         self.cluster.run(8_000)
         found = self.stragglers()
         self.assertEqual((found["state"], found["on_it"]), ("halted", 0))
         self.assertIn("attempts", found["why"])
         self.assertLessEqual(sum(row["cause"] == wanted.REFUSED for row in found["behind"]), 2)
-        self.assertEqual({number: side.audit.active_versions[versions.LIMITS].hash for number, side in self.sides.items()}, before)
+        self.assertEqual({number: client.audit.active_versions[versions.LIMITS].hash for number, client in self.clients.items()}, before)
         self.assertNotIn("refused", self.want(GOOD, name="e" * 16))                  # a hash that is not that of its content
         self.cluster.run(3_000)
         self.assertIn("is wanted", self.stragglers()["why"])
@@ -156,7 +156,7 @@
             def apply_file(data, verify, done):
                 crashed.append(number)
                 self.cluster.loop_at = self.cluster.world.schedule(self.cluster.world.now + 1, lambda: (self.restart(number), crash_on_file(number)))
-            self.sides[number].audit.apply_file = apply_file
+            self.clients[number].audit.apply_file = apply_file
         first = int(wanted.rollout_order(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash, "", 1),
                                          self.planner.auditor.fleet_log.progress("limits", 1, self.cluster.world.now))[0].director[1:])
         crash_on_file(first)
@@ -182,7 +182,7 @@
 
     def test_after_the_deadline_other_versions_are_forbidden_but_never_a_whole_zone(self):
         for number in 2, 3:
-            self.sides[number].audit.file_receiver.kinds = ()                        # an older program
+            self.clients[number].audit.file_receiver.kinds = ()                        # an older program
         self.want(GOOD, by_ms=9_000.0)
         self.cluster.run(8_000)
         self.assertEqual({row["process"][:2]: row["cause"] for row in self.stragglers()["behind"]}, {"d2": wanted.UNSUPPORTED, "d3": wanted.UNSUPPORTED})
@@ -195,12 +195,12 @@
 
     def test_the_last_directors_of_a_zone_stay_open(self):
         for number in 3, 4:
-            self.sides[number].audit.file_receiver.kinds = ()
+            self.clients[number].audit.file_receiver.kinds = ()
         self.want(GOOD, by_ms=6_000.0)
         self.cluster.run(12_000)
         self.assertEqual(self.ask_planner("floors")["floors"], [])
         self.assertEqual([self.request_play(number)[0] for number in (0, 4)], ["playing", "playing"])
-        old = self.sides[4].audit.active_versions[versions.LIMITS].hash
+        old = self.clients[4].audit.active_versions[versions.LIMITS].hash
         self.assertIn("zone 1", self.ask_planner("forbid", f"limits {old[:8]}")["refused"])
 
 
