--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -149,7 +149,7 @@
         self.assertEqual(acknowledged, sorted(acknowledged))
         on_disk = FleetLog()
         for record in auditor.ledger.records():
-            for one in auditing.read(record):
+            for one in auditing.decode_record(record):
                 on_disk.restore(one)
         self.assertLessEqual(acknowledged[-1], max(on_disk.processes["d0-1"].turns))
         self.assertLessEqual(actions.turns[0].number, acknowledged[-1] + 1)       # the director still has what is not on the disk
