--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -130,7 +130,7 @@
         yield
         if self.ledger.needs_compaction():
             self.try_write(lambda: self.ledger.compact(compact_records))
-            self.fleet_log.forget_stands()
+            self.fleet_log.drop_unused_version_sets()
         for peer in list(peers):
             if peer.remote is not None and peer.remote.role == wire.EDGE and (turn := self.fleet_log.acknowledged(peer.remote.name)):
                 peer.send(wire.Kept(turn))
