--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -7,6 +7,7 @@
 
 
 def asked(at_ms, session, **more):
+    """A viewer's request, sent on connection 0 of director n0; `more` replaces fields."""
     return (
         at_ms,
         "asked",
@@ -23,22 +24,27 @@
 
 
 def arrived(at_ms, session, node="a", product="guide", lag=0.0):
+    """A set-up that reaches a media node."""
     return at_ms, "arrived", {"session": session, "node": node, "product": product, "lag": lag}
 
 
 def attempt_ended(at_ms, session, node="a", never_ran=False):
+    """The end of an attempt at a media node."""
     return at_ms, "over", {"session": session, "node": node, "never_ran": never_ran, "lag": 0.0}
 
 
 def answered(at_ms, session, lag=0.0, answer="failed"):
+    """An answer that reaches a viewer."""
     return at_ms, "answered", {"session": session, "answer": answer, "lag": lag}
 
 
 def draining(at_ms, node="a"):
+    """The change log announces that a node drains."""
     return at_ms, "told", {"node": node, "state": "DRAINING", "lag": 0.0}
 
 
 def record(at_ms, event, **fields):
+    """Any record."""
     return at_ms, event, fields
 
 
@@ -66,6 +72,7 @@
     """Base class of tests that give records to the judge."""
 
     def assert_violation(self, *more, text):
+        """Checks that the compliant records and `more` have one violation, whose text holds `text`."""
         found = judge([*COMPLIANT_RECORDS, *more], TERMS)
         self.assertEqual(len(found), 1, found)
         self.assertIn(text, found[0].what)
