--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -72,7 +72,7 @@
     """Base class of tests that give records to the judge."""
 
     def assert_violation(self, *more, text):
-        """Checks that the compliant records and `more` have one violation, whose text holds `text`."""
+        """Checks that `more`, with the compliant records, has one violation, which holds `text`."""
         found = judge([*COMPLIANT_RECORDS, *more], TERMS)
         self.assertEqual(len(found), 1, found)
         self.assertIn(text, found[0].what)
