--- a/laddergw/edge/composer.py
+++ b/laddergw/edge/composer.py
@@ -13,8 +13,8 @@
 from laddergw.hls.stitching import MARK, NO_KEY, Item, Outline, Standing, enciphered, whole_ranges
 from laddergw.hls.values import Media, Segment, time_ms, time_text
 from laddergw.hls.writing import segment_text, write
-from laddergw.programme.schedule import PlacedItem, starts
-from laddergw.programme.sources import SURE_MS, ChosenSource
+from laddergw.programme.schedule import PlacedItem, segment_starts
+from laddergw.programme.sources import FETCH_LEAD_MS, ChosenSource
 
 AHEAD_MS = 12_000.0        # shown beyond what plays: two segments of six seconds, enough for a player to start and hold
 RESUME_MS = 1.0            # a viewer's sum of durations strays so far from ours
@@ -69,7 +69,7 @@
             raise ValueError("the rungs' segments differ in number or length")
         if not rungs[0].segments:
             raise ValueError("it has no segment")
-        self.starts = starts(rungs[0])
+        self.starts = segment_starts(rungs[0])
         self.target = max(media.target_ms for media in rungs)
         self.version = max((media.version for media in rungs if media.version is not None), default=None)
         self.independent = all(media.independent for media in rungs)
@@ -111,7 +111,7 @@
         before = len(self.origins)
         while not self.ended and self.shown_ms < played_ms + AHEAD_MS:
             if self.placed and self.placed[0].before_segment <= self.next:
-                if not self.item(self.placed[0], max(SURE_MS, self.shown_ms - played_ms), choose, serve):
+                if not self.item(self.placed[0], max(FETCH_LEAD_MS, self.shown_ms - played_ms), choose, serve):
                     break
             elif self.next < len(self.rungs[0].segments):
                 self.programme(era)
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -25,8 +25,8 @@
 from laddergw.programme.index import RuleIndex
 from laddergw.programme.load import ItemLoad
 from laddergw.programme.rules import Piece, Programme
-from laddergw.programme.schedule import PlacedItem, resumed, schedule
-from laddergw.programme.sources import ChosenSource, SourceNode, choose, fetch_from, is_cold, decide_unfetched, readers, share
+from laddergw.programme.schedule import PlacedItem, remaining_after_resume, schedule
+from laddergw.programme.sources import ChosenSource, SourceNode, choose, item_segment_node, is_cold, decide_unfetched, playlist_sources, link_share
 
 LOOK_MS = 500.0            # pace of looking over players: a leaving is seen within this
 ADDRESS_MS = 6 * 3_600_000.0   # a session's addresses hold so long: a long evening
@@ -96,7 +96,7 @@
                 self.ready(session, answer, [rungs[k] for k in range(count)])
         states = {node: (entry.state == face.READY and node in self.fleet.links, entry.cell) for node, entry in self.fleet.entries.items()} if terms.read_copies else {}
         frame, cells = session.frame, self.house.deployment.cells
-        nodes = readers(answer["node"], states, int(frame.get("home", 0)), int(frame.get("copies", 0)), cells, terms.read_copies)
+        nodes = playlist_sources(answer["node"], states, int(frame.get("home", 0)), int(frame.get("copies", 0)), cells, terms.read_copies)
         sources = [tuple(answer["address"])] + [self.fleet.links[node].address for node in nodes[1:]]
         for rung in range(count):
             self.fetcher.ask(f"/v1/titles/{title}/{rung}.m3u8", sources, lambda media, rung=rung: got(rung, media), Copies(terms.read_copies, terms.copy_after_ms))
@@ -115,7 +115,7 @@
             return self.fail(session, str(error))
         from_ms, cut = session.frame["resume"]
         first = title.place(from_ms) if from_ms else 0
-        placed = resumed(placed, first, cut)
+        placed = remaining_after_resume(placed, first, cut)
         missing = {one.item for one in placed if one.before_segment <= first and not self.here(self.programme, one.item)}
 
         def got(item: str) -> None:
@@ -152,7 +152,7 @@
         self.end(session, "failed")
 
     def title(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
-        """What sessions of a title share; made anew when its playlists were."""
+        """What sessions of a title link_share; made anew when its playlists were."""
         known = self.titles.get(number)
         if known is None or any(ours is not theirs for ours, theirs in zip(known.rungs, rungs)):
             while len(self.titles) >= TITLES_MOST:
@@ -246,7 +246,7 @@
     def item_from(self, session: Session, origin: Origin) -> str:
         """What goes before the address of an item's segment now."""
         piece = session.programme.pieces[origin.item]
-        node = fetch_from(piece, self.holders(piece.nodes), origin.node, self.loop.now)
+        node = item_segment_node(piece, self.source_nodes(piece.nodes), origin.node, self.loop.now)
         if self.tap is not None:
             self.tap("item sent", self.loop.now, {"node": node, "own": session.era is not None and session.era.node == node})
         return origin.base if node not in self.fleet.links else item_base(self.fleet.links[node].address)
@@ -286,7 +286,7 @@
         piece = session.programme.pieces[placed.item]
         nodes = piece.nodes + (session.programme.pieces[piece.shorter].nodes if piece.shorter else ())
         span = now + lead_ms, now + lead_ms + piece.length_ms
-        chosen = choose(placed.rule, placed.item, session.programme, self.holders(nodes, span), session.era.node, now, now + lead_ms)
+        chosen = choose(placed.rule, placed.item, session.programme, self.source_nodes(nodes, span), session.era.node, now, now + lead_ms)
         if chosen.item is not None and chosen.node is not None and not self.here(session.programme, chosen.item):
             self.prefetch(session.programme, chosen.item)
             return decide_unfetched(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
@@ -299,14 +299,14 @@
             return None
         piece, since = session.programme.pieces[chosen.item], self.loop.now + session.buffered_ms()
         if chosen.node != session.era.node:
-            self.item_load.take(chosen.node, self.item_rate(piece), since, since + piece.length_ms)
+            self.item_load.add(chosen.node, self.item_rate(piece), since, since + piece.length_ms)
         return AvailableItem(Item(chosen.item, media), item_base(link.address), chosen.node)
 
     def here(self, programme: Programme, item: str) -> bool:
         return self.fetcher.cache.get(item_path(programme, item), self.loop.now) is not None
 
     def prefetch(self, programme: Programme, item: str, then: Callable[[str], None] = lambda item: None) -> None:
-        holders = [node for node, holder in sorted(self.holders(programme.pieces[item].nodes).items()) if holder.ready]
+        holders = [node for node, holder in sorted(self.source_nodes(programme.pieces[item].nodes).items()) if holder.ready]
         links = [self.fleet.links[node].address for node in holders]
 
         def got(media: Media | None) -> None:
@@ -320,7 +320,7 @@
         self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.watch("rules changed", rules=len(programme.rules), items=len(programme.pieces))
 
-    def holders(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
+    def source_nodes(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
         """What is known of some nodes as sources of items: readiness, warmth, what our plays take of their links, and our items then."""
         found, now, deployment = {}, self.loop.now, self.house.deployment
         for node in nodes:
@@ -332,7 +332,7 @@
             found[node] = SourceNode(
                 node, entry.state == face.READY and link is not None and link.session.up,
                 is_cold(self.fleet.started[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
-                share(plays * deployment.directors, width), share(self.item_load.rate(node, *span), width))
+                link_share(plays * deployment.directors, width), link_share(self.item_load.rate(node, *span), width))
         return found
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
@@ -368,7 +368,7 @@
                 self.end(session, session.playing.state)
         for name in [name for name, session in self.ending.items() if session.stand.settled]:
             del self.ending[name]
-        self.item_load.forget(self.fleet.links, self.loop.now)
+        self.item_load.drop_expired(self.fleet.links, self.loop.now)
         if self.loop.running:
             self.loop.call_later(LOOK_MS, self.look)
 
--- a/laddergw/programme/rules.py
+++ b/laddergw/programme/rules.py
@@ -1,4 +1,4 @@
-"""Decides which programme files are sound, and reads them: items, and rules for where they stand.
+"""Reads and checks programme files: items, and rules for where they are inserted.
 
     (programme
       (item "tide-notice" (playlist "items/tide.m3u8") (length-ms 15000) (nodes 1003 1007) (rate-kb 400) (shorter "tide-short"))
@@ -6,7 +6,7 @@
       (rule "tide" (items "tide-notice") (before) (products survey-clip) (routes "/shoreline/") (since "2026-12-01T00:00:00Z")
         (until "2027-03-01T00:00:00Z") (most 1) (rank 5) (gap-ms 30000) (otherwise shorter)))
 
-Places: (before), (at-ms N ...), (every-ms N), (at-cue CLASS), (after). Times in ms; since and until as dates, kept as ms since 1970.
+Places: (before), (at-ms N ...), (every-ms N), (at-cue CLASS), (after). Times are in ms; since and until are dates, kept as ms since 1970.
 """
 import math
 import posixpath
@@ -17,128 +17,142 @@
 
 BEFORE, AT, EVERY, CUE, AFTER = "before", "at-ms", "every-ms", "at-cue", "after"
 PLACES = (BEFORE, AT, EVERY, CUE, AFTER)
-SKIP, SHORTER, LATER = "skip", "shorter", "later"     # what is done when an item cannot be had in time
-LONGEST_MS = 3_600_000.0   # of one item: longer is a programme
-LEAST_EVERY_MS = 10_000.0  # between items of one rule: less leaves no programme
+# What is done when an item is not available in time
+SKIP, SHORTER, LATER = "skip", "shorter", "later"
+# Of one item: anything longer is a programme of its own
+MAX_ITEM_MS = 3_600_000.0
+# Between the items of one rule: a shorter interval leaves no programme between them
+MIN_INTERVAL_MS = 10_000.0
 
 
 class Piece(NamedTuple):
-    """An item as the file tells it. `nodes`: media nodes that hold it; `shorter`: what stands in for it."""
+    """An item as the file describes it. `nodes`: media nodes that hold it; `shorter`: the item that can replace it."""
     name: str
     playlist: str
     length_ms: float
     nodes: tuple[int, ...]
     shorter: str | None
-    rate_kb: float | None = None     # kB a second of its segments; None: as the ladder's top rung
+    # Of its segments, kB per second; None: as the ladder's top rung
+    rate_kb: float | None = None
 
 
 class Rule(NamedTuple):
-    """Where items stand. `most`: in one session; 0: no cap. A higher `rank` goes first where two meet."""
+    """Where items are inserted. `most`: how many in one session; 0: no limit. Where two rules meet, the higher `rank` goes first."""
     name: str
     items: tuple[str, ...]
     place: str
-    at: tuple[float, ...]        # ms, for at-ms and every-ms
-    cue: str | None              # CLASS of a DATERANGE
-    products: frozenset[str]     # empty: all
-    routes: tuple[str, ...]      # prefixes; empty: all
+    # ms, for at-ms and every-ms
+    at: tuple[float, ...]
+    # CLASS of a DATERANGE
+    cue: str | None
+    # Empty: all products
+    products: frozenset[str]
+    # Path prefixes; empty: all routes
+    routes: tuple[str, ...]
     since: float
     until: float
     most: int
     rank: int
-    gap_ms: float                # programme that must lie between this item and the one before it
+    # Programme that must lie between this item and the one before it
+    gap_ms: float
     otherwise: str
 
 
 class Programme(NamedTuple):
-    """A sound file."""
+    """A valid file: its items by name, and its rules in the file's order."""
     pieces: dict[str, Piece]
     rules: tuple[Rule, ...]
 
 
 def read(text: str, file: str = "text") -> Programme:
-    """Raises Refused with every fault of the file."""
+    """Parses a programme file. Raises Refused with every fault of the file."""
     faults = Faults()
     top = Reader(only_form(text, file, "programme"), faults)
     readers = top.each("item")
-    pieces = {reader.title: take_piece(reader) for reader in readers}
+    pieces = {reader.title: read_item(reader) for reader in readers}
     for reader in readers:
         check_shorter(reader, pieces)
-    rules = tuple(take_rule(reader, pieces) for reader in top.each("rule"))
+    rules = tuple(read_rule(reader, pieces) for reader in top.each("rule"))
     top.no_others()
     faults.settle()
     return Programme(pieces, rules)
 
 
-def take_piece(read: Reader) -> Piece:
-    nodes = read.numbers("nodes", low=0)
+def read_item(reader: Reader) -> Piece:
+    """Reads an item; its playlist must lie below the folder of the items."""
+    nodes = reader.numbers("nodes", low=0)
     if nodes and any(node != int(node) for node in nodes):
-        read.fault(read.places["nodes"], "nodes", "a node is a whole number")
-    piece = Piece(read.title, read.word("playlist"), read.number("length-ms", low=100, high=LONGEST_MS),
-                  tuple(int(node) for node in nodes or ()), read.word("shorter", None),
-                  read.number("rate-kb", None, 1e-6, 1e9))
+        reader.fault(reader.places["nodes"], "nodes", "a node is a whole number")
+    piece = Piece(reader.title, reader.word("playlist"), reader.number("length-ms", low=100, high=MAX_ITEM_MS),
+                  tuple(int(node) for node in nodes or ()), reader.word("shorter", None),
+                  reader.number("rate-kb", None, 1e-6, 1e9))
     if piece.playlist and (piece.playlist.startswith("/") or ".." in posixpath.normpath(piece.playlist).split("/")):
-        read.fault(read.places["playlist"], "playlist", f"{piece.playlist!r} leads out of the folder")
-    read.no_others()
+        reader.fault(reader.places["playlist"], "playlist", f"{piece.playlist!r} is outside the folder of the items")
+    reader.no_others()
     return piece
 
 
-def check_shorter(read: Reader, pieces: dict[str, Piece]) -> None:
-    piece = pieces[read.title]
+def check_shorter(reader: Reader, pieces: dict[str, Piece]) -> None:
+    """Checks that an item's shorter one exists and is shorter."""
+    piece = pieces[reader.title]
     if piece.shorter is None:
         return
-    other, place = pieces.get(piece.shorter), read.places["shorter"]
+    other, place = pieces.get(piece.shorter), reader.places["shorter"]
     if other is None:
-        read.fault(place, "shorter", f"no item {piece.shorter!r}")
+        reader.fault(place, "shorter", f"no item {piece.shorter!r}")
     elif other.length_ms is not None and piece.length_ms is not None and other.length_ms >= piece.length_ms:
-        read.fault(place, "shorter", f"{piece.shorter!r} lasts {other.length_ms:g} ms, not less than {piece.length_ms:g}")
+        reader.fault(place, "shorter", f"{piece.shorter!r} lasts {other.length_ms:g} ms, not less than {piece.length_ms:g}")
 
 
-def take_rule(read: Reader, pieces: dict[str, Piece]) -> Rule:
-    items = read.words("items") or ()
+def read_rule(reader: Reader, pieces: dict[str, Piece]) -> Rule:
+    """Reads a rule and checks it against the items that it names."""
+    items = reader.words("items") or ()
     for name in items:
         if name not in pieces:
-            read.fault(read.places["items"], "items", f"no item {name!r}")
+            reader.fault(reader.places["items"], "items", f"no item {name!r}")
     if not items:
-        read.fault(read.places.get("items", read.form.place), "items", "names no item")
-    place, at, cue = take_place(read)
-    since, until = (date(read, key, usual) for key, usual in (("since", -math.inf), ("until", math.inf)))
+        reader.fault(reader.places.get("items", reader.form.place), "items", "names no item")
+    place, at, cue = read_place(reader)
+    since, until = (read_date(reader, key, default) for key, default in (("since", -math.inf), ("until", math.inf)))
     if since >= until:
-        read.fault(read.places["until"], "until", "is not later than since")
-    rule = Rule(read.title, tuple(items), place, at, cue, frozenset(read.words("products", ()) or ()), tuple(read.words("routes", ()) or ()),
-                since, until, read.whole("most", 0, 0, 1_000), read.whole("rank", 0, 0, 1_000),
-                read.number("gap-ms", 0.0, 0, LONGEST_MS), read.word("otherwise", SKIP, (SKIP, SHORTER, LATER)))
+        reader.fault(reader.places["until"], "until", "is not later than since")
+    rule = Rule(reader.title, tuple(items), place, at, cue, frozenset(reader.words("products", ()) or ()), tuple(reader.words("routes", ()) or ()),
+                since, until, reader.whole("most", 0, 0, 1_000), reader.whole("rank", 0, 0, 1_000),
+                reader.number("gap-ms", 0.0, 0, MAX_ITEM_MS), reader.word("otherwise", SKIP, (SKIP, SHORTER, LATER)))
     if rule.otherwise == SHORTER and not any(pieces[name].shorter for name in items if name in pieces):
-        read.fault(read.places["otherwise"], "otherwise", "none of its items has a shorter one")
-    read.no_others()
+        reader.fault(reader.places["otherwise"], "otherwise", "none of its items has a shorter one")
+    reader.no_others()
     return rule
 
 
-def take_place(read: Reader) -> tuple[str, tuple[float, ...], str | None]:
-    stated = [key for key in PLACES if key in read.keys]
+def read_place(reader: Reader) -> tuple[str, tuple[float, ...], str | None]:
+    """Reads where a rule inserts its items: the kind of place, its times (ms) and its cue class."""
+    stated = [key for key in PLACES if key in reader.keys]
     if len(stated) != 1:
-        told = "is missing" if not stated else f"is told {len(stated)} times: {', '.join(stated)}"
-        read.fault(read.form.place, "its place", f"{told}; one of {', '.join(PLACES)}")
-        read.known.update(PLACES)
+        problem = "is missing" if not stated else f"is given {len(stated)} times: {', '.join(stated)}"
+        reader.fault(reader.form.place, "its place", f"{problem}; one of {', '.join(PLACES)}")
+        reader.known.update(PLACES)
         return BEFORE, (), None
     place = stated[0]
     if place in (AT, EVERY):
-        low = LEAST_EVERY_MS if place == EVERY else 0.0
-        at = read.numbers(place, low=low, size=1 if place == EVERY else None) or ()
+        low = MIN_INTERVAL_MS if place == EVERY else 0.0
+        at = reader.numbers(place, low=low, size=1 if place == EVERY else None) or ()
         if list(at) != sorted(set(at)):
-            read.fault(read.places[place], place, "times must rise")
+            reader.fault(reader.places[place], place, "times must increase")
         return place, tuple(at), None
     if place == CUE:
-        return place, (), read.word(place)
-    read.atoms(place, (), 0, 0)
+        return place, (), reader.word(place)
+    reader.atoms(place, (), 0, 0)
     return place, (), None
 
 
-def date(read: Reader, key: str, usual: float) -> float:
-    text = read.word(key, None)
+def read_date(reader: Reader, key: str, default: float) -> float:
+    """Reads a date as ms since 1970."""
+    text = reader.word(key, None)
     if text is None:
-        return usual
+        return default
     try:
         return time_ms(text)
     except ValueError as error:
-        read.fault(read.places[key], key, str(error))
-        return usual
+        reader.fault(reader.places[key], key, str(error))
+        return default
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -174,10 +174,10 @@
         front, piece = self.front_of(), self.front_of().programme.pieces["tide"]
         front.loop.now = self.town.world.now
         now = front.loop.now
-        self.assertEqual(front.holders(piece.nodes, (now, now + 1))[1].items, 0.0)
-        front.item_load.take(1, 400.0, now, now + 9_000)
-        self.assertAlmostEqual(front.holders(piece.nodes, (now + 8_000, now + 9_000))[1].items, 2 * 400 / 9_000)
-        self.assertEqual(front.holders(piece.nodes, (now + 9_000, now + 10_000))[1].items, 0.0)
+        self.assertEqual(front.source_nodes(piece.nodes, (now, now + 1))[1].item_share, 0.0)
+        front.item_load.add(1, 400.0, now, now + 9_000)
+        self.assertAlmostEqual(front.source_nodes(piece.nodes, (now + 8_000, now + 9_000))[1].item_share, 2 * 400 / 9_000)
+        self.assertEqual(front.source_nodes(piece.nodes, (now + 9_000, now + 10_000))[1].item_share, 0.0)
         self.town.run(10_000)
         self.assertEqual(front.item_load.spans, {})
 
--- a/tests/test_programme.py
+++ b/tests/test_programme.py
@@ -9,7 +9,7 @@
 from laddergw.programme.index import RuleIndex, find_by_scan
 from laddergw.programme.rules import Rule
 from laddergw.programme.schedule import schedule
-from laddergw.programme.sources import SourceNode, choose, fetch_from, decide_unfetched
+from laddergw.programme.sources import SourceNode, choose, item_segment_node, decide_unfetched
 from laddergw.terms.sexpr import Refused
 from tests.helpers import TraceTest
 
@@ -114,7 +114,7 @@
                               ("that one drains in the middle", [h(3, ready=False), h(7)]),
                               ("that one failed and the other is full: whole goes before full", [h(3, failed=9e9), h(7, items=0.4)]),
                               ("none is left", [h(3, ready=False)])):
-            d.lines.append(f"{what}: node {fetch_from(piece, {x.node: x for x in holders}, 3, 1_000.0)}")
+            d.lines.append(f"{what}: node {item_segment_node(piece, {x.node: x for x in holders}, 3, 1_000.0)}")
         d.lines.append("# its playlist is not here yet")
         for lead, rule in ((9_000.0, "hourly"), (2_000.0, "hourly"), (2_000.0, "cued")):
             c = decide_unfetched(next(r for r in d.programme.rules if r.name == rule), "news", lead, "")
