--- a/benchmarks/edge_cache.py
+++ b/benchmarks/edge_cache.py
@@ -46,7 +46,7 @@
                 if ours.get(name, 0.0) is None:
                     ours.put(name, name, SIZE, 0.0)
             end = time.perf_counter()
-            print(f"{skew:4} {once:5} {room:6} {lru.found / ASKS:11.3f} {ours.found / ASKS:11.3f} {(middle - began) / ASKS * 1e6:12.2f} "
+            print(f"{skew:4} {once:5} {room:6} {lru.found / ASKS:11.3f} {ours.hits / ASKS:11.3f} {(middle - began) / ASKS * 1e6:12.2f} "
                   f"{(end - middle) / ASKS * 1e6:12.2f}")
 
 
--- a/laddergw/edge/__init__.py
+++ b/laddergw/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge: session manifests and their addresses. Decisions in modules without I/O."""
+"""The edge: session manifests and their addresses. Decisions are in modules without I/O."""
--- a/laddergw/edge/fetching.py
+++ b/laddergw/edge/fetching.py
@@ -1,4 +1,4 @@
-"""Fetches playlists from media nodes into the edge's cache: one fetch at a time for the same thing, whoever asks."""
+"""Fetches playlists from media nodes into the edge's cache; concurrent requests for the same playlist share one fetch."""
 from collections import deque
 from typing import Any, Callable, NamedTuple
 
@@ -8,47 +8,50 @@
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
 
-LIMIT_MS = 800.0           # one fetch; then the next source is tried
-LIMITS = PoolLimits(connections=8, waiting=256, answer_bytes=16_777_216)
+# Of one call; after it the next source is tried
+CALL_TIMEOUT_MS = 800.0
+POOL_LIMITS = PoolLimits(connections=8, waiting=256, answer_bytes=16_777_216)
 
 
-class Copies(NamedTuple):
-    """Second copies of a read: so many more sources are asked, one after each pause, ms, while none has answered."""
-    most: int = 0
+class HedgePolicy(NamedTuple):
+    """Hedged reads: up to `max_hedges` more sources are asked, one after each pause of `after_ms`, while none has answered."""
+    max_hedges: int = 0
     after_ms: float = 300.0
 
 
 class Fetch:
-    """One read under way, at one source or several. `done(value)` once, with None where all have failed."""
+    """One read in progress, at one source or several. `done(value)` is called once, with None where all have failed."""
 
-    def __init__(self, fetcher: "Fetcher", path: str, sources: list[tuple], copies: Copies, done: Callable[[Any], None]):
-        self.fetcher, self.path, self.rest, self.copies, self.done = fetcher, path, deque(sources), copies, done
+    def __init__(self, fetcher: "Fetcher", path: str, sources: list[tuple], hedging: HedgePolicy, done: Callable[[Any], None]):
+        self.fetcher, self.path, self.untried, self.hedging, self.done = fetcher, path, deque(sources), hedging, done
         self.calls: list[Call] = []
-        self.extra, self.over = copies.most, False
-        self.next()
+        self.hedges_left, self.finished = hedging.max_hedges, False
+        self.try_next()
 
-    def next(self) -> None:
-        """The next source is asked; a copy goes to the one after it in time."""
-        if not self.rest:
+    def try_next(self) -> None:
+        """Asks the next source, and schedules a hedge to the one after it."""
+        if not self.untried:
             if not self.calls:
                 self.fetcher.loop.call_soon(lambda: self.finish(None))
             return
-        pool, loop = self.fetcher.pool(self.rest.popleft()), self.fetcher.loop
+        pool, loop = self.fetcher.pool(self.untried.popleft()), self.fetcher.loop
         self.fetcher.fetches += 1
-        call = pool.call("GET", self.path, b"", self.ended)
+        call = pool.call("GET", self.path, b"", self.call_ended)
         self.calls.append(call)
-        loop.call_later(LIMIT_MS, lambda: call.cut("no playlist in time"))
-        if self.extra and self.rest:
-            loop.call_later(self.copies.after_ms, lambda: self.copy(call))
-
-    def copy(self, call: Call) -> None:
-        if not self.over and call in self.calls and self.extra and self.rest:
-            self.extra -= 1
-            self.fetcher.copies += 1
-            self.next()
-
-    def ended(self, call: Call) -> None:
-        if self.over:
+        loop.call_later(CALL_TIMEOUT_MS, lambda: call.cut("no playlist in time"))
+        if self.hedges_left and self.untried:
+            loop.call_later(self.hedging.after_ms, lambda: self.hedge(call))
+
+    def hedge(self, call: Call) -> None:
+        """Asks a further source while a call has no answer yet."""
+        if not self.finished and call in self.calls and self.hedges_left and self.untried:
+            self.hedges_left -= 1
+            self.fetcher.hedges += 1
+            self.try_next()
+
+    def call_ended(self, call: Call) -> None:
+        """Takes a media playlist from an answer; otherwise the next source is tried once no call is left."""
+        if self.finished:
             return
         self.calls.remove(call)
         media: Any = None
@@ -61,49 +64,53 @@
             self.fetcher.cache.put(self.path, media, len(call.body), self.fetcher.loop.now)
             self.finish(media)
         elif not self.calls:
-            self.next()
+            self.try_next()
 
     def finish(self, value: Any) -> None:
-        if not self.over:
-            self.over = True
+        """Ends the read, once; calls still open are cut."""
+        if not self.finished:
+            self.finished = True
             for call in self.calls:
-                call.cut("another copy was quicker")
+                call.cut("another source answered first")
             self.done(value)
 
 
 class Fetcher:
-    """Playlists by path. `got(media)` or `got(None)` is called once for each ask, never within the ask."""
+    """Playlists by path. `on_result(media)` or `on_result(None)` is called once for each request, never within the request itself."""
 
     def __init__(self, loop, limits: CacheLimits = CacheLimits()):
         self.loop, self.cache = loop, Cache(limits)
         self.pools: dict[tuple, Pool] = {}
-        self.asking: dict[str, list[Callable[[Media | None], None]]] = {}
-        self.fetches = self.failures = self.copies = 0
+        self.pending: dict[str, list[Callable[[Media | None], None]]] = {}
+        self.fetches = self.failures = self.hedges = 0
 
-    def ask(self, path: str, addresses: list[tuple[str, int]], got: Callable[[Media | None], None], copies: Copies = Copies()) -> None:
-        """The playlist at a path, from the first of the addresses that has it."""
+    def get(self, path: str, addresses: list[tuple[str, int]], on_result: Callable[[Media | None], None], hedging: HedgePolicy = HedgePolicy()) -> None:
+        """The playlist at a path, from the cache or from the first of the addresses that has it."""
         value = self.cache.get(path, self.loop.now)
         if value is not None:
-            return self.loop.call_soon(lambda: got(value))
-        return self.anew(path, addresses, got, copies)
+            return self.loop.call_soon(lambda: on_result(value))
+        return self.refetch(path, addresses, on_result, hedging)
 
-    def anew(self, path: str, addresses: list[tuple[str, int]], got: Callable[[Media | None], None], copies: Copies = Copies()) -> None:
-        """The same, though it be held."""
-        waiting = self.asking.setdefault(path, [])
-        waiting.append(got)
+    def refetch(self, path: str, addresses: list[tuple[str, int]], on_result: Callable[[Media | None], None], hedging: HedgePolicy = HedgePolicy()) -> None:
+        """The same, even where it is cached."""
+        waiting = self.pending.setdefault(path, [])
+        waiting.append(on_result)
         if len(waiting) == 1:
-            Fetch(self, path, [tuple(address) for address in addresses], copies, lambda media: self.answer(path, media))
+            Fetch(self, path, [tuple(address) for address in addresses], hedging, lambda media: self.deliver(path, media))
 
     def pool(self, address: tuple) -> Pool:
+        """The connections to one node."""
         if address not in self.pools:
-            self.pools[address] = Pool(self.loop, address, LIMITS)
+            self.pools[address] = Pool(self.loop, address, POOL_LIMITS)
         return self.pools[address]
 
-    def answer(self, path: str, media: Media | None) -> None:
+    def deliver(self, path: str, media: Media | None) -> None:
+        """Passes the outcome of a fetch to all that wait for it."""
         self.failures += media is None
-        for got in self.asking.pop(path, ()):
-            got(media)
+        for on_result in self.pending.pop(path, ()):
+            on_result(media)
 
     def close(self) -> None:
+        """Closes the connections to all nodes."""
         for pool in self.pools.values():
             pool.close()
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -16,9 +16,9 @@
 from laddergw.director.tries import Try
 from laddergw.edge import addresses
 from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, AvailableItem, TitlePlaylists, longest
-from laddergw.edge.fetching import Copies, Fetcher
-from laddergw.edge.sessions import OVER, PLAYS, SEEKS, Session, Stand
-from laddergw.edge.watching import ENDED, LEFT, Playing
+from laddergw.edge.fetching import HedgePolicy, Fetcher
+from laddergw.edge.sessions import OVER, PLAYING, RELOCATING, Session, PlayExchange
+from laddergw.edge.watching import ENDED, LEFT, PlaybackMonitor
 from laddergw.hls.stitching import Item
 from laddergw.hls.values import Media
 from laddergw.http.server import Exchange
@@ -30,7 +30,7 @@
 
 LOOK_MS = 500.0            # pace of looking over players: a leaving is seen within this
 ADDRESS_MS = 6 * 3_600_000.0   # a session's addresses hold so long: a long evening
-SEEK_MS = 300.0            # pause before a lost play asks again
+SEEK_MS = 300.0            # pause before a play_lost play asks again
 SEEK_WAIT_MS = 1_500.0     # least wait of such an ask
 FAILED_MS = 5_000.0        # a node that could not serve an item rests as a source
 REFRESHED = 8              # items' playlists looked after at each look: a few hundred before they are half their age
@@ -80,11 +80,11 @@
         self.ask(session, exchange.body, exchange.read_at, exchange.late)
 
     def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
-        session.tries += 1
-        session.stand = Stand(session, body, read_at, late)
-        self.arrive(session.stand)
+        session.attempts += 1
+        session.play_exchange = PlayExchange(session, body, read_at, late)
+        self.arrive(session.play_exchange)
 
-    def began(self, session: Session, answer: dict) -> None:
+    def fetch_title(self, session: Session, answer: dict) -> None:
         """The first node has set the play up: the playlists are fetched from it, then the viewer is answered."""
         title, terms = session.frame["title"], session.terms
         rungs: dict[int, Media | None] = {}
@@ -99,7 +99,7 @@
         nodes = playlist_sources(answer["node"], states, int(frame.get("home", 0)), int(frame.get("copies", 0)), cells, terms.read_copies)
         sources = [tuple(answer["address"])] + [self.fleet.links[node].address for node in nodes[1:]]
         for rung in range(count):
-            self.fetcher.ask(f"/v1/titles/{title}/{rung}.m3u8", sources, lambda media, rung=rung: got(rung, media), Copies(terms.read_copies, terms.copy_after_ms))
+            self.fetcher.get(f"/v1/titles/{title}/{rung}.m3u8", sources, lambda media, rung=rung: got(rung, media), HedgePolicy(terms.read_copies, terms.copy_after_ms))
 
     def ready(self, session: Session, answer: dict, rungs: list[Media | None]) -> None:
         """The title's playlists are here: what stands before its first segment is fetched, then the viewer is answered."""
@@ -131,9 +131,9 @@
         if session.state == OVER:
             return
         session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
-        session.path = addresses.sign(self.house.keys, session.name, self.wall() + ADDRESS_MS, session.player, "")
+        session.path = addresses.sign_path(self.house.keys, session.name, self.wall() + ADDRESS_MS, session.player, "")
         session.composer = Composer(title, placed, lambda what: session.path + what, self.target(placed), first)
-        session.playing = Playing(self.loop.now, session.composer.target, session.terms.first_segment_ms)
+        session.playback = Playing(self.loop.now, session.composer.target, session.terms.first_segment_ms)
         told = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
         session.exchange.answer(200, frames.encode(told), extra=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
         session.exchange.on_gone = None
@@ -167,63 +167,63 @@
         known = [self.fetcher.cache.get(item_path(self.programme, name), self.loop.now) for name in sorted(names)]
         return max((longest(media) for media in known if media is not None and media.segments), default=0.0)
 
-    def turned_away(self, session: Session, status: int, body: bytes, extra: str) -> None:
+    def reject_session(self, session: Session, status: int, body: bytes, extra: str) -> None:
         session.exchange.answer(status, body, extra=extra)
         self.end(session, "turned away")
 
-    # A play is lost under way: it is asked for again, at our own door
+    # A play is play_lost under way: it is asked for again, at our own door
 
-    def lost(self, session: Session, why: str) -> None:
+    def play_lost(self, session: Session, why: str) -> None:
         self.watch("session seeks", session=session.name, why=why)
-        self.loop.call_later(SEEK_MS, lambda: self.seek(session))
+        self.loop.call_later(SEEK_MS, lambda: self.relocate(session))
 
-    def seek(self, session: Session) -> None:
-        if session.state != SEEKS:
+    def relocate(self, session: Session) -> None:
+        if session.state != RELOCATING:
             return
         left = session.buffered_ms()
-        if self.stopping or left <= 0 and session.tries > 1 and not session.composer.origins:
+        if self.stopping or left <= 0 and session.attempts > 1 and not session.composer.origins:
             return self.end(session, "failed")
         frame = session.frame | {"token": session.token, "wait_ms": max(SEEK_WAIT_MS, min(left, session.frame["wait_ms"])), "unsettled_ms": 0}
         self.ask(session, frames.encode(frame), self.loop.now)
 
-    def seek_later(self, session: Session, body: bytes) -> None:
+    def relocate_later(self, session: Session, body: bytes) -> None:
         retry = frames.body_of(body, "answer").get("retry_ms") or SEEK_MS
         if session.buffered_ms() <= 0:
             return self.end(session, "failed")
         # Never sooner than SEEK_MS: a buffer of next to nothing would ask again in the same moment, for ever
-        self.loop.call_later(max(SEEK_MS, min(retry, session.buffered_ms())), lambda: self.seek(session))
+        self.loop.call_later(max(SEEK_MS, min(retry, session.buffered_ms())), lambda: self.relocate(session))
 
     # What players fetch
 
     def serve_session(self, exchange: Exchange) -> None:
         player = dict(part.strip().partition("=")[::2] for part in exchange.headers.get("cookie", "").split(";")).get("player")
         try:
-            asked = addresses.read(self.house.keys, self.house.retired, exchange.path, player, self.wall())
+            asked = addresses.verify(self.house.keys, self.house.retired, exchange.path, player, self.wall())
             session = self.sessions.get(asked.session)
             if session is None or session.composer is None:
-                raise addresses.Refusal(410, "the session is over")
-        except addresses.Refusal as error:
+                raise addresses.AddressRejected(410, "the session is over")
+        except addresses.AddressRejected as error:
             return self.refuse(exchange, error)
         if asked.name == MASTER:
             self.answer_playlist(exchange, self.master(session))
         elif asked.name == MEDIA:
             self.answer_playlist(exchange, self.media(session))
-        elif (shown := addresses.shown(asked.name, SEGMENT, BESIDE)) is not None:
+        elif (shown := addresses.parse_resource_name(asked.name, SEGMENT, BESIDE)) is not None:
             self.segment(session, exchange, *shown)
         else:
             exchange.answer(404, frames.problem("no such playlist"))
 
-    def refuse(self, exchange: Exchange, error: addresses.Refusal) -> None:
+    def refuse(self, exchange: Exchange, error: addresses.AddressRejected) -> None:
         """Whoever is told that a session is over asks for another, here or elsewhere: not before its allocation is let go."""
         ending = self.ending.get(exchange.path.split("/")[2])
-        if ending is not None and not ending.stand.settled:
+        if ending is not None and not ending.play_exchange.settled:
             return exchange.answer(503, frames.problem("the session ends"), extra="Retry-After: 1\r\n") and None
         exchange.answer(error.status, frames.problem(str(error)))
         return None
 
     def forget(self, ply: Try) -> None:
         super().forget(ply)
-        if isinstance(ply.exchange, Stand):
+        if isinstance(ply.exchange, PlayExchange):
             ply.exchange.settled = True
 
     def segment(self, session: Session, exchange: Exchange, number: int, beside: int | None) -> None:
@@ -234,13 +234,13 @@
             return
         origin = composer.origins[number]
         if beside is None:
-            session.playing.fetched(self.loop.now, origin.ends_ms, composer.ended and number + 1 == len(composer.origins))
-            if session.playing.stalls(self.loop.now, number):
+            session.playback.segment_requested(self.loop.now, origin.ends_ms, composer.ended and number + 1 == len(composer.origins))
+            if session.playback.is_stalled(self.loop.now, number):
                 self.stalled(session, origin)
-        if origin.item is None and session.era is None:
+        if origin.item is None and session.source is None:
             exchange.answer(503, frames.problem("the play is being moved"), extra="Retry-After: 1\r\n")
             return
-        base = session.era.base if origin.item is None else self.item_from(session, origin)
+        base = session.source.base if origin.item is None else self.item_from(session, origin)
         exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, beside)}\r\n")
 
     def item_from(self, session: Session, origin: Origin) -> str:
@@ -248,7 +248,7 @@
         piece = session.programme.pieces[origin.item]
         node = item_segment_node(piece, self.source_nodes(piece.nodes), origin.node, self.loop.now)
         if self.tap is not None:
-            self.tap("item sent", self.loop.now, {"node": node, "own": session.era is not None and session.era.node == node})
+            self.tap("item sent", self.loop.now, {"node": node, "own": session.source is not None and session.source.node == node})
         return origin.base if node not in self.fleet.links else item_base(self.fleet.links[node].address)
 
     def item_rate(self, piece: Piece) -> float:
@@ -256,11 +256,11 @@
 
     def stalled(self, session: Session, origin: Origin) -> None:
         """A node answered before and gives no segment: an item comes from another holder, a play is taken off it."""
-        self.watch("segment stalls", session=session.name, node=origin.node if origin.item else session.era and session.era.node)
+        self.watch("segment stalls", session=session.name, node=origin.node if origin.item else session.source and session.source.node)
         if origin.item is not None:
             self.failed[origin.node] = self.loop.now + FAILED_MS
-        elif session.state == PLAYS:
-            for ply in [ply for ply in self.tries.values() if ply.exchange is session.stand]:
+        elif session.state == PLAYING:
+            for ply in [ply for ply in self.tries.values() if ply.exchange is session.play_exchange]:
                 self.take_off(ply, LOST)
 
     @staticmethod
@@ -273,11 +273,11 @@
         return f"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH={rate}\n{session.path}{MEDIA}\n".encode()
 
     def media(self, session: Session) -> bytes:
-        composer, playing, now = session.composer, session.playing, self.loop.now
-        if session.era is not None and session.state == PLAYS:
-            composer.extend(session.played_ms(), session.era, lambda placed, lead: self.choose(session, placed, lead),
+        composer, playback, now = session.composer, session.playback, self.loop.now
+        if session.source is not None and session.state == PLAYING:
+            composer.extend(session.played_ms(), session.source, lambda placed, lead: self.choose(session, placed, lead),
                             lambda chosen: self.served(session, chosen))
-        playing.reloaded(now)
+        playback.playlist_requested(now)
         return composer.text()
 
     def choose(self, session: Session, placed: PlacedItem, lead_ms: float) -> ChosenSource:
@@ -286,7 +286,7 @@
         piece = session.programme.pieces[placed.item]
         nodes = piece.nodes + (session.programme.pieces[piece.shorter].nodes if piece.shorter else ())
         span = now + lead_ms, now + lead_ms + piece.length_ms
-        chosen = choose(placed.rule, placed.item, session.programme, self.source_nodes(nodes, span), session.era.node, now, now + lead_ms)
+        chosen = choose(placed.rule, placed.item, session.programme, self.source_nodes(nodes, span), session.source.node, now, now + lead_ms)
         if chosen.item is not None and chosen.node is not None and not self.here(session.programme, chosen.item):
             self.prefetch(session.programme, chosen.item)
             return decide_unfetched(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
@@ -298,7 +298,7 @@
         if media is None or link is None:
             return None
         piece, since = session.programme.pieces[chosen.item], self.loop.now + session.buffered_ms()
-        if chosen.node != session.era.node:
+        if chosen.node != session.source.node:
             self.item_load.add(chosen.node, self.item_rate(piece), since, since + piece.length_ms)
         return AvailableItem(Item(chosen.item, media), item_base(link.address), chosen.node)
 
@@ -313,7 +313,7 @@
             if media is None:
                 self.failed.update({node: self.loop.now + FAILED_MS for node in holders})
             then(item)
-        self.fetcher.anew(item_path(programme, item), links, got)
+        self.fetcher.refetch(item_path(programme, item), links, got)
 
     def change_programme(self, programme: Programme) -> None:
         """New rules hold for sessions that begin from now on."""
@@ -340,7 +340,7 @@
         super().change_keys(keys, retired)
         taken = {name for name, _ in keys} - retired
         for session in list(self.sessions.values()):
-            if session.path and addresses.key_of(session.path) not in taken:
+            if session.path and addresses.key_id_of(session.path) not in taken:
                 self.end(session, "key retired")
 
     def session_up(self, link: Link) -> None:
@@ -355,7 +355,7 @@
         names = self.item_names
         for turn in range(self.item_turn, self.item_turn + min(REFRESHED, len(names))):
             item = names[turn % len(names)]
-            if self.fetcher.cache.old(item_path(self.programme, item), self.loop.now):
+            if self.fetcher.cache.is_stale(item_path(self.programme, item), self.loop.now):
                 self.prefetch(self.programme, item)
         self.item_turn = (self.item_turn + REFRESHED) % max(1, len(names))
 
@@ -364,9 +364,9 @@
     def look(self) -> None:
         self.refresh()
         for session in list(self.sessions.values()):
-            if session.playing is not None and session.playing.look(self.loop.now).state in (ENDED, LEFT):
-                self.end(session, session.playing.state)
-        for name in [name for name, session in self.ending.items() if session.stand.settled]:
+            if session.playback is not None and session.playback.check(self.loop.now).state in (ENDED, LEFT):
+                self.end(session, session.playback.state)
+        for name in [name for name, session in self.ending.items() if session.play_exchange.settled]:
             del self.ending[name]
         self.item_load.drop_expired(self.fleet.links, self.loop.now)
         if self.loop.running:
@@ -379,11 +379,11 @@
         session.state = OVER
         self.ended_sessions[how] = self.ended_sessions.get(how, 0) + 1
         self.sessions.pop(session.name, None)
-        stand = session.stand
-        if stand is not None and not stand.settled:
+        play_exchange = session.play_exchange
+        if play_exchange is not None and not play_exchange.settled:
             self.ending[session.name] = session
-        if stand is not None and stand.on_gone is not None and not stand.ended:
-            stand.on_gone()
+        if play_exchange is not None and play_exchange.on_gone is not None and not play_exchange.ended:
+            play_exchange.on_gone()
 
     def close_door(self) -> None:
         """Players of what still plays come in by new connections: the door turns new sessions away by itself."""
--- a/laddergw/edge/program.py
+++ b/laddergw/edge/program.py
@@ -1,4 +1,4 @@
-"""The edge as a process: the director's, with programme rules that are read again on SIGHUP, as its keys are."""
+"""The edge as a process: a director's process, with programme rules that are reloaded on SIGHUP together with its keys."""
 import os
 import signal
 import sys
@@ -6,19 +6,19 @@
 
 from laddergw.director import program
 from laddergw.edge.front import EdgeFront
-from laddergw.programme import rules as programmes
+from laddergw.programme import rules as programme_rules
 from laddergw.programme.rules import Programme
 from laddergw.terms.reading import text_of
 from laddergw.terms.sexpr import Refused
 
 
 def read_rules(path: str) -> Programme:
-    """Raises Refused with every fault, an unreadable file included."""
-    return programmes.read(text_of(path), os.path.basename(path))
+    """Reads a file of programme rules. Raises Refused with every fault; an unreadable file is one."""
+    return programme_rules.read(text_of(path), os.path.basename(path))
 
 
 def run(path: str, rules: str | None, level: str, tap_file: str | None, source: str, limits: str | None = None) -> int:
-    """Runs one edge until it is told to stop; 2 where a file is refused at the start."""
+    """Runs one edge until it is stopped, and returns the exit code: 2 where a file is rejected at the start."""
     try:
         programme = read_rules(rules) if rules else Programme({}, ())
     except Refused as error:
@@ -26,15 +26,16 @@
         return program.EXIT_FILE
 
     def set_up(front: EdgeFront, log) -> None:
-        def again() -> None:
+        def reload_rules() -> None:
             try:
                 front.change_programme(read_rules(rules))
                 log.info("rules changed", rules=len(front.programme.rules), items=len(front.programme.pieces))
-            except Refused as error:             # the rules in force stay
+            # The rules in force stay
+            except Refused as error:
                 log.error("rules refused", faults=[str(fault) for fault in error.faults])
-        def both() -> None:
+        def reload() -> None:
             front.read_again()
             if rules:
-                again()
-        front.loop.on_signal(signal.SIGHUP, both)
+                reload_rules()
+        front.loop.on_signal(signal.SIGHUP, reload)
     return program.run(path, level, tap_file, source, partial(EdgeFront, programme=programme), set_up, limits)
--- a/laddergw/edge/sessions.py
+++ b/laddergw/edge/sessions.py
@@ -1,103 +1,115 @@
-"""One viewer's session at the edge: its play's tries, its growing playlist, and what its fetches tell.
+"""One viewer's session at the edge: the attempts of its play, its growing playlist, and what its requests show.
 
-The director knows a viewer as an exchange that stays open. Here the answer is a manifest's address and the exchange ends; this
-object stands where the open exchange stood. When the module moves the play, or its node breaks, the session asks again by
-itself, at the director's door, with what the player has buffered as its wait; the playlist goes on where it stopped.
+The director knows a viewer as an exchange that stays open. Here the answer is the address of a manifest and the exchange ends; a
+PlayExchange takes the place of the open one. When the control module moves the play, or its node fails, the session itself requests the
+play again, at the director's admission, with what the player has buffered as its wait; the playlist continues where it stopped.
 """
 import msgspec
 
 from laddergw.edge.composer import Composer, SegmentSource
-from laddergw.edge.watching import Playing
+from laddergw.edge.watching import PlaybackMonitor
 from laddergw.http.server import Exchange
 
-WAITING, PLAYS, SEEKS, OVER = "waiting", "plays", "seeks", "over"
+WAITING, PLAYING, RELOCATING, OVER = "waiting", "plays", "seeks", "over"
 
 
-class Stand:
-    """Stands for an open exchange: what a Director does to one is told to the session."""
+class PlayExchange:
+    """Takes the place of an open exchange: what a Director does to it is passed to the session."""
 
     def __init__(self, session: "Session", body: bytes, now: float, late: float = 0.0):
         self.session, self.body, self.read_at, self.late = session, body, now, late
         self.method, self.path, self.headers, self.query = "POST", "/v1/plays", {}, ""
         self.on_gone = None
         self.begun = self.ended = False
-        self.settled = False                   # no allocation of it is out any more
+        # No allocation of this attempt is in use any more
+        self.settled = False
 
     @property
     def gone(self) -> bool:
+        """Whether the session is over."""
         return self.session.state == OVER
 
     def answer(self, status: int, body: bytes = b"", kind: str = "application/json", extra: str = "") -> bool:
+        """The director's final answer to a play that is not served."""
         if self.begun:
             return False
         self.begun = self.ended = True
-        self.session.not_playing(self, status, body, extra)
+        self.session.play_rejected(self, status, body, extra)
         return True
 
     def begin(self, status: int, first: bytes = b"", kind: str = "application/json") -> bool:
+        """The director's answer to a play that is being served."""
         if self.begun or self.gone:
             return False
         self.begun = True
-        self.session.plays(self, msgspec.json.decode(first))
+        self.session.play_started(self, msgspec.json.decode(first))
         return True
 
     def push(self, data: bytes) -> bool:
-        self.session.told(self, msgspec.json.decode(data))
+        """An event of the play that is being served."""
+        self.session.handle_event(self, msgspec.json.decode(data))
         return True
 
     def finish(self) -> None:
+        """The director ends the exchange."""
         self.ended = True
 
 
 class Session:
-    """See the module. `front` carries out: answers the viewer, fetches playlists, asks at the door."""
+    """See the module. `front` acts for it: it answers the viewer, fetches playlists and requests plays."""
 
     def __init__(self, front, name: str, exchange: Exchange, frame: dict):
         self.front, self.name, self.exchange, self.frame = front, name, exchange, frame
         self.state, self.token = WAITING, None
-        self.stand: Stand | None = None
-        self.era: SegmentSource | None = None
+        self.play_exchange: PlayExchange | None = None
+        self.source: SegmentSource | None = None
         self.composer: Composer | None = None
-        self.playing: Playing | None = None
+        self.playback: PlaybackMonitor | None = None
         self.player, self.path = "", ""
-        self.tries = 0
-        self.programme = front.programme       # the rules in force at its start hold to its end, and so do its terms
+        self.attempts = 0
+        # The rules and the terms in force at the session's start hold until its end
+        self.programme = front.programme
         self.terms = front.limits.find(frame.get("route", "/"), frame["product"]).terms
 
-    # What the director tells through the stand
+    # What the director reports through the play's exchange
 
-    def plays(self, stand: Stand, answer: dict) -> None:
-        if stand is not self.stand:
+    def play_started(self, exchange: PlayExchange, answer: dict) -> None:
+        """A node serves the play: segments come from there from now on."""
+        if exchange is not self.play_exchange:
             return
         host, port = answer["address"]
         self.token = answer["token"]
-        self.era = SegmentSource(answer["node"], answer["rung"], f"http://{host}:{port}/v1/media/{self.frame['title']}/")
+        self.source = SegmentSource(answer["node"], answer["rung"], f"http://{host}:{port}/v1/media/{self.frame['title']}/")
         if self.state == WAITING:
-            self.front.began(self, answer)
-        self.state = PLAYS
+            self.front.fetch_title(self, answer)
+        self.state = PLAYING
 
-    def not_playing(self, stand: Stand, status: int, body: bytes, extra: str) -> None:
-        if stand is not self.stand:
+    def play_rejected(self, exchange: PlayExchange, status: int, body: bytes, extra: str) -> None:
+        """No node serves the play: the viewer is told, or a session under way retries later."""
+        if exchange is not self.play_exchange:
             return
         if self.state == WAITING:
-            self.front.turned_away(self, status, body, extra)
-        elif self.state == SEEKS:
-            self.front.seek_later(self, body)
+            self.front.reject_session(self, status, body, extra)
+        elif self.state == RELOCATING:
+            self.front.relocate_later(self, body)
 
-    def told(self, stand: Stand, event: dict) -> None:
-        if stand is not self.stand or self.state == OVER:
+    def handle_event(self, exchange: PlayExchange, event: dict) -> None:
+        """The play's rung changed, or its node does not serve it any longer."""
+        if exchange is not self.play_exchange or self.state == OVER:
             return
         if event["event"] == "rung":
-            self.era = self.era._replace(rung=event["rung"])
-        elif self.state == PLAYS:                # moved, broken, or the director stops
-            self.state, self.era = SEEKS, None
-            self.front.lost(self, event["event"])
+            self.source = self.source._replace(rung=event["rung"])
+        # The play is moved, its node failed, or the director stops
+        elif self.state == PLAYING:
+            self.state, self.source = RELOCATING, None
+            self.front.play_lost(self, event["event"])
 
     # What the player does
 
     def played_ms(self) -> float:
-        return self.playing.look(self.front.loop.now).played_ms if self.playing is not None else 0.0
+        """Session time that has been played by now, ms."""
+        return self.playback.check(self.front.loop.now).played_ms if self.playback is not None else 0.0
 
     def buffered_ms(self) -> float:
-        """Shown and not yet played: so long may a new node take."""
+        """Listed and not yet played, ms: a new node may take this long."""
         return max(0.0, self.composer.shown_ms - self.played_ms()) if self.composer is not None else 0.0
--- a/laddergw/edge/watching.py
+++ b/laddergw/edge/watching.py
@@ -1,69 +1,74 @@
-"""Decides from what a player fetches whether its play has begun, goes on, has ended or was left. No I/O; time handed in.
+"""Infers from a player's requests whether its play has begun, goes on, has ended or was left. No I/O; time is handed in.
 
-A player says nothing of itself but what it asks for. The first programme segment asked for is the play's beginning; each reload or
-segment is a heartbeat; none for long enough is a leaving; the last segment asked for and its length gone by is the end.
+A player reports nothing but its requests. The first request for a programme segment begins the play; each reload or segment request is
+a heartbeat; none for long enough means that the player has left; the play ends once the last segment was requested and its length has passed.
 """
 from typing import NamedTuple
 
-SILENT_PART, SILENT_LEAST_MS = 3.0, 10_000.0   # of a target duration without a sign: two reloads were missed
-STALL_ASKS, STALL_MS = 3, 2_000.0   # a segment asked for so often over so long: its node does not give it
-START_MS = 8_000.0         # to the first segment: a player that never asks for one has gone
+# Without a request for so many target durations, and at least so many ms, a player has left: two reloads were missed
+SILENT_TARGET_DURATIONS, MIN_SILENCE_MS = 3.0, 10_000.0
+# A segment requested so often over so long: its node does not deliver it
+STALL_REQUESTS, STALL_MS = 3, 2_000.0
+# Until the first segment request: a player that never requests one has left
+START_MS = 8_000.0
 
 WAITING, PLAYING, ENDED, LEFT = "waiting", "playing", "ended", "left"
 
 
-class Sign(NamedTuple):
-    """What follows from a look: the new state, and session time that must have played by now, ms."""
+class PlaybackSign(NamedTuple):
+    """What a check finds: the state, and the session time that must have been played by now, ms."""
     state: str
     played_ms: float
 
 
-class Playing:
-    """One player, as the edge sees it."""
+class PlaybackMonitor:
+    """One player, as its requests show it."""
 
     def __init__(self, now: float, target_ms: float, stall_ms: float = STALL_MS):
         self.stall_ms = stall_ms
-        self.state, self.opened, self.last, self.target = WAITING, now, now, target_ms
-        self.began: float | None = None
-        self.asked_end = 0.0       # session time up to which segments were asked for
-        self.final: float | None = None
-        self.number, self.asks, self.first_ask = -1, 0, now
+        self.state, self.created_at, self.last_request_at, self.target_ms = WAITING, now, now, target_ms
+        self.began_at: float | None = None
+        # Session time up to which segments were requested
+        self.requested_end_ms = 0.0
+        self.final_ms: float | None = None
+        self.number, self.request_count, self.first_request_at = -1, 0, now
 
-    def stalls(self, now: float, number: int) -> bool:
-        """Segment `number` was asked for: whether it is asked for again and again, so that its node must be taken for stalled.
-        A player that seeks back asks for others in between."""
+    def is_stalled(self, now: float, number: int) -> bool:
+        """Counts a request for segment `number`; True once it is requested again and again, so that its node must be taken for stalled.
+        A player that seeks back requests other segments in between."""
         if number != self.number:
-            self.number, self.asks, self.first_ask = number, 0, now
-        self.asks += 1
-        if self.asks < STALL_ASKS or now - self.first_ask < self.stall_ms:
+            self.number, self.request_count, self.first_request_at = number, 0, now
+        self.request_count += 1
+        if self.request_count < STALL_REQUESTS or now - self.first_request_at < self.stall_ms:
             return False
-        self.asks, self.first_ask = 0, now
+        self.request_count, self.first_request_at = 0, now
         return True
 
-    def reloaded(self, now: float) -> None:
-        self.last = now
+    def playlist_requested(self, now: float) -> None:
+        """The player reloads its playlist: a heartbeat."""
+        self.last_request_at = now
 
-    def fetched(self, now: float, ends_ms: float, last: bool) -> bool:
-        """A segment was asked for that ends at `ends_ms` of the session's time. True where this begins the play."""
-        self.last, begins = now, self.began is None
+    def segment_requested(self, now: float, ends_ms: float, last: bool) -> bool:
+        """A segment was requested that ends at `ends_ms` of the session's time. True where this begins the play."""
+        self.last_request_at, begins = now, self.began_at is None
         if begins:
-            self.began, self.state = now, PLAYING
-        self.asked_end = max(self.asked_end, ends_ms)
+            self.began_at, self.state = now, PLAYING
+        self.requested_end_ms = max(self.requested_end_ms, ends_ms)
         if last:
-            self.final = self.asked_end
+            self.final_ms = self.requested_end_ms
         return begins
 
-    def look(self, now: float) -> Sign:
+    def check(self, now: float) -> PlaybackSign:
         """The state by now; ENDED and LEFT are final."""
         if self.state in (ENDED, LEFT):
-            return Sign(self.state, self.asked_end)
-        if self.began is None:
-            if now - self.opened >= START_MS:
+            return PlaybackSign(self.state, self.requested_end_ms)
+        if self.began_at is None:
+            if now - self.created_at >= START_MS:
                 self.state = LEFT
-            return Sign(self.state, 0.0)
-        played = min(now - self.began, self.asked_end)
-        if self.final is not None and played >= self.final:
+            return PlaybackSign(self.state, 0.0)
+        played = min(now - self.began_at, self.requested_end_ms)
+        if self.final_ms is not None and played >= self.final_ms:
             self.state = ENDED
-        elif now - self.last >= max(SILENT_LEAST_MS, SILENT_PART * self.target) and self.final is None:
+        elif now - self.last_request_at >= max(MIN_SILENCE_MS, SILENT_TARGET_DURATIONS * self.target_ms) and self.final_ms is None:
             self.state = LEFT
-        return Sign(self.state, played)
+        return PlaybackSign(self.state, played)
--- a/tests/test_cache.py
+++ b/tests/test_cache.py
@@ -23,8 +23,8 @@
                 self.assertEqual(kept, size <= 50)
                 if kept:
                     told[str(name)] = ((name, now), now)
-            self.assertLessEqual(cache.bytes, 100)
-            self.assertEqual(cache.bytes, sum(e.size for e in cache.entries.values()))
+            self.assertLessEqual(cache.total_bytes, 100)
+            self.assertEqual(cache.total_bytes, sum(e.size for e in cache.entries.values()))
             self.assertEqual(cache.small_bytes, sum(e.size for e in cache.entries.values() if e.small))
 
     def test_a_wave_of_titles_asked_for_once_leaves_the_wanted_ones(self):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -125,7 +125,7 @@
         self.assertFalse(first.discontinuity)
         origin = composer.origins[0]
         self.assertEqual([origin.address("http://n2/t/", k) for k in (None, 0, 1)], ["http://n2/t/all.mp4", "http://n2/t/k.bin", "http://n2/t/i.mp4"])
-        self.assertEqual([addresses.shown(name, "seg-", "by-") for name in ("seg-4", "by-4-1", "seg-x", "by-1-2-3", "seg-", "x-1", "seg-" + "9" * 40)],
+        self.assertEqual([addresses.parse_resource_name(name, "seg-", "by-") for name in ("seg-4", "by-4-1", "seg-x", "by-1-2-3", "seg-", "x-1", "seg-" + "9" * 40)],
                          [(4, None), (4, 1), None, None, None, None, None])
 
     def test_a_splice_waits_for_its_item_while_there_is_time(self):
@@ -154,13 +154,13 @@
 
 class Addresses(unittest.TestCase):
     def refused(self, status, path, player="p", now=5_000.0, keys=KEYS, retired=frozenset()):
-        with self.assertRaises(addresses.Refusal) as caught:
-            addresses.read(keys, retired, path, player, now)
+        with self.assertRaises(addresses.AddressRejected) as caught:
+            addresses.verify(keys, retired, path, player, now)
         self.assertEqual(caught.exception.status, status, str(caught.exception))
 
     def test_good_expired_replayed_and_retired(self):
-        path = addresses.sign(KEYS, "s1", 9_000.0, "p", "media.m3u8")
-        self.assertEqual(addresses.read(KEYS, frozenset(), path, "p", 5_000.0), ("s1", "media.m3u8"))
+        path = addresses.sign_path(KEYS, "s1", 9_000.0, "p", "media.m3u8")
+        self.assertEqual(addresses.verify(KEYS, frozenset(), path, "p", 5_000.0), ("s1", "media.m3u8"))
         self.refused(410, path, now=9_001.0)
         self.refused(403, path, player="another")
         self.refused(403, path, player=None)
@@ -168,35 +168,35 @@
         self.refused(403, path.replace("9000", "9900"))
         self.refused(403, path, retired=frozenset({"k2"}))
         self.refused(403, path, keys=KEYS[1:])
-        old = addresses.sign(KEYS[1:], "s1", 9_000.0, "p", "x")
-        self.assertEqual(addresses.read(KEYS, frozenset(), old, "p", 5_000.0).name, "x")
+        old = addresses.sign_path(KEYS[1:], "s1", 9_000.0, "p", "x")
+        self.assertEqual(addresses.verify(KEYS, frozenset(), old, "p", 5_000.0).name, "x")
 
     @settings(max_examples=200)
     @given(st.text(max_size=40))
     def test_nonsense_is_refused(self, text):
-        with self.assertRaises(addresses.Refusal):
-            addresses.read(KEYS, frozenset(), text, "p", 0.0)
-        with self.assertRaises(addresses.Refusal):
-            addresses.read(KEYS, frozenset(), f"/s/a/{text}/b", "p", 0.0)
+        with self.assertRaises(addresses.AddressRejected):
+            addresses.verify(KEYS, frozenset(), text, "p", 0.0)
+        with self.assertRaises(addresses.AddressRejected):
+            addresses.verify(KEYS, frozenset(), f"/s/a/{text}/b", "p", 0.0)
 
 
 class Watching(unittest.TestCase):
     def test_begins_beats_ends(self):
-        p = watching.Playing(0.0, 6_000.0)
-        self.assertEqual(p.look(5_000.0).state, watching.WAITING)
-        self.assertTrue(p.fetched(6_000.0, 4_000.0, False))
-        self.assertFalse(p.fetched(8_000.0, 8_000.0, True))
-        self.assertEqual(p.look(12_000.0), (watching.PLAYING, 6_000.0))
-        self.assertEqual(p.look(14_000.0), (watching.ENDED, 8_000.0))
+        p = watching.PlaybackMonitor(0.0, 6_000.0)
+        self.assertEqual(p.check(5_000.0).state, watching.WAITING)
+        self.assertTrue(p.segment_requested(6_000.0, 4_000.0, False))
+        self.assertFalse(p.segment_requested(8_000.0, 8_000.0, True))
+        self.assertEqual(p.check(12_000.0), (watching.PLAYING, 6_000.0))
+        self.assertEqual(p.check(14_000.0), (watching.ENDED, 8_000.0))
 
     def test_never_begins_or_falls_silent(self):
-        p = watching.Playing(0.0, 6_000.0)
-        self.assertEqual(p.look(watching.START_MS).state, watching.LEFT)
-        q = watching.Playing(0.0, 6_000.0)
-        q.fetched(1_000.0, 4_000.0, False)
-        q.reloaded(10_000.0)
-        self.assertEqual(q.look(27_000.0).state, watching.PLAYING)
-        self.assertEqual(q.look(28_000.0).state, watching.LEFT)
+        p = watching.PlaybackMonitor(0.0, 6_000.0)
+        self.assertEqual(p.check(watching.START_MS).state, watching.LEFT)
+        q = watching.PlaybackMonitor(0.0, 6_000.0)
+        q.segment_requested(1_000.0, 4_000.0, False)
+        q.playlist_requested(10_000.0)
+        self.assertEqual(q.check(27_000.0).state, watching.PLAYING)
+        self.assertEqual(q.check(28_000.0).state, watching.LEFT)
 
 
 if __name__ == "__main__":
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -167,7 +167,7 @@
             self.play(number, home=1, copies=2, wait_ms=1_500)
             self.town.run(700)
         self.assertEqual({f["answer"] for f in self.told("answered")}, {"playing"})
-        self.assertGreater(front.fetcher.copies, 0)
+        self.assertGreater(front.fetcher.hedges, 0)
         self.once()
 
     def test_an_item_of_another_node_counts_at_its_link(self):
