--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -15,21 +15,21 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from laddergw.director.limits_file import InPlace, LimitsFile
-from laddergw.fleet.stamps import ENDED, LET_IN, PLAYING, SET_UP
+from laddergw.director.limits_file import InProcessCheck, LimitsFile
+from laddergw.fleet.action_counts import ENDED, ADMITTED, PLAYING, SET_UP
 from laddergw.interface import READY
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import draw, plant
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import wire
-from laddergw.planner.audit_side import limits_text
-from laddergw.planner.edge_side import EdgeSide
+from laddergw.planner.audit_client import limits_text
+from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
-from laddergw.store.keeper import Store
+from laddergw.store.planner_store import Store
 from laddergw.fleet import versions
-from laddergw.terms import house as houses
+from laddergw.terms import director_file as director_files
 from laddergw.terms.limits import Limits
-from laddergw.terms.loading import load, usual
+from laddergw.terms.loading import load, default_terms
 
 PLAYS_A_SECOND = 2         # of each director: 24 a second for each 12
 CUT_PART, CUT_MS, SOAK_MS = 0.1, 40_000.0, 5_000.0
@@ -42,10 +42,10 @@
 
     def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
         self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
-        self.limits, self.watch, self.pages, self.tries, self.on_node = Limits("built in", usual(house)), lambda what, **facts: None, {}, {}, {}
-        self.stopping, self.bounds, self.chance, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
+        self.limits, self.watch, self.pages, self.attempts, self.attempts_by_node = Limits("built in", default_terms(house)), lambda what, **facts: None, {}, {}, {}
+        self.stopping, self.bounds, self.random_fraction, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
-        self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, changed=lambda *given: None)
+        self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, on_change=lambda *given: None)
         self.controller = SimpleNamespace(observe_load=None)
         self.feed = lambda *given: None
 
@@ -65,16 +65,16 @@
         host = world.host("p0")
         self.planner = Planner(host, "p0.1", ("p0", 8300), Store(os.path.join(folder, "store")), (("lab", b"key of the planners"),), clock=lambda: time.perf_counter() * 1000)
         self.time_turns(host)
-        house = houses.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
+        house = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
         self.lines, self.directors, self.sides = Lines(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
             light = Light(world, house, number, nodes)
             line = self.lines.line(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
-            side = EdgeSide(light, (line.address,), (("lab", b"key of the planners"),))
+            side = PlannerClient(light, (line.address,), (("lab", b"key of the planners"),))
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
                 stream.write(b"(limits)")
-            side.audit.brings(LimitsFile(light.loop, path, InPlace(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
+            side.audit.accept_files(LimitsFile(light.loop, path, InProcessCheck(light.house), light.change_limits, light.limits_refused, b"(limits)").bring)
             self.directors.append(light)
             self.sides.append(side)
 
@@ -91,15 +91,15 @@
     def second(self, number: int) -> None:
         """Plays, and a list that changes."""
         for index, side in enumerate(self.sides):
-            stamps, now = side.audit.stamps, self.world.now
+            stamps, now = side.audit.action_counts, self.world.now
             for n in range(PLAYS_A_SECOND):
-                for action in LET_IN, SET_UP, PLAYING, ENDED:
-                    stamps.did(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.now_in_force, action, now)
-            side.audit.held[versions.LIST] = versions.version(versions.LIST, [str(number)])
-            side.audit.stand()
+                for action in ADMITTED, SET_UP, PLAYING, ENDED:
+                    stamps.record(f"v{index}-{number}-{n}", PRODUCTS[(index + n) % len(PRODUCTS)], stamps.current_id, action, now)
+            side.audit.active_versions[versions.LIST] = versions.version(versions.LIST, [str(number)])
+            side.audit.update_version_set()
 
     def on_it(self, name: str) -> int:
-        return sum(side.audit.held[versions.LIMITS].hash == name for side in self.sides)
+        return sum(side.audit.active_versions[versions.LIMITS].hash == name for side in self.sides)
 
 
 def counted(fleet: Fleet):
@@ -124,7 +124,7 @@
     data = b"(limits (defaults (attempts 2)))\n; " + b"x" * PADDING
     name = versions.version(versions.LIMITS, limits_text(load(data, "wanted", fleet.directors[0].house).limits)).hash
     fleet.planner.loop.now = world.now
-    said = json.loads(fleet.planner.auditing.ask(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
+    said = json.loads(fleet.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
     assert "refused" not in said, said
     cut = [n for n in range(directors) if draw(seed, "cut", n) < CUT_PART]
     lines = [fleet.lines.by_ends[f"d{n}", "p0"] for n in cut]
--- a/laddergw/edge/fetching.py
+++ b/laddergw/edge/fetching.py
@@ -3,14 +3,14 @@
 from typing import Any, Callable, NamedTuple
 
 from laddergw.edge.cache import CacheLimits, Cache
-from laddergw.hls.reading import BadPlaylist, read
+from laddergw.hls.reading import InvalidPlaylist, read
 from laddergw.hls.values import Media
 from laddergw.http.client import Call, Pool
 from laddergw.http.limits import PoolLimits
 
 # Of one call; after it the next source is tried
 CALL_TIMEOUT_MS = 800.0
-POOL_LIMITS = PoolLimits(connections=8, waiting=256, answer_bytes=16_777_216)
+POOL_LIMITS = PoolLimits(max_connections=8, max_waiting=256, max_answer_bytes=16_777_216)
 
 
 class HedgePolicy(NamedTuple):
@@ -38,7 +38,7 @@
         self.fetcher.fetches += 1
         call = pool.call("GET", self.path, b"", self.call_ended)
         self.calls.append(call)
-        loop.call_later(CALL_TIMEOUT_MS, lambda: call.cut("no playlist in time"))
+        loop.call_later(CALL_TIMEOUT_MS, lambda: call.abort("no playlist in time"))
         if self.hedges_left and self.untried:
             loop.call_later(self.hedging.after_ms, lambda: self.hedge(call))
 
@@ -58,7 +58,7 @@
         if call.status == 200:
             try:
                 media = read(call.body)
-            except BadPlaylist:
+            except InvalidPlaylist:
                 media = None
         if isinstance(media, Media):
             self.fetcher.cache.put(self.path, media, len(call.body), self.fetcher.loop.now)
@@ -71,7 +71,7 @@
         if not self.finished:
             self.finished = True
             for call in self.calls:
-                call.cut("another source answered first")
+                call.abort("another source answered first")
             self.done(value)
 
 
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -10,10 +10,10 @@
 from laddergw import interface as face
 from laddergw.director import frames, tokens
 from laddergw.machines import admission
-from laddergw.director.carrying import LOST
+from laddergw.director.allocation_calls import LOST
 from laddergw.director.director import Director
 from laddergw.director.link import Link
-from laddergw.director.tries import Try
+from laddergw.director.attempts import Attempt
 from laddergw.edge import addresses
 from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, AvailableItem, TitlePlaylists, longest
 from laddergw.edge.fetching import HedgePolicy, Fetcher
@@ -68,21 +68,21 @@
             frame = frames.body_of(exchange.body, "session request")
             frames.read_request(exchange.body)
             frame["resume"] = frames.read_resume(frame)
-        except frames.Malformed as error:
-            exchange.answer(400, frames.problem(str(error)))
+        except frames.MalformedFrame as error:
+            exchange.answer(400, frames.error_body(str(error)))
             return
         self.session_numbers += 1
         name = f"{self.name}-{self.session_numbers}"
         session = self.sessions[name] = Session(self, name, exchange, frame)
-        exchange.on_gone = lambda: self.end(session, LEFT)
+        exchange.on_disconnect = lambda: self.end(session, LEFT)
         margin = self.bounds.answer_margin_ms
-        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.late, margin) + margin / 2, lambda: self.too_late(session))
-        self.ask(session, exchange.body, exchange.read_at, exchange.late)
+        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.stall_ms, margin) + margin / 2, lambda: self.too_late(session))
+        self.ask(session, exchange.body, exchange.read_at, exchange.stall_ms)
 
     def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
         session.attempts += 1
         session.play_exchange = PlayExchange(session, body, read_at, late)
-        self.arrive(session.play_exchange)
+        self.handle_play_request(session.play_exchange)
 
     def fetch_title(self, session: Session, answer: dict) -> None:
         """The first node has set the play up: the playlists are fetched from it, then the viewer is answered."""
@@ -133,10 +133,10 @@
         session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
         session.path = addresses.sign_path(self.house.keys, session.name, self.wall() + ADDRESS_MS, session.player, "")
         session.composer = Composer(title, placed, lambda what: session.path + what, self.target(placed), first)
-        session.playback = Playing(self.loop.now, session.composer.target, session.terms.first_segment_ms)
+        session.playback = PlaybackMonitor(self.loop.now, session.composer.target, session.terms.first_segment_ms)
         told = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
-        session.exchange.answer(200, frames.encode(told), extra=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
-        session.exchange.on_gone = None
+        session.exchange.answer(200, frames.encode(told), extra_headers=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
+        session.exchange.on_disconnect = None
 
     def too_late(self, session: Session) -> None:
         """The viewer's limit comes before its playlists do."""
@@ -145,9 +145,9 @@
 
     def fail(self, session: Session, reason: str) -> None:
         """Its set-up may have run, which the token must tell: a paid play is not set up again."""
-        earlier = tokens.Earlier(session.frame["key"], self.wall(), 1, True)
+        earlier = tokens.PreviousAttempt(session.frame["key"], self.wall(), 1, True)
         if session.token is not None:
-            earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(ran=True)
+            earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(may_have_run=True)
         session.exchange.answer(502, frames.not_playing(face.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
         self.end(session, "failed")
 
@@ -168,7 +168,7 @@
         return max((longest(media) for media in known if media is not None and media.segments), default=0.0)
 
     def reject_session(self, session: Session, status: int, body: bytes, extra: str) -> None:
-        session.exchange.answer(status, body, extra=extra)
+        session.exchange.answer(status, body, extra_headers=extra)
         self.end(session, "turned away")
 
     # A play is play_lost under way: it is asked for again, at our own door
@@ -211,17 +211,17 @@
         elif (shown := addresses.parse_resource_name(asked.name, SEGMENT, BESIDE)) is not None:
             self.segment(session, exchange, *shown)
         else:
-            exchange.answer(404, frames.problem("no such playlist"))
+            exchange.answer(404, frames.error_body("no such playlist"))
 
     def refuse(self, exchange: Exchange, error: addresses.AddressRejected) -> None:
         """Whoever is told that a session is over asks for another, here or elsewhere: not before its allocation is let go."""
         ending = self.ending.get(exchange.path.split("/")[2])
         if ending is not None and not ending.play_exchange.settled:
-            return exchange.answer(503, frames.problem("the session ends"), extra="Retry-After: 1\r\n") and None
-        exchange.answer(error.status, frames.problem(str(error)))
+            return exchange.answer(503, frames.error_body("the session ends"), extra_headers="Retry-After: 1\r\n") and None
+        exchange.answer(error.status, frames.error_body(str(error)))
         return None
 
-    def forget(self, ply: Try) -> None:
+    def forget(self, ply: Attempt) -> None:
         super().forget(ply)
         if isinstance(ply.exchange, PlayExchange):
             ply.exchange.settled = True
@@ -230,7 +230,7 @@
         """Sends the player to the bytes: the node in charge now for the programme, any holder that is ready for an item."""
         composer = session.composer
         if number >= len(composer.origins) or beside is not None and beside >= len(composer.origins[number].beside):
-            exchange.answer(404, frames.problem("a segment that was not shown"))
+            exchange.answer(404, frames.error_body("a segment that was not shown"))
             return
         origin = composer.origins[number]
         if beside is None:
@@ -238,7 +238,7 @@
             if session.playback.is_stalled(self.loop.now, number):
                 self.stalled(session, origin)
         if origin.item is None and session.source is None:
-            exchange.answer(503, frames.problem("the play is being moved"), extra="Retry-After: 1\r\n")
+            exchange.answer(503, frames.error_body("the play is being moved"), extra_headers="Retry-After: 1\r\n")
             return
         base = session.source.base if origin.item is None else self.item_from(session, origin)
         exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, beside)}\r\n")
@@ -260,8 +260,8 @@
         if origin.item is not None:
             self.failed[origin.node] = self.loop.now + FAILED_MS
         elif session.state == PLAYING:
-            for ply in [ply for ply in self.tries.values() if ply.exchange is session.play_exchange]:
-                self.take_off(ply, LOST)
+            for ply in [ply for ply in self.attempts.values() if ply.exchange is session.play_exchange]:
+                self.remove_from_node(ply, LOST)
 
     @staticmethod
     def answer_playlist(exchange: Exchange, text: bytes) -> None:
@@ -328,10 +328,10 @@
             if entry is None:
                 continue
             width = entry.weight * deployment.link_unit
-            plays = sum(self.rate(ply) for ply in self.on_node.get(node, {}).values() if ply.allocation is not None)
+            plays = sum(self.rate(ply) for ply in self.attempts_by_node.get(node, {}).values() if ply.allocation is not None)
             found[node] = SourceNode(
                 node, entry.state == face.READY and link is not None and link.session.up,
-                is_cold(self.fleet.started[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
+                is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
                 link_share(plays * deployment.directors, width), link_share(self.item_load.rate(node, *span), width))
         return found
 
@@ -382,15 +382,15 @@
         play_exchange = session.play_exchange
         if play_exchange is not None and not play_exchange.settled:
             self.ending[session.name] = session
-        if play_exchange is not None and play_exchange.on_gone is not None and not play_exchange.ended:
-            play_exchange.on_gone()
+        if play_exchange is not None and play_exchange.on_disconnect is not None and not play_exchange.ended:
+            play_exchange.on_disconnect()
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Players of what still plays come in by new connections: the door turns new sessions away by itself."""
 
-    def wind_up(self) -> None:
+    def shut_down(self) -> None:
         self.fetcher.close()
-        super().wind_up()
+        super().shut_down()
 
 
 def item_path(programme: Programme, item: str) -> str:
--- a/laddergw/edge/sessions.py
+++ b/laddergw/edge/sessions.py
@@ -17,32 +17,32 @@
     """Takes the place of an open exchange: what a Director does to it is passed to the session."""
 
     def __init__(self, session: "Session", body: bytes, now: float, late: float = 0.0):
-        self.session, self.body, self.read_at, self.late = session, body, now, late
+        self.session, self.body, self.read_at, self.stall_ms = session, body, now, late
         self.method, self.path, self.headers, self.query = "POST", "/v1/plays", {}, ""
-        self.on_gone = None
+        self.on_disconnect = None
         self.begun = self.ended = False
         # No allocation of this attempt is in use any more
         self.settled = False
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the session is over."""
         return self.session.state == OVER
 
-    def answer(self, status: int, body: bytes = b"", kind: str = "application/json", extra: str = "") -> bool:
+    def answer(self, status: int, body: bytes = b"", content_type: str = "application/json", extra_headers: str = "") -> bool:
         """The director's final answer to a play that is not served."""
         if self.begun:
             return False
         self.begun = self.ended = True
-        self.session.play_rejected(self, status, body, extra)
+        self.session.play_rejected(self, status, body, extra_headers)
         return True
 
-    def begin(self, status: int, first: bytes = b"", kind: str = "application/json") -> bool:
+    def begin(self, status: int, first_chunk: bytes = b"", content_type: str = "application/json") -> bool:
         """The director's answer to a play that is being served."""
-        if self.begun or self.gone:
+        if self.begun or self.disconnected:
             return False
         self.begun = True
-        self.session.play_started(self, msgspec.json.decode(first))
+        self.session.play_started(self, msgspec.json.decode(first_chunk))
         return True
 
     def push(self, data: bytes) -> bool:
--- a/laddergw/programme/rules.py
+++ b/laddergw/programme/rules.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from laddergw.hls.values import time_ms
-from laddergw.terms.reading import Faults, Reader, only_form
+from laddergw.terms.reading import Faults, FormReader, parse_single_form
 
 BEFORE, AT, EVERY, CUE, AFTER = "before", "at-ms", "every-ms", "at-cue", "after"
 PLACES = (BEFORE, AT, EVERY, CUE, AFTER)
@@ -65,80 +65,80 @@
 
 
 def read(text: str, file: str = "text") -> Programme:
-    """Parses a programme file. Raises Refused with every fault of the file."""
+    """Parses a programme file. Raises FileRejected with every fault of the file."""
     faults = Faults()
-    top = Reader(only_form(text, file, "programme"), faults)
-    readers = top.each("item")
-    pieces = {reader.title: read_item(reader) for reader in readers}
+    top = FormReader(parse_single_form(text, file, "programme"), faults)
+    readers = top.subforms("item")
+    pieces = {reader.name: read_item(reader) for reader in readers}
     for reader in readers:
         check_shorter(reader, pieces)
-    rules = tuple(read_rule(reader, pieces) for reader in top.each("rule"))
-    top.no_others()
-    faults.settle()
+    rules = tuple(read_rule(reader, pieces) for reader in top.subforms("rule"))
+    top.reject_unknown_keys()
+    faults.raise_if_any()
     return Programme(pieces, rules)
 
 
-def read_item(reader: Reader) -> Piece:
+def read_item(reader: FormReader) -> Piece:
     """Reads an item; its playlist must lie below the folder of the items."""
     nodes = reader.numbers("nodes", low=0)
     if nodes and any(node != int(node) for node in nodes):
-        reader.fault(reader.places["nodes"], "nodes", "a node is a whole number")
-    piece = Piece(reader.title, reader.word("playlist"), reader.number("length-ms", low=100, high=MAX_ITEM_MS),
+        reader.add_fault(reader.places["nodes"], "nodes", "a node is a whole number")
+    piece = Piece(reader.name, reader.word("playlist"), reader.number("length-ms", low=100, high=MAX_ITEM_MS),
                   tuple(int(node) for node in nodes or ()), reader.word("shorter", None),
                   reader.number("rate-kb", None, 1e-6, 1e9))
     if piece.playlist and (piece.playlist.startswith("/") or ".." in posixpath.normpath(piece.playlist).split("/")):
-        reader.fault(reader.places["playlist"], "playlist", f"{piece.playlist!r} is outside the folder of the items")
-    reader.no_others()
+        reader.add_fault(reader.places["playlist"], "playlist", f"{piece.playlist!r} is outside the folder of the items")
+    reader.reject_unknown_keys()
     return piece
 
 
-def check_shorter(reader: Reader, pieces: dict[str, Piece]) -> None:
+def check_shorter(reader: FormReader, pieces: dict[str, Piece]) -> None:
     """Checks that an item's shorter one exists and is shorter."""
-    piece = pieces[reader.title]
+    piece = pieces[reader.name]
     if piece.shorter is None:
         return
     other, place = pieces.get(piece.shorter), reader.places["shorter"]
     if other is None:
-        reader.fault(place, "shorter", f"no item {piece.shorter!r}")
+        reader.add_fault(place, "shorter", f"no item {piece.shorter!r}")
     elif other.length_ms is not None and piece.length_ms is not None and other.length_ms >= piece.length_ms:
-        reader.fault(place, "shorter", f"{piece.shorter!r} lasts {other.length_ms:g} ms, not less than {piece.length_ms:g}")
+        reader.add_fault(place, "shorter", f"{piece.shorter!r} lasts {other.length_ms:g} ms, not less than {piece.length_ms:g}")
 
 
-def read_rule(reader: Reader, pieces: dict[str, Piece]) -> Rule:
+def read_rule(reader: FormReader, pieces: dict[str, Piece]) -> Rule:
     """Reads a rule and checks it against the items that it names."""
     items = reader.words("items") or ()
     for name in items:
         if name not in pieces:
-            reader.fault(reader.places["items"], "items", f"no item {name!r}")
+            reader.add_fault(reader.places["items"], "items", f"no item {name!r}")
     if not items:
-        reader.fault(reader.places.get("items", reader.form.place), "items", "names no item")
+        reader.add_fault(reader.places.get("items", reader.form.place), "items", "names no item")
     place, at, cue = read_place(reader)
     since, until = (read_date(reader, key, default) for key, default in (("since", -math.inf), ("until", math.inf)))
     if since >= until:
-        reader.fault(reader.places["until"], "until", "is not later than since")
-    rule = Rule(reader.title, tuple(items), place, at, cue, frozenset(reader.words("products", ()) or ()), tuple(reader.words("routes", ()) or ()),
-                since, until, reader.whole("most", 0, 0, 1_000), reader.whole("rank", 0, 0, 1_000),
+        reader.add_fault(reader.places["until"], "until", "is not later than since")
+    rule = Rule(reader.name, tuple(items), place, at, cue, frozenset(reader.words("products", ()) or ()), tuple(reader.words("routes", ()) or ()),
+                since, until, reader.integer("most", 0, 0, 1_000), reader.integer("rank", 0, 0, 1_000),
                 reader.number("gap-ms", 0.0, 0, MAX_ITEM_MS), reader.word("otherwise", SKIP, (SKIP, SHORTER, LATER)))
     if rule.otherwise == SHORTER and not any(pieces[name].shorter for name in items if name in pieces):
-        reader.fault(reader.places["otherwise"], "otherwise", "none of its items has a shorter one")
-    reader.no_others()
+        reader.add_fault(reader.places["otherwise"], "otherwise", "none of its items has a shorter one")
+    reader.reject_unknown_keys()
     return rule
 
 
-def read_place(reader: Reader) -> tuple[str, tuple[float, ...], str | None]:
+def read_place(reader: FormReader) -> tuple[str, tuple[float, ...], str | None]:
     """Reads where a rule inserts its items: the kind of place, its times (ms) and its cue class."""
-    stated = [key for key in PLACES if key in reader.keys]
+    stated = [key for key in PLACES if key in reader.forms]
     if len(stated) != 1:
         problem = "is missing" if not stated else f"is given {len(stated)} times: {', '.join(stated)}"
-        reader.fault(reader.form.place, "its place", f"{problem}; one of {', '.join(PLACES)}")
-        reader.known.update(PLACES)
+        reader.add_fault(reader.form.place, "its place", f"{problem}; one of {', '.join(PLACES)}")
+        reader.known_keys.update(PLACES)
         return BEFORE, (), None
     place = stated[0]
     if place in (AT, EVERY):
         low = MIN_INTERVAL_MS if place == EVERY else 0.0
         at = reader.numbers(place, low=low, size=1 if place == EVERY else None) or ()
         if list(at) != sorted(set(at)):
-            reader.fault(reader.places[place], place, "times must increase")
+            reader.add_fault(reader.places[place], place, "times must increase")
         return place, tuple(at), None
     if place == CUE:
         return place, (), reader.word(place)
@@ -146,7 +146,7 @@
     return place, (), None
 
 
-def read_date(reader: Reader, key: str, default: float) -> float:
+def read_date(reader: FormReader, key: str, default: float) -> float:
     """Reads a date as ms since 1970."""
     text = reader.word(key, None)
     if text is None:
@@ -154,5 +154,5 @@
     try:
         return time_ms(text)
     except ValueError as error:
-        reader.fault(reader.places[key], key, str(error))
+        reader.add_fault(reader.places[key], key, str(error))
         return default
--- a/laddergw/programme/schedule.py
+++ b/laddergw/programme/schedule.py
@@ -46,10 +46,10 @@
 
 def cue_times(source: Media, outline: Outline, cue_class: str) -> list[float]:
     """Programme times of the DATERANGEs of a class, ms from the start. One before the start or after the end does not count."""
-    zero = next((clock - at for clock, at in zip(outline.clocks, segment_starts(source)) if clock is not None), None)
+    zero = next((clock - at for clock, at in zip(outline.programme_times, segment_starts(source)) if clock is not None), None)
     times = []
     for segment in source.segments:
-        for cue in segment.ranges:
+        for cue in segment.date_ranges:
             if cue.get("CLASS") == cue_class and zero is not None:
                 try:
                     times.append(time_ms(cue.get("START-DATE") or "") - zero)
--- a/laddergw/terms/generations.py
+++ b/laddergw/terms/generations.py
@@ -1,76 +1,77 @@
-"""Keeps the generations of the operators' file: one in force, older ones as long as a play that began under them lasts. No I/O.
+"""Keeps the generations of the operators' limits file: the current one, and older ones while a play that began under them lasts. No I/O.
 
-A file is checked whole and then switched at one moment: plays that come from then on are under the new one, plays under way keep theirs.
+A file is checked completely and then put in force at once: plays that begin afterwards follow it, plays that are running keep their generation.
 """
-from laddergw.terms.limits import Budget, Limits, Row
+from laddergw.terms.limits import Budget, Limits, LimitsEntry
 from laddergw.machines.concurrency import OFF
 from laddergw.machines.retry_budget import BudgetTerms
 
 
 class Generation:
-    """One file that was in force."""
+    """One version of the file that is or was in force; `plays` counts the running plays that began under it."""
 
-    def __init__(self, number: int, limits: Limits, since: float):
-        self.number, self.limits, self.since, self.plays = number, limits, since, 0
+    def __init__(self, number: int, limits: Limits, since_ms: float):
+        self.number, self.limits, self.since_ms, self.plays = number, limits, since_ms, 0
 
 
 class Generations:
-    """See the module."""
+    """The current and older generations; `switches` and `rejected` count changes and rejected files."""
 
     def __init__(self, limits: Limits, now: float):
         self.current = Generation(1, limits, now)
         self.older: dict[int, Generation] = {}
-        self.switches = self.refused = 0
+        self.switches = self.rejected = 0
 
-    def take(self) -> Generation:
-        """A play begins under what is in force."""
+    def begin_play(self) -> Generation:
+        """Counts a play that begins under the current generation, and returns that generation."""
         self.current.plays += 1
         return self.current
 
-    def drop(self, generation: Generation) -> None:
-        """A play of it is over; an old one goes with its last."""
+    def end_play(self, generation: Generation) -> None:
+        """Counts a play of a generation that has ended; an old generation is dropped with its last play."""
         generation.plays -= 1
         if not generation.plays:
             self.older.pop(generation.number, None)
 
     def switch(self, limits: Limits, now: float) -> Generation:
-        old = self.current
-        if old.plays:
-            self.older[old.number] = old
-        self.current = Generation(old.number + 1, limits, now)
+        """Puts new limits in force."""
+        previous = self.current
+        if previous.plays:
+            self.older[previous.number] = previous
+        self.current = Generation(previous.number + 1, limits, now)
         self.switches += 1
         return self.current
 
 
-def budget_names(rows: tuple[Row, ...], limits: Limits) -> tuple[str, ...]:
-    """The budgets that a play on these rows draws on: its routes' and their tenants'."""
-    names = [row.name for row in rows if row.budget is not None]
-    for row in rows:
-        tenant = limits.tenants.get(row.tenant) if row.tenant else None
+def budget_names(entries: tuple[LimitsEntry, ...], limits: Limits) -> tuple[str, ...]:
+    """Names of the budgets that a play under these route entries draws on: the routes' own and their tenants'."""
+    names = [entry.name for entry in entries if entry.budget is not None]
+    for entry in entries:
+        tenant = limits.tenants.get(entry.tenant) if entry.tenant else None
         if tenant is not None and tenant.budget is not None and tenant.name not in names:
             names.append(tenant.name)
     return tuple(names)
 
 
-def allowed(limits: Limits) -> dict[str, BudgetTerms]:
-    """All budgets of routes and tenants, by name."""
-    rows = [row for _, row in limits.routes] + list(limits.tenants.values())
-    return {row.name: as_allowed(row.budget) for row in rows if row.budget is not None}
+def budget_terms(limits: Limits) -> dict[str, BudgetTerms]:
+    """The terms of all budgets of routes and tenants, by name."""
+    entries = [entry for _, entry in limits.routes] + list(limits.tenants.values())
+    return {entry.name: budget_terms_of(entry.budget) for entry in entries if entry.budget is not None}
 
 
-def as_allowed(budget: Budget) -> BudgetTerms:
-    """Of a fleet's budget the share of its own plays is the director's; the rest is granted."""
+def budget_terms_of(budget: Budget) -> BudgetTerms:
+    """A budget's terms at this director. Of a fleet's budget only the share of its own plays is the director's; planners grant the rest."""
     return BudgetTerms(0.0 if budget.fleet else budget.free, budget.share, budget.window_ms)
 
 
-def of_the_fleet(limits: Limits) -> dict[str, float]:
-    """Windows of budgets that planners grant, ms, by name."""
-    return {row.name: row.budget.window_ms for row in [row for _, row in limits.routes] + list(limits.tenants.values()) if row.budget is not None and row.budget.fleet}
+def fleet_budget_windows(limits: Limits) -> dict[str, float]:
+    """Windows, in ms, of the budgets that planners grant, by name."""
+    return {entry.name: entry.budget.window_ms for entry in [entry for _, entry in limits.routes] + list(limits.tenants.values()) if entry.budget is not None and entry.budget.fleet}
 
 
-def changes(old: Limits, new: Limits) -> list[str]:
-    """What differs, a line each, in the order of the new file; what went last."""
-    before, after = flat(old), flat(new)
+def describe_changes(old: Limits, new: Limits) -> list[str]:
+    """The differences, one line each, in the order of the new file; removed values come last."""
+    before, after = flatten(old), flatten(new)
     lines = []
     for key, value in after.items():
         if key not in before:
@@ -80,30 +81,31 @@
     return lines + [f"- {key} {value}" for key, value in before.items() if key not in after]
 
 
-def flat(limits: Limits) -> dict[str, str]:
-    """Every value of a file by its name in words."""
-    found = {"cold-pace": show(limits.cold_pace.value)} if limits.cold_pace.source != "built in" else {}
-    if limits.margin is not None:
-        found["answer-margin-ms"] = show(limits.margin.value)
+def flatten(limits: Limits) -> dict[str, str]:
+    """All values of a file as text, by a name in words such as "route /a/: connect-ms"."""
+    values = {"cold-pace": format_value(limits.cold_pace.value)} if limits.cold_pace.source != "built in" else {}
+    if limits.answer_margin is not None:
+        values["answer-margin-ms"] = format_value(limits.answer_margin.value)
     if limits.adaptive != OFF:
-        found["adaptive"] = limits.adaptive
+        values["adaptive"] = limits.adaptive
     if limits.budget is not None:
-        found["budget"] = show(limits.budget[:3])
-    rows = ([limits.defaults] if limits.defaults else []) + [*limits.products.values(), *limits.tenants.values()] + [row for _, row in limits.routes]
-    for row in rows:
-        name = " ".join((row.name, *row.products))
-        found[name] = ""
-        for field, told in row.values.items():
-            found[f"{name}: {field.replace('_', '-')}"] = show(told.value)
-        for key, told in (("floor", row.floor), ("seats", row.seats)):
-            if told is not None:
-                found[f"{name}: {key}"] = show(told.value)
-        if row.budget is not None:
-            found[f"{name}: budget"] = show(row.budget[:3]) + (" of the fleet" if row.budget.fleet else "")
-        if row.tenant is not None:
-            found[f"{name}: tenant"] = row.tenant
-    return found
-
-
-def show(value) -> str:
-    return " ".join(f"{one:g}" for one in value) if isinstance(value, tuple) else f"{value:g}"
+        values["budget"] = format_value(limits.budget[:3])
+    entries = ([limits.defaults] if limits.defaults else []) + [*limits.products.values(), *limits.tenants.values()] + [entry for _, entry in limits.routes]
+    for entry in entries:
+        name = " ".join((entry.name, *entry.products))
+        values[name] = ""
+        for field, sourced in entry.values.items():
+            values[f"{name}: {field.replace('_', '-')}"] = format_value(sourced.value)
+        for key, sourced in (("floor", entry.floor), ("seats", entry.seats)):
+            if sourced is not None:
+                values[f"{name}: {key}"] = format_value(sourced.value)
+        if entry.budget is not None:
+            values[f"{name}: budget"] = format_value(entry.budget[:3]) + (" of the fleet" if entry.budget.fleet else "")
+        if entry.tenant is not None:
+            values[f"{name}: tenant"] = entry.tenant
+    return values
+
+
+def format_value(value) -> str:
+    """A number, or a tuple of numbers with spaces between them."""
+    return " ".join(f"{number:g}" for number in value) if isinstance(value, tuple) else f"{value:g}"
--- a/tests/test_programme.py
+++ b/tests/test_programme.py
@@ -10,7 +10,7 @@
 from laddergw.programme.rules import Rule
 from laddergw.programme.schedule import schedule
 from laddergw.programme.sources import SourceNode, choose, item_segment_node, decide_unfetched
-from laddergw.terms.sexpr import Refused
+from laddergw.terms.sexpr import FileRejected
 from tests.helpers import TraceTest
 
 GOOD = """(programme
@@ -37,7 +37,7 @@
     for start in range(0, seconds, 6):
         ranges = tuple(pairs(f'ID="c{k}",CLASS="break",START-DATE="{time_text(zero + at * 1000)}"')
                        for k, at in enumerate(cues) if start <= at < start + 6)
-        segments.append(Segment(f"p{start}", 6_000.0, time_ms=zero if start == 0 else None, ranges=ranges))
+        segments.append(Segment(f"p{start}", 6_000.0, time_ms=zero if start == 0 else None, date_ranges=ranges))
     return Media(tuple(segments), 6_000.0, ended=True)
 
 
@@ -50,7 +50,7 @@
         for old, new in CHANGES:
             self.assertIn(old, GOOD)
             Lines.lines.append(f"# {old} becomes {new or 'nothing'}")
-            with self.assertRaises(Refused) as caught:
+            with self.assertRaises(FileRejected) as caught:
                 rules.read(GOOD.replace(old, new, 1), "tide.scm")
             Lines.lines += str(caught.exception).splitlines()
         self.assert_trace("programme_files", Lines)
