--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -1,4 +1,4 @@
-"""The edge as viewers see it: a director whose plays are sessions with manifests. Carries; what it decides lies beside it.
+"""The edge as viewers see it: a director whose plays are sessions with manifests. Carries; what it decides lies resource it.
 
 POST /v1/sessions takes what POST /v1/plays takes and answers with the address of a master playlist; the rest is fetched. The
 media playlist of a session is built as it is asked for. See docs/stitching.md.
@@ -15,7 +15,7 @@
 from laddergw.director.link import Link
 from laddergw.director.attempts import Attempt
 from laddergw.edge import addresses
-from laddergw.edge.composer import BESIDE, SEGMENT, Composer, Origin, AvailableItem, TitlePlaylists, longest
+from laddergw.edge.composer import RESOURCE_PREFIX, SEGMENT_PREFIX, Composer, SegmentOrigin, AvailableItem, TitlePlaylists, required_target_ms
 from laddergw.edge.fetching import HedgePolicy, Fetcher
 from laddergw.edge.sessions import OVER, PLAYING, RELOCATING, Session, PlayExchange
 from laddergw.edge.watching import ENDED, LEFT, PlaybackMonitor
@@ -114,7 +114,7 @@
         except ValueError as error:
             return self.fail(session, str(error))
         from_ms, cut = session.frame["resume"]
-        first = title.place(from_ms) if from_ms else 0
+        first = title.resume_segment(from_ms) if from_ms else 0
         placed = remaining_after_resume(placed, first, cut)
         missing = {one.item for one in placed if one.before_segment <= first and not self.here(self.programme, one.item)}
 
@@ -133,7 +133,7 @@
         session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
         session.path = addresses.sign_path(self.house.keys, session.name, self.wall() + ADDRESS_MS, session.player, "")
         session.composer = Composer(title, placed, lambda what: session.path + what, self.target(placed), first)
-        session.playback = PlaybackMonitor(self.loop.now, session.composer.target, session.terms.first_segment_ms)
+        session.playback = PlaybackMonitor(self.loop.now, session.composer.target_ms, session.terms.first_segment_ms)
         told = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
         session.exchange.answer(200, frames.encode(told), extra_headers=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
         session.exchange.on_disconnect = None
@@ -165,7 +165,7 @@
         pieces = [self.programme.pieces[one.item] for one in placed]
         names = {piece.name for piece in pieces} | {piece.shorter for piece in pieces if piece.shorter is not None}
         known = [self.fetcher.cache.get(item_path(self.programme, name), self.loop.now) for name in sorted(names)]
-        return max((longest(media) for media in known if media is not None and media.segments), default=0.0)
+        return max((required_target_ms(media) for media in known if media is not None and media.segments), default=0.0)
 
     def reject_session(self, session: Session, status: int, body: bytes, extra: str) -> None:
         session.exchange.answer(status, body, extra_headers=extra)
@@ -208,7 +208,7 @@
             self.answer_playlist(exchange, self.master(session))
         elif asked.name == MEDIA:
             self.answer_playlist(exchange, self.media(session))
-        elif (shown := addresses.parse_resource_name(asked.name, SEGMENT, BESIDE)) is not None:
+        elif (shown := addresses.parse_resource_name(asked.name, SEGMENT_PREFIX, RESOURCE_PREFIX)) is not None:
             self.segment(session, exchange, *shown)
         else:
             exchange.answer(404, frames.error_body("no such playlist"))
@@ -226,14 +226,14 @@
         if isinstance(ply.exchange, PlayExchange):
             ply.exchange.settled = True
 
-    def segment(self, session: Session, exchange: Exchange, number: int, beside: int | None) -> None:
+    def segment(self, session: Session, exchange: Exchange, number: int, resource: int | None) -> None:
         """Sends the player to the bytes: the node in charge now for the programme, any holder that is ready for an item."""
         composer = session.composer
-        if number >= len(composer.origins) or beside is not None and beside >= len(composer.origins[number].beside):
+        if number >= len(composer.origins) or resource is not None and resource >= len(composer.origins[number].resources):
             exchange.answer(404, frames.error_body("a segment that was not shown"))
             return
         origin = composer.origins[number]
-        if beside is None:
+        if resource is None:
             session.playback.segment_requested(self.loop.now, origin.ends_ms, composer.ended and number + 1 == len(composer.origins))
             if session.playback.is_stalled(self.loop.now, number):
                 self.stalled(session, origin)
@@ -241,9 +241,9 @@
             exchange.answer(503, frames.error_body("the play is being moved"), extra_headers="Retry-After: 1\r\n")
             return
         base = session.source.base if origin.item is None else self.item_from(session, origin)
-        exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, beside)}\r\n")
+        exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, resource)}\r\n")
 
-    def item_from(self, session: Session, origin: Origin) -> str:
+    def item_from(self, session: Session, origin: SegmentOrigin) -> str:
         """What goes before the address of an item's segment now."""
         piece = session.programme.pieces[origin.item]
         node = item_segment_node(piece, self.source_nodes(piece.nodes), origin.node, self.loop.now)
@@ -254,7 +254,7 @@
     def item_rate(self, piece: Piece) -> float:
         return self.house.deployment.ladder[-1] if piece.rate_kb is None else piece.rate_kb
 
-    def stalled(self, session: Session, origin: Origin) -> None:
+    def stalled(self, session: Session, origin: SegmentOrigin) -> None:
         """A node answered before and gives no segment: an item comes from another holder, a play is taken off it."""
         self.watch("segment stalls", session=session.name, node=origin.node if origin.item else session.source and session.source.node)
         if origin.item is not None:
@@ -281,7 +281,7 @@
         return composer.text()
 
     def choose(self, session: Session, placed: PlacedItem, lead_ms: float) -> ChosenSource:
-        """Decided beside us; an item whose playlist is not here yet is fetched now."""
+        """Decided resource us; an item whose playlist is not here yet is fetched now."""
         now = self.loop.now
         piece = session.programme.pieces[placed.item]
         nodes = piece.nodes + (session.programme.pieces[piece.shorter].nodes if piece.shorter else ())
--- a/laddergw/edge/sessions.py
+++ b/laddergw/edge/sessions.py
@@ -112,4 +112,4 @@
 
     def buffered_ms(self) -> float:
         """Listed and not yet played, ms: a new node may take this long."""
-        return max(0.0, self.composer.shown_ms - self.played_ms()) if self.composer is not None else 0.0
+        return max(0.0, self.composer.listed_ms - self.played_ms()) if self.composer is not None else 0.0
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -90,11 +90,11 @@
     def test_an_item_put_off_then_left_out(self):
         composer = Composer(titled(60), [placed(1, otherwise=LATER)])
         self.play(composer, [(k * 4_000.0, SegmentSource(1, 0, "a/")) for k in range(80)], {"n": notice()}, lambda p, lead: ChosenSource(p.item, later_ms=20_000.0))
-        self.assertEqual([d.done for d in composer.decisions], ["later"] * MAX_POSTPONEMENTS + ["left out"])
+        self.assertEqual([d.outcome for d in composer.decisions], ["later"] * MAX_POSTPONEMENTS + ["left out"])
         again = Composer(titled(60), [placed(1, otherwise=LATER)])
         tries = iter([ChosenSource("n", later_ms=20_000.0), ChosenSource("n", 1)])
         self.play(again, [(k * 4_000.0, SegmentSource(1, 0, "a/")) for k in range(80)], {"n": notice()}, lambda p, lead: next(tries))
-        self.assertEqual([d.done for d in again.decisions], ["later", "shown"])
+        self.assertEqual([d.outcome for d in again.decisions], ["later", "shown"])
 
     def test_an_item_that_cannot_be_had_or_cannot_stand_is_left_out_without_a_gap(self):
         for items, sections in (({}, False), ({"n": notice(sections=True)}, False), ({"n": notice()}, True),
@@ -102,14 +102,14 @@
             composer = Composer(titled(5, sections=sections), [placed(2)])
             self.play(composer, [(1e6, SegmentSource(1, 0, "a/"))], items)
             self.assertEqual(len(composer.origins), 5)
-            self.assertEqual([d.done for d in composer.decisions], ["left out"])
+            self.assertEqual([d.outcome for d in composer.decisions], ["left out"])
 
     def test_an_item_longer_than_the_target_stands_only_where_the_target_was_told_from_the_start(self):
         """A playlist's target duration never changes: what was not reckoned with is left out, whole."""
         for target, done in (0.0, "left out"), (8_000.0, "shown"):
             composer = Composer(titled(6), [placed(2)], target_ms=target)
             self.play(composer, [(0, SegmentSource(1, 0, "a/")), (1e6, SegmentSource(1, 0, "a/"))], {"n": notice(target=8_000.0, ms=7_600.0)})
-            self.assertEqual([d.done for d in composer.decisions], [done])
+            self.assertEqual([d.outcome for d in composer.decisions], [done])
 
     def test_sections_keys_and_ranges_stand_by_themselves(self):
         """Beside a segment its section and key go by the edge too, and each byte range tells its start."""
@@ -139,7 +139,7 @@
     def test_a_session_that_goes_on_elsewhere_shows_the_rest(self, count, from_ms, sections, timed):
         """Begun anew at any time, what comes is the programme from there on, sound from its first reload."""
         title = titled(count, (4_004.0, 2_000.0), sections, (0,))
-        first = title.place(float(from_ms))
+        first = title.resume_segment(float(from_ms))
         composer = Composer(title, [placed(p) for p in range(first + 1, count)], first=first)
         self.play(composer, [(k * 5_000.0, SegmentSource(1, 1, "http://a/")) for k in range(40)], {"n": notice(sections=sections)})
         shown = [s.uri.rpartition("/")[2] for s in composer.media().segments if not s.uri.startswith("items/")]
