--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -1,9 +1,8 @@
-"""The edge as viewers see it: a director whose plays are sessions with manifests. Carries; what it decides lies resource it.
+"""The edge as viewers see it: a director whose plays are sessions with manifests. It carries out what the modules beside it decide.
 
-POST /v1/sessions takes what POST /v1/plays takes and answers with the address of a master playlist; the rest is fetched. The
-media playlist of a session is built as it is asked for. See docs/stitching.md.
+POST /v1/sessions takes what POST /v1/plays takes and answers with the address of a master playlist; the player fetches the rest.
+A session's media playlist is composed as it is requested. See docs/stitching.md.
 """
-
 from typing import Callable, Iterable
 from zlib import crc32
 
@@ -28,15 +27,15 @@
 from laddergw.programme.schedule import PlacedItem, remaining_after_resume, schedule
 from laddergw.programme.sources import ChosenSource, SourceNode, choose, item_segment_node, is_cold, decide_unfetched, playlist_sources, link_share
 
-LOOK_MS = 500.0            # pace of looking over players: a leaving is seen within this
-ADDRESS_MS = 6 * 3_600_000.0   # a session's addresses hold so long: a long evening
-SEEK_MS = 300.0            # pause before a play_lost play asks again
-SEEK_WAIT_MS = 1_500.0     # least wait of such an ask
-FAILED_MS = 5_000.0        # a node that could not serve an item rests as a source
-REFRESHED = 8              # items' playlists looked after at each look: a few hundred before they are half their age
-TITLES_MOST = 2_000        # kept for the next session; those that play keep their own
+CHECK_INTERVAL_MS = 500.0  # between checks of the players: one that has left is noticed within this
+ADDRESS_TTL_MS = 6 * 3_600_000.0   # a session's addresses are valid for so long: a long evening
+RELOCATION_PAUSE_MS = 300.0    # before a lost play is requested again
+MIN_RELOCATION_WAIT_MS = 1_500.0   # shortest wait of such a request
+FAILED_SOURCE_MS = 5_000.0 # a node that could not serve an item is not used as a source for so long
+REFRESH_BATCH = 8          # items' playlists refreshed at each check: enough for a few hundred before they reach half their age
+MAX_TITLES = 2_000         # cached for later sessions; sessions under way keep their own
 MASTER, MEDIA = "master.m3u8", "media.m3u8"
-KIND = "application/vnd.apple.mpegurl"
+PLAYLIST_CONTENT_TYPE = "application/vnd.apple.mpegurl"
 
 
 class EdgeFront(Director):
@@ -44,26 +43,25 @@
 
     def __init__(self, loop, house, programme: Programme = Programme({}, ()), **more):
         self.sessions: dict[str, Session] = {}
-        self.ending: dict[str, Session] = {}       # over, their allocations not let go yet
+        self.ending: dict[str, Session] = {}       # over, with allocations that are not released yet
         self.fetcher = Fetcher(loop)
-        self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
-        self.failed: dict[int, float] = {}
+        self.programme, self.rule_index, self.item_names, self.next_item = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
+        self.failed_sources: dict[int, float] = {}
         self.item_load = ItemLoad(house.deployment.directors)
-        self.titles: dict[int, TitlePlaylists] = {}
-        self.session_numbers = 0
+        self.title_cache: dict[int, TitlePlaylists] = {}
+        self.session_count = 0
         super().__init__(loop, house, **more)
         self.pages["POST", "/v1/sessions"] = self.open_session
         self.ended_sessions: dict[str, int] = {}
-        loop.call_later(LOOK_MS, self.look)
+        loop.call_later(CHECK_INTERVAL_MS, self.check_players)
 
     def serve(self, exchange: Exchange) -> None:
         if exchange.path.startswith(f"/{addresses.PREFIX}/") and exchange.method == "GET":
             return self.serve_session(exchange)
         return super().serve(exchange)
 
-    # A session begins
-
     def open_session(self, exchange: Exchange) -> None:
+        """Handles POST /v1/sessions: requests the play; the viewer is answered once the playlists are fetched."""
         try:
             frame = frames.body_of(exchange.body, "session request")
             frames.read_request(exchange.body)
@@ -71,97 +69,97 @@
         except frames.MalformedFrame as error:
             exchange.answer(400, frames.error_body(str(error)))
             return
-        self.session_numbers += 1
-        name = f"{self.name}-{self.session_numbers}"
+        self.session_count += 1
+        name = f"{self.name}-{self.session_count}"
         session = self.sessions[name] = Session(self, name, exchange, frame)
-        exchange.on_disconnect = lambda: self.end(session, LEFT)
+        exchange.on_disconnect = lambda: self.end_session(session, LEFT)
         margin = self.bounds.answer_margin_ms
-        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.stall_ms, margin) + margin / 2, lambda: self.too_late(session))
-        self.ask(session, exchange.body, exchange.read_at, exchange.stall_ms)
+        self.loop.call_at(exchange.read_at + admission.remaining_wait_ms(frame["wait_ms"], exchange.stall_ms, margin) + margin / 2, lambda: self.answer_timed_out(session))
+        self.request_play(session, exchange.body, exchange.read_at, exchange.stall_ms)
 
-    def ask(self, session: Session, body: bytes, read_at: float, late: float = 0.0) -> None:
+    def request_play(self, session: Session, body: bytes, read_at: float, stall_ms: float = 0.0) -> None:
+        """Requests the session's play from this director, as a viewer would."""
         session.attempts += 1
-        session.play_exchange = PlayExchange(session, body, read_at, late)
+        session.play_exchange = PlayExchange(session, body, read_at, stall_ms)
         self.handle_play_request(session.play_exchange)
 
     def fetch_title(self, session: Session, answer: dict) -> None:
-        """The first node has set the play up: the playlists are fetched from it, then the viewer is answered."""
+        """The first node has set the play up: the title's playlists are fetched from it, then the viewer is answered."""
         title, terms = session.frame["title"], session.terms
         rungs: dict[int, Media | None] = {}
         count = len(self.house.deployment.ladder)
-
-        def got(rung: int, media: Media | None) -> None:
+        def on_rung(rung: int, media: Media | None) -> None:
             rungs[rung] = media
             if len(rungs) == count:
-                self.ready(session, answer, [rungs[k] for k in range(count)])
+                self.title_fetched(session, answer, [rungs[k] for k in range(count)])
         states = {node: (entry.state == face.READY and node in self.fleet.links, entry.cell) for node, entry in self.fleet.entries.items()} if terms.read_copies else {}
         frame, cells = session.frame, self.house.deployment.cells
         nodes = playlist_sources(answer["node"], states, int(frame.get("home", 0)), int(frame.get("copies", 0)), cells, terms.read_copies)
         sources = [tuple(answer["address"])] + [self.fleet.links[node].address for node in nodes[1:]]
         for rung in range(count):
-            self.fetcher.get(f"/v1/titles/{title}/{rung}.m3u8", sources, lambda media, rung=rung: got(rung, media), HedgePolicy(terms.read_copies, terms.copy_after_ms))
+            self.fetcher.get(f"/v1/titles/{title}/{rung}.m3u8", sources, lambda media, rung=rung: on_rung(rung, media), HedgePolicy(terms.read_copies, terms.copy_after_ms))
 
-    def ready(self, session: Session, answer: dict, rungs: list[Media | None]) -> None:
-        """The title's playlists are here: what stands before its first segment is fetched, then the viewer is answered."""
+    def title_fetched(self, session: Session, answer: dict, rungs: list[Media | None]) -> None:
+        """The title's playlists are fetched: those of the items before its first segment follow, then the viewer is answered."""
         if session.state == OVER:
             return
         try:
             if None in rungs:
                 raise ValueError("its playlists cannot be had")
-            title = self.title(session.frame["title"], tuple(rungs))
-            rules = self.index.find(session.frame.get("route", "/"), session.frame["product"], self.wall())
+            title = self.title_playlists(session.frame["title"], tuple(rungs))
+            rules = self.rule_index.find(session.frame.get("route", "/"), session.frame["product"], self.wall())
             placed = schedule(rungs[0], rules, self.programme, session.frame.get("length_ms") or float("inf"))
         except ValueError as error:
-            return self.fail(session, str(error))
+            return self.fail_session(session, str(error))
         from_ms, cut = session.frame["resume"]
         first = title.resume_segment(from_ms) if from_ms else 0
         placed = remaining_after_resume(placed, first, cut)
-        missing = {one.item for one in placed if one.before_segment <= first and not self.here(self.programme, one.item)}
-
-        def got(item: str) -> None:
+        missing = {one.item for one in placed if one.before_segment <= first and not self.has_playlist(self.programme, one.item)}
+        def on_item(item: str) -> None:
             missing.discard(item)
             if not missing:
                 self.begin_session(session, answer, title, placed, first)
         for item in sorted(missing):
-            self.prefetch(self.programme, item, got)
+            self.prefetch(self.programme, item, on_item)
         if not missing:
             self.begin_session(session, answer, title, placed, first)
 
     def begin_session(self, session: Session, answer: dict, title: TitlePlaylists, placed: list[PlacedItem], first: int) -> None:
+        """Answers the viewer with the address of the session's manifest."""
         if session.state == OVER:
             return
         session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
-        session.path = addresses.sign_path(self.house.keys, session.name, self.wall() + ADDRESS_MS, session.player, "")
-        session.composer = Composer(title, placed, lambda what: session.path + what, self.target(placed), first)
+        session.path = addresses.sign_path(self.house.keys, session.name, self.wall() + ADDRESS_TTL_MS, session.player, "")
+        session.composer = Composer(title, placed, lambda what: session.path + what, self.target_duration(placed), first)
         session.playback = PlaybackMonitor(self.loop.now, session.composer.target_ms, session.terms.first_segment_ms)
-        told = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
-        session.exchange.answer(200, frames.encode(told), extra_headers=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
+        body = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
+        session.exchange.answer(200, frames.encode(body), extra_headers=f"Set-Cookie: player={session.player}; HttpOnly\r\n")
         session.exchange.on_disconnect = None
 
-    def too_late(self, session: Session) -> None:
-        """The viewer's limit comes before its playlists do."""
+    def answer_timed_out(self, session: Session) -> None:
+        """Fails a session whose playlists are not fetched within the viewer's wait."""
         if session.composer is None and session.state != OVER:
-            self.fail(session, "time limit")
+            self.fail_session(session, "time limit")
 
-    def fail(self, session: Session, reason: str) -> None:
-        """Its set-up may have run, which the token must tell: a paid play is not set up again."""
+    def fail_session(self, session: Session, reason: str) -> None:
+        """Answers that the session failed. Its set-up may have run, and the token must say so: a paid play is not set up again."""
         earlier = tokens.PreviousAttempt(session.frame["key"], self.wall(), 1, True)
         if session.token is not None:
             earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(may_have_run=True)
         session.exchange.answer(502, frames.not_playing(face.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
-        self.end(session, "failed")
-
-    def title(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
-        """What sessions of a title link_share; made anew when its playlists were."""
-        known = self.titles.get(number)
-        if known is None or any(ours is not theirs for ours, theirs in zip(known.rungs, rungs)):
-            while len(self.titles) >= TITLES_MOST:
-                self.titles.pop(next(iter(self.titles)))
-            known = self.titles[number] = TitlePlaylists(rungs)
+        self.end_session(session, "failed")
+
+    def title_playlists(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
+        """What the sessions of a title share; made again once its playlists have changed."""
+        known = self.title_cache.get(number)
+        if known is None or any(old is not new for old, new in zip(known.rungs, rungs)):
+            while len(self.title_cache) >= MAX_TITLES:
+                self.title_cache.pop(next(iter(self.title_cache)))
+            known = self.title_cache[number] = TitlePlaylists(rungs)
         return known
 
-    def target(self, placed: list[PlacedItem]) -> float:
-        """The target duration that all items of a session need that are known by now, shorter ones included, ms."""
+    def target_duration(self, placed: list[PlacedItem]) -> float:
+        """The target duration for all items of a session whose playlists are cached by now, shorter replacements included, ms."""
         pieces = [self.programme.pieces[one.item] for one in placed]
         names = {piece.name for piece in pieces} | {piece.shorter for piece in pieces if piece.shorter is not None}
         known = [self.fetcher.cache.get(item_path(self.programme, name), self.loop.now) for name in sorted(names)]
@@ -169,65 +167,65 @@
 
     def reject_session(self, session: Session, status: int, body: bytes, extra: str) -> None:
         session.exchange.answer(status, body, extra_headers=extra)
-        self.end(session, "turned away")
-
-    # A play is play_lost under way: it is asked for again, at our own door
+        self.end_session(session, "turned away")
 
     def play_lost(self, session: Session, why: str) -> None:
+        """The play lost its node under way: it is requested again from this director."""
         self.watch("session seeks", session=session.name, why=why)
-        self.loop.call_later(SEEK_MS, lambda: self.relocate(session))
+        self.loop.call_later(RELOCATION_PAUSE_MS, lambda: self.relocate(session))
 
     def relocate(self, session: Session) -> None:
+        """Requests a lost play again, with what the player has buffered as its wait."""
         if session.state != RELOCATING:
             return
         left = session.buffered_ms()
         if self.stopping or left <= 0 and session.attempts > 1 and not session.composer.origins:
-            return self.end(session, "failed")
-        frame = session.frame | {"token": session.token, "wait_ms": max(SEEK_WAIT_MS, min(left, session.frame["wait_ms"])), "unsettled_ms": 0}
-        self.ask(session, frames.encode(frame), self.loop.now)
+            return self.end_session(session, "failed")
+        frame = session.frame | {"token": session.token, "wait_ms": max(MIN_RELOCATION_WAIT_MS, min(left, session.frame["wait_ms"])), "unsettled_ms": 0}
+        self.request_play(session, frames.encode(frame), self.loop.now)
 
     def relocate_later(self, session: Session, body: bytes) -> None:
-        retry = frames.body_of(body, "answer").get("retry_ms") or SEEK_MS
+        """No node serves the lost play now: retries after the answer's pause, while the player has something buffered."""
+        retry = frames.body_of(body, "answer").get("retry_ms") or RELOCATION_PAUSE_MS
         if session.buffered_ms() <= 0:
-            return self.end(session, "failed")
-        # Never sooner than SEEK_MS: a buffer of next to nothing would ask again in the same moment, for ever
-        self.loop.call_later(max(SEEK_MS, min(retry, session.buffered_ms())), lambda: self.relocate(session))
-
-    # What players fetch
+            return self.end_session(session, "failed")
+        # Never sooner than RELOCATION_PAUSE_MS: with an almost empty buffer it would retry at once, endlessly
+        self.loop.call_later(max(RELOCATION_PAUSE_MS, min(retry, session.buffered_ms())), lambda: self.relocate(session))
 
     def serve_session(self, exchange: Exchange) -> None:
+        """Answers a player's request for one of its session's files."""
         player = dict(part.strip().partition("=")[::2] for part in exchange.headers.get("cookie", "").split(";")).get("player")
         try:
-            asked = addresses.verify(self.house.keys, self.house.retired, exchange.path, player, self.wall())
-            session = self.sessions.get(asked.session)
+            requested = addresses.verify(self.house.keys, self.house.retired, exchange.path, player, self.wall())
+            session = self.sessions.get(requested.session)
             if session is None or session.composer is None:
                 raise addresses.AddressRejected(410, "the session is over")
         except addresses.AddressRejected as error:
-            return self.refuse(exchange, error)
-        if asked.name == MASTER:
-            self.answer_playlist(exchange, self.master(session))
-        elif asked.name == MEDIA:
-            self.answer_playlist(exchange, self.media(session))
-        elif (shown := addresses.parse_resource_name(asked.name, SEGMENT_PREFIX, RESOURCE_PREFIX)) is not None:
-            self.segment(session, exchange, *shown)
+            return self.reject_address(exchange, error)
+        if requested.name == MASTER:
+            self.answer_playlist(exchange, self.master_playlist(session))
+        elif requested.name == MEDIA:
+            self.answer_playlist(exchange, self.media_playlist(session))
+        elif (shown := addresses.parse_resource_name(requested.name, SEGMENT_PREFIX, RESOURCE_PREFIX)) is not None:
+            self.redirect_segment(session, exchange, *shown)
         else:
             exchange.answer(404, frames.error_body("no such playlist"))
 
-    def refuse(self, exchange: Exchange, error: addresses.AddressRejected) -> None:
-        """Whoever is told that a session is over asks for another, here or elsewhere: not before its allocation is let go."""
+    def reject_address(self, exchange: Exchange, error: addresses.AddressRejected) -> None:
+        """A viewer that learns that its session is over requests another, here or elsewhere: it must not learn it before the allocation is released."""
         ending = self.ending.get(exchange.path.split("/")[2])
         if ending is not None and not ending.play_exchange.settled:
             return exchange.answer(503, frames.error_body("the session ends"), extra_headers="Retry-After: 1\r\n") and None
         exchange.answer(error.status, frames.error_body(str(error)))
         return None
 
-    def forget(self, ply: Attempt) -> None:
-        super().forget(ply)
-        if isinstance(ply.exchange, PlayExchange):
-            ply.exchange.settled = True
+    def forget(self, attempt: Attempt) -> None:
+        super().forget(attempt)
+        if isinstance(attempt.exchange, PlayExchange):
+            attempt.exchange.settled = True
 
-    def segment(self, session: Session, exchange: Exchange, number: int, resource: int | None) -> None:
-        """Sends the player to the bytes: the node in charge now for the programme, any holder that is ready for an item."""
+    def redirect_segment(self, session: Session, exchange: Exchange, number: int, resource: int | None) -> None:
+        """Redirects the player to the bytes: of the programme on the play's node now, of an item on any ready node that holds it."""
         composer = session.composer
         if number >= len(composer.origins) or resource is not None and resource >= len(composer.origins[number].resources):
             exchange.answer(404, frames.error_body("a segment that was not shown"))
@@ -236,15 +234,15 @@
         if resource is None:
             session.playback.segment_requested(self.loop.now, origin.ends_ms, composer.ended and number + 1 == len(composer.origins))
             if session.playback.is_stalled(self.loop.now, number):
-                self.stalled(session, origin)
+                self.segment_stalled(session, origin)
         if origin.item is None and session.source is None:
             exchange.answer(503, frames.error_body("the play is being moved"), extra_headers="Retry-After: 1\r\n")
             return
-        base = session.source.base if origin.item is None else self.item_from(session, origin)
+        base = session.source.base if origin.item is None else self.item_base_now(session, origin)
         exchange.answer(302, b"", "text/plain", f"Location: {origin.address(base, resource)}\r\n")
 
-    def item_from(self, session: Session, origin: SegmentOrigin) -> str:
-        """What goes before the address of an item's segment now."""
+    def item_base_now(self, session: Session, origin: SegmentOrigin) -> str:
+        """The base URL for an item's segment now."""
         piece = session.programme.pieces[origin.item]
         node = item_segment_node(piece, self.source_nodes(piece.nodes), origin.node, self.loop.now)
         if self.tap is not None:
@@ -252,47 +250,50 @@
         return origin.base if node not in self.fleet.links else item_base(self.fleet.links[node].address)
 
     def item_rate(self, piece: Piece) -> float:
+        """kB per second of an item's segments."""
         return self.house.deployment.ladder[-1] if piece.rate_kb is None else piece.rate_kb
 
-    def stalled(self, session: Session, origin: SegmentOrigin) -> None:
-        """A node answered before and gives no segment: an item comes from another holder, a play is taken off it."""
+    def segment_stalled(self, session: Session, origin: SegmentOrigin) -> None:
+        """A node answered before and now delivers no segment: an item is fetched from another node, a play is moved off this one."""
         self.watch("segment stalls", session=session.name, node=origin.node if origin.item else session.source and session.source.node)
         if origin.item is not None:
-            self.failed[origin.node] = self.loop.now + FAILED_MS
+            self.failed_sources[origin.node] = self.loop.now + FAILED_SOURCE_MS
         elif session.state == PLAYING:
-            for ply in [ply for ply in self.attempts.values() if ply.exchange is session.play_exchange]:
-                self.remove_from_node(ply, LOST)
+            for attempt in [attempt for attempt in self.attempts.values() if attempt.exchange is session.play_exchange]:
+                self.remove_from_node(attempt, LOST)
 
     @staticmethod
     def answer_playlist(exchange: Exchange, text: bytes) -> None:
-        exchange.answer(200, text, KIND, "Cache-Control: no-store\r\n")
+        exchange.answer(200, text, PLAYLIST_CONTENT_TYPE, "Cache-Control: no-store\r\n")
 
-    def master(self, session: Session) -> bytes:
-        """One variant: which rung it is, is the module's choice."""
+    def master_playlist(self, session: Session) -> bytes:
+        """The multivariant playlist has one variant: the control module chooses the rung."""
         rate = int(self.house.deployment.ladder[-1] * 8_000)
         return f"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH={rate}\n{session.path}{MEDIA}\n".encode()
 
-    def media(self, session: Session) -> bytes:
+    def media_playlist(self, session: Session) -> bytes:
+        """The media playlist, extended as far as the player needs it now."""
         composer, playback, now = session.composer, session.playback, self.loop.now
         if session.source is not None and session.state == PLAYING:
-            composer.extend(session.played_ms(), session.source, lambda placed, lead: self.choose(session, placed, lead),
-                            lambda chosen: self.served(session, chosen))
+            composer.extend(session.played_ms(), session.source, lambda placed, lead: self.choose_source(session, placed, lead),
+                            lambda chosen: self.available_item(session, chosen))
         playback.playlist_requested(now)
         return composer.text()
 
-    def choose(self, session: Session, placed: PlacedItem, lead_ms: float) -> ChosenSource:
-        """Decided resource us; an item whose playlist is not here yet is fetched now."""
+    def choose_source(self, session: Session, placed: PlacedItem, lead_ms: float) -> ChosenSource:
+        """Passes the decision on to programme/sources.py; a playlist that is not cached yet is fetched now."""
         now = self.loop.now
         piece = session.programme.pieces[placed.item]
         nodes = piece.nodes + (session.programme.pieces[piece.shorter].nodes if piece.shorter else ())
         span = now + lead_ms, now + lead_ms + piece.length_ms
         chosen = choose(placed.rule, placed.item, session.programme, self.source_nodes(nodes, span), session.source.node, now, now + lead_ms)
-        if chosen.item is not None and chosen.node is not None and not self.here(session.programme, chosen.item):
+        if chosen.item is not None and chosen.node is not None and not self.has_playlist(session.programme, chosen.item):
             self.prefetch(session.programme, chosen.item)
             return decide_unfetched(placed.rule, placed.item, lead_ms, "its playlist is being fetched")
         return chosen
 
-    def served(self, session: Session, chosen: ChosenSource) -> AvailableItem | None:
+    def available_item(self, session: Session, chosen: ChosenSource) -> AvailableItem | None:
+        """The chosen item, and its load recorded; None where its playlist or its node is gone."""
         media = self.fetcher.cache.get(item_path(session.programme, chosen.item), self.loop.now)
         link = self.fleet.links.get(chosen.node)
         if media is None or link is None:
@@ -302,78 +303,76 @@
             self.item_load.add(chosen.node, self.item_rate(piece), since, since + piece.length_ms)
         return AvailableItem(Item(chosen.item, media), item_base(link.address), chosen.node)
 
-    def here(self, programme: Programme, item: str) -> bool:
+    def has_playlist(self, programme: Programme, item: str) -> bool:
         return self.fetcher.cache.get(item_path(programme, item), self.loop.now) is not None
 
     def prefetch(self, programme: Programme, item: str, then: Callable[[str], None] = lambda item: None) -> None:
-        holders = [node for node, holder in sorted(self.source_nodes(programme.pieces[item].nodes).items()) if holder.ready]
-        links = [self.fleet.links[node].address for node in holders]
-
-        def got(media: Media | None) -> None:
+        """Fetches an item's playlist from the ready nodes that hold it, and calls `then` either way."""
+        nodes = [node for node, source in sorted(self.source_nodes(programme.pieces[item].nodes).items()) if source.ready]
+        node_addresses = [self.fleet.links[node].address for node in nodes]
+        def on_playlist(media: Media | None) -> None:
             if media is None:
-                self.failed.update({node: self.loop.now + FAILED_MS for node in holders})
+                self.failed_sources.update({node: self.loop.now + FAILED_SOURCE_MS for node in nodes})
             then(item)
-        self.fetcher.refetch(item_path(programme, item), links, got)
+        self.fetcher.refetch(item_path(programme, item), node_addresses, on_playlist)
 
     def change_programme(self, programme: Programme) -> None:
-        """New rules hold for sessions that begin from now on."""
-        self.programme, self.index, self.item_names, self.item_turn = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
+        """New rules apply to sessions that begin from now on."""
+        self.programme, self.rule_index, self.item_names, self.next_item = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.watch("rules changed", rules=len(programme.rules), items=len(programme.pieces))
 
     def source_nodes(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
-        """What is known of some nodes as sources of items: readiness, warmth, what our plays take of their links, and our items then."""
+        """Some nodes as sources of items: whether ready and cold, and the shares of their links that plays and, in a span, items take."""
         found, now, deployment = {}, self.loop.now, self.house.deployment
         for node in nodes:
             entry, link = self.fleet.entries.get(node), self.fleet.links.get(node)
             if entry is None:
                 continue
-            width = entry.weight * deployment.link_unit
-            plays = sum(self.rate(ply) for ply in self.attempts_by_node.get(node, {}).values() if ply.allocation is not None)
+            link_kb = entry.weight * deployment.link_unit
+            plays_kb = sum(self.rate(attempt) for attempt in self.attempts_by_node.get(node, {}).values() if attempt.allocation is not None)
             found[node] = SourceNode(
-                node, entry.state == face.READY and link is not None and link.session.up,
-                is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now), self.failed.get(node, 0.0),
-                link_share(plays * deployment.directors, width), link_share(self.item_load.rate(node, *span), width))
+                node, entry.state == face.READY and link is not None and link.session.up, is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now),
+                self.failed_sources.get(node, 0.0), link_share(plays_kb * deployment.directors, link_kb), link_share(self.item_load.rate(node, *span), link_kb))
         return found
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
-        """Sessions whose addresses were signed by a key that is taken no more end: their players get 403 and come again."""
+        """Sessions whose addresses were signed by a key that is no longer accepted end: their players get 403 and come again."""
         super().change_keys(keys, retired)
-        taken = {name for name, _ in keys} - retired
+        accepted = {name for name, _ in keys} - retired
         for session in list(self.sessions.values()):
-            if session.path and addresses.key_id_of(session.path) not in taken:
-                self.end(session, "key retired")
+            if session.path and addresses.key_id_of(session.path) not in accepted:
+                self.end_session(session, "key retired")
 
     def session_up(self, link: Link) -> None:
-        """A node that holds items can be asked: what is not here yet is fetched ahead of any splice."""
+        """A node can be reached: playlists of its items that are not cached yet are fetched ahead of any splice."""
         super().session_up(link)
-        for item in self.item_names[:REFRESHED * REFRESHED]:
-            if link.node in self.programme.pieces[item].nodes and not self.here(self.programme, item):
+        for item in self.item_names[:REFRESH_BATCH * REFRESH_BATCH]:
+            if link.node in self.programme.pieces[item].nodes and not self.has_playlist(self.programme, item):
                 self.prefetch(self.programme, item)
 
-    def refresh(self) -> None:
-        """Some of the items' playlists, in turn, before they grow too old: a splice finds them here."""
+    def refresh_items(self) -> None:
+        """Fetches some of the items' playlists, in turn, before they are too old, so that a splice finds them cached."""
         names = self.item_names
-        for turn in range(self.item_turn, self.item_turn + min(REFRESHED, len(names))):
+        for turn in range(self.next_item, self.next_item + min(REFRESH_BATCH, len(names))):
             item = names[turn % len(names)]
             if self.fetcher.cache.is_stale(item_path(self.programme, item), self.loop.now):
                 self.prefetch(self.programme, item)
-        self.item_turn = (self.item_turn + REFRESHED) % max(1, len(names))
-
-    # Players that have gone
+        self.next_item = (self.next_item + REFRESH_BATCH) % max(1, len(names))
 
-    def look(self) -> None:
-        self.refresh()
+    def check_players(self) -> None:
+        """Ends the sessions of players that have finished or left, and refreshes some items."""
+        self.refresh_items()
         for session in list(self.sessions.values()):
             if session.playback is not None and session.playback.check(self.loop.now).state in (ENDED, LEFT):
-                self.end(session, session.playback.state)
+                self.end_session(session, session.playback.state)
         for name in [name for name, session in self.ending.items() if session.play_exchange.settled]:
             del self.ending[name]
         self.item_load.drop_expired(self.fleet.links, self.loop.now)
         if self.loop.running:
-            self.loop.call_later(LOOK_MS, self.look)
+            self.loop.call_later(CHECK_INTERVAL_MS, self.check_players)
 
-    def end(self, session: Session, how: str) -> None:
-        """The session is over: its play is left, its addresses are of no more use."""
+    def end_session(self, session: Session, how: str) -> None:
+        """Ends a session: its play is left, and its addresses are of no more use."""
         if session.state == OVER:
             return
         session.state = OVER
@@ -386,7 +385,7 @@
             play_exchange.on_disconnect()
 
     def stop_accepting(self) -> None:
-        """Players of what still plays come in by new connections: the door turns new sessions away by itself."""
+        """Does nothing: players of sessions under way come in by new connections, and admission rejects new sessions by itself."""
 
     def shut_down(self) -> None:
         self.fetcher.close()
@@ -398,4 +397,5 @@
 
 
 def item_base(address: tuple[str, int]) -> str:
+    """The base URL of the items on a node."""
     return f"http://{address[0]}:{address[1]}/v1/items/"
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -211,8 +211,8 @@
         self.town.run(3_000)
         front = self.town.directors[0]
         session = next(iter(front.sessions.values()))
-        asked, ask = [], front.ask
-        front.ask = lambda *args: asked.append(front.loop.now) or ask(*args)
+        asked, ask = [], front.request_play
+        front.request_play = lambda *args: asked.append(front.loop.now) or ask(*args)
         session.buffered_ms = lambda: 1e-10
         for number in self.town.nodes:
             self.town.fault(number, "die")
