--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -6,7 +6,7 @@
 from typing import Callable, Iterable
 from zlib import crc32
 
-from laddergw import interface as face
+from laddergw import interface
 from laddergw.director import frames, tokens
 from laddergw.machines import admission
 from laddergw.director.allocation_calls import LOST
@@ -92,7 +92,7 @@
             rungs[rung] = media
             if len(rungs) == count:
                 self.title_fetched(session, answer, [rungs[k] for k in range(count)])
-        states = {node: (entry.state == face.READY and node in self.fleet.links, entry.cell) for node, entry in self.fleet.entries.items()} if terms.read_copies else {}
+        states = {node: (entry.state == interface.READY and node in self.fleet.links, entry.cell) for node, entry in self.fleet.entries.items()} if terms.read_copies else {}
         frame, cells = session.frame, self.house.deployment.cells
         nodes = playlist_sources(answer["node"], states, int(frame.get("home", 0)), int(frame.get("copies", 0)), cells, terms.read_copies)
         sources = [tuple(answer["address"])] + [self.fleet.links[node].address for node in nodes[1:]]
@@ -146,7 +146,7 @@
         earlier = tokens.PreviousAttempt(session.frame["key"], self.wall(), 1, True)
         if session.token is not None:
             earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(may_have_run=True)
-        session.exchange.answer(502, frames.not_playing(face.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
+        session.exchange.answer(502, frames.not_playing(interface.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
         self.end_session(session, "failed")
 
     def title_playlists(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
@@ -331,7 +331,7 @@
             link_kb = entry.weight * deployment.link_unit
             plays_kb = sum(self.rate(attempt) for attempt in self.attempts_by_node.get(node, {}).values() if attempt.allocation is not None)
             found[node] = SourceNode(
-                node, entry.state == face.READY and link is not None and link.session.up, is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now),
+                node, entry.state == interface.READY and link is not None and link.session.up, is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now),
                 self.failed_sources.get(node, 0.0), link_share(plays_kb * deployment.directors, link_kb), link_share(self.item_load.rate(node, *span), link_kb))
         return found
 
