--- a/laddergw/edge/addresses.py
+++ b/laddergw/edge/addresses.py
@@ -13,7 +13,7 @@
 PREFIX = "s"
 
 
-class AddressRejected(Exception):
+class AddressError(Exception):
     """An address that is not accepted, with the HTTP status and the reason."""
 
     def __init__(self, status: int, reason: str):
@@ -58,22 +58,22 @@
 
 
 def verify(keys: Keys, retired: frozenset[str], path: str, player: str | None, now_ms: float) -> RequestedResource:
-    """Checks a path at a time. Raises AddressRejected: 404 where it is no address, 403 for a wrong signature, key or player, 410 once it has expired."""
+    """Checks a path at a time. Raises AddressError: 404 where it is no address, 403 for a wrong signature, key or player, 410 once it has expired."""
     parts = path.split("/")
     if len(parts) != 5 or parts[0] or parts[1] != PREFIX or not parts[2] or not parts[4]:
-        raise AddressRejected(404, "not a session's address")
+        raise AddressError(404, "not a session's address")
     session, stamp, name = parts[2], parts[3].split("."), parts[4]
     if len(stamp) != 3 or not stamp[0].isascii() or not stamp[0].isdigit() or len(stamp[0]) > 16:
-        raise AddressRejected(404, "not a session's address")
+        raise AddressError(404, "not a session's address")
     secret = dict(keys).get(stamp[1])
     if stamp[1] in retired or secret is None:
-        raise AddressRejected(403, "signed by a key that is not taken any more" if stamp[1] in retired else "signed by an unknown key")
+        raise AddressError(403, "signed by a key that is not taken any more" if stamp[1] in retired else "signed by an unknown key")
     try:
         received = unpack(stamp[2])
     except ValueError:
-        raise AddressRejected(403, "its mark is wrong") from None
+        raise AddressError(403, "its mark is wrong") from None
     if not hmac.compare_digest(received, signature(secret, session, int(stamp[0]), player or "")):
-        raise AddressRejected(403, "its mark is wrong, or it is another player's")
+        raise AddressError(403, "its mark is wrong, or it is another player's")
     if now_ms > int(stamp[0]):
-        raise AddressRejected(410, "it has expired")
+        raise AddressError(410, "it has expired")
     return RequestedResource(session, name)
--- a/laddergw/edge/composer.py
+++ b/laddergw/edge/composer.py
@@ -18,7 +18,7 @@
 
 # Listed beyond what is being played: two segments of six seconds, enough for a player to start and not to stall
 AHEAD_MS = 12_000.0
-# A viewer's sum of durations may differ so far from the one here
+# A viewer's sum of durations may differ so far from the edge's
 RESUME_TOLERANCE_MS = 1.0
 # An item is postponed so often, then left out
 MAX_POSTPONEMENTS = 3
@@ -160,7 +160,7 @@
         return self.record_decision(placed, available.item.name, "shown", chosen.why)
 
     def postpone(self, placed: PlacedItem, chosen: ChosenSource) -> None:
-        """Moves an item to a later segment; leaves it out once it was postponed too often or would stand at the programme's end."""
+        """Moves an item to a later segment; leaves it out once it was postponed too often or would come at the programme's end."""
         times = self.postponements[placed.rule.name] = self.postponements.get(placed.rule.name, 0) + 1
         at = self.starts[min(placed.before_segment, len(self.starts) - 1)] + chosen.later_ms
         index = next((k for k, start in enumerate(self.starts) if start >= at), None)
@@ -191,7 +191,7 @@
         elif segment.time_ms is not None:
             segment = segment._replace(time_ms=self.programme_time(), time_text="")
         if shift and segment.date_ranges:
-            segment = segment._replace(date_ranges=tuple(shift_start_date(found, shift) for found in segment.date_ranges))
+            segment = segment._replace(date_ranges=tuple(shift_start_date(date_range, shift) for date_range in segment.date_ranges))
         self.append(segment, source.base, source.node)
         self.last_source, self.next = source, self.next + 1
 
@@ -208,12 +208,12 @@
         """Lists a segment: its own address and those of its keys and section are replaced, and its origin is kept."""
         number, resources = len(self.origins), []
 
-        def with_address(found: Attributes) -> Attributes:
-            uri = found.get("URI")
+        def with_address(tag: Attributes) -> Attributes:
+            uri = tag.get("URI")
             if uri is None:
-                return found
+                return tag
             resources.append(uri)
-            return found.with_value("URI", urljoin(base, uri) if self.address_of is None
+            return tag.with_value("URI", urljoin(base, uri) if self.address_of is None
                                     else self.address_of(f"{RESOURCE_PREFIX}{number}-{len(resources) - 1}"))
         self.active_tags = ActiveTags(segment.keys or self.active_tags.keys, segment.map or self.active_tags.map)
         uri = segment.uri
@@ -230,9 +230,9 @@
 
     def media(self) -> Media:
         """text(), parsed."""
-        found = read(self.text())
-        assert isinstance(found, Media)
-        return found
+        playlist = read(self.text())
+        assert isinstance(playlist, Media)
+        return playlist
 
 
 def required_target_ms(media: Media) -> float:
@@ -240,9 +240,9 @@
     return max(int(segment.duration_ms / 1000 + 0.5) * 1000.0 for segment in media.segments)
 
 
-def shift_start_date(found: Attributes, shift: float) -> Attributes:
+def shift_start_date(date_range: Attributes, shift: float) -> Attributes:
     """Moves the START-DATE of a date range by ms; one without a readable date stays as it is."""
     try:
-        return found.with_value("START-DATE", time_text(time_ms(found.get("START-DATE") or "") + shift))
+        return date_range.with_value("START-DATE", time_text(time_ms(date_range.get("START-DATE") or "") + shift))
     except ValueError:
-        return found
+        return date_range
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -199,8 +199,8 @@
             requested = addresses.verify(self.house.keys, self.house.retired, exchange.path, player, self.wall())
             session = self.sessions.get(requested.session)
             if session is None or session.composer is None:
-                raise addresses.AddressRejected(410, "the session is over")
-        except addresses.AddressRejected as error:
+                raise addresses.AddressError(410, "the session is over")
+        except addresses.AddressError as error:
             return self.reject_address(exchange, error)
         if requested.name == MASTER:
             self.answer_playlist(exchange, self.master_playlist(session))
@@ -211,7 +211,7 @@
         else:
             exchange.answer(404, frames.error_body("no such playlist"))
 
-    def reject_address(self, exchange: Exchange, error: addresses.AddressRejected) -> None:
+    def reject_address(self, exchange: Exchange, error: addresses.AddressError) -> None:
         """A viewer that learns that its session is over requests another, here or elsewhere: it must not learn it before the allocation is released."""
         ending = self.ending.get(exchange.path.split("/")[2])
         if ending is not None and not ending.play_exchange.settled:
@@ -323,17 +323,17 @@
 
     def source_nodes(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
         """Some nodes as sources of items: whether ready and cold, and the shares of their links that plays and, in a span, items take."""
-        found, now, deployment = {}, self.loop.now, self.house.deployment
+        sources, now, deployment = {}, self.loop.now, self.house.deployment
         for node in nodes:
             entry, link = self.fleet.entries.get(node), self.fleet.links.get(node)
             if entry is None:
                 continue
             link_kb = entry.weight * deployment.link_unit
             plays_kb = sum(self.rate(attempt) for attempt in self.attempts_by_node.get(node, {}).values() if attempt.allocation is not None)
-            found[node] = SourceNode(
+            sources[node] = SourceNode(
                 node, entry.state == interface.READY and link is not None and link.session.up, is_cold(self.fleet.process_starts[node][1], deployment.warm_ms, now),
                 self.failed_sources.get(node, 0.0), link_share(plays_kb * deployment.directors, link_kb), link_share(self.item_load.rate(node, *span), link_kb))
-        return found
+        return sources
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
         """Sessions whose addresses were signed by a key that is no longer accepted end: their players get 403 and come again."""
--- a/laddergw/edge/watching.py
+++ b/laddergw/edge/watching.py
@@ -34,7 +34,7 @@
         self.number, self.request_count, self.first_request_at = -1, 0, now
 
     def is_stalled(self, now: float, number: int) -> bool:
-        """Counts a request for segment `number`; True once it is requested again and again, so that its node must be taken for stalled.
+        """Counts a request for segment `number`; True once it is requested again and again, so that its node counts as stalled.
         A player that seeks back requests other segments in between."""
         if number != self.number:
             self.number, self.request_count, self.first_request_at = number, 0, now
--- a/laddergw/programme/sources.py
+++ b/laddergw/programme/sources.py
@@ -19,7 +19,7 @@
 
 
 class SourceNode(NamedTuple):
-    """A node as a source of items. `play_share`: share of its link taken by plays; `item_share`: share of its link taken by items."""
+    """A node as a source of items. `play_share`: share of its link taken by plays, as last known; `item_share`: share of its link taken by items."""
     node: int
     ready: bool
     cold: bool
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -154,7 +154,7 @@
 
 class AddressTest(unittest.TestCase):
     def assert_rejected(self, status, path, player="p", now=5_000.0, keys=KEYS, retired=frozenset()):
-        with self.assertRaises(addresses.AddressRejected) as caught:
+        with self.assertRaises(addresses.AddressError) as caught:
             addresses.verify(keys, retired, path, player, now)
         self.assertEqual(caught.exception.status, status, str(caught.exception))
 
@@ -174,9 +174,9 @@
     @settings(max_examples=200)
     @given(st.text(max_size=40))
     def test_malformed_addresses_are_rejected(self, text):
-        with self.assertRaises(addresses.AddressRejected):
+        with self.assertRaises(addresses.AddressError):
             addresses.verify(KEYS, frozenset(), text, "p", 0.0)
-        with self.assertRaises(addresses.AddressRejected):
+        with self.assertRaises(addresses.AddressError):
             addresses.verify(KEYS, frozenset(), f"/s/a/{text}/b", "p", 0.0)
 
 
