--- a/benchmarks/limits_random.py
+++ b/benchmarks/limits_random.py
@@ -27,8 +27,8 @@
     limits = limits_file.read(text, settings.names, default_terms(settings))
 
     class LimitedDirector(Director):
-        def __init__(self, loop, house, **more):
-            super().__init__(loop, house, limits=limits, **more)
+        def __init__(self, loop, director_file, **more):
+            super().__init__(loop, director_file, limits=limits, **more)
     records = MemoryStage(the_plant, bad_day(the_plant), LimitedDirector).run()
     verdict = audit.audit(the_plant, records)
     problems = [broken.what for broken in verdict.breaks] + ["dropped"] * lab.switched(records)["dropped"] + ["without an outcome"] * verdict.without
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -42,10 +42,10 @@
 class DirectorStub:
     """The parts of a director that its connection to the planner needs."""
 
-    def __init__(self, world: MemoryNetwork, house, number: int, nodes: int):
-        self.loop, self.house, self.name = world.host(f"d{number}"), house._replace(number=number), f"d{number}-0"
-        self.limits, self.watch, self.pages, self.attempts, self.attempts_by_node = Limits("built in", default_terms(house)), lambda what, **facts: None, {}, {}, {}
-        self.stopping, self.bounds, self.random_fraction, self.rate = False, house.bounds, lambda: 0.5, lambda ply: 100.0
+    def __init__(self, world: MemoryNetwork, director_file, number: int, nodes: int):
+        self.loop, self.director_file, self.name = world.host(f"d{number}"), director_file._replace(number=number), f"d{number}-0"
+        self.limits, self.watch, self.pages, self.attempts, self.attempts_by_node = Limits("built in", default_terms(director_file)), lambda what, **facts: None, {}, {}, {}
+        self.stopping, self.bounds, self.random_fraction, self.rate = False, director_file.bounds, lambda: 0.5, lambda ply: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
         self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, on_change=lambda *given: None)
         self.controller = SimpleNamespace(observe_load=None)
@@ -71,16 +71,16 @@
         host = world.host("p0")
         self.planner = Planner(host, "p0.1", ("p0", 8300), Store(os.path.join(folder, "store")), (("lab", b"key of the planners"),), clock=lambda: time.perf_counter() * 1000)
         self.time_turns(host)
-        house = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
+        director_file = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
         self.lines, self.directors, self.sides = Lines(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
-            director = DirectorStub(world, house, number, nodes)
+            director = DirectorStub(world, director_file, number, nodes)
             line = self.lines.line(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
             side = PlannerClient(director, (line.address,), (("lab", b"key of the planners"),))
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
                 stream.write(b"(limits)")
-            side.audit.accept_files(LimitsFile(director.loop, path, InProcessCheck(director.house), director.change_limits, director.limits_refused, b"(limits)").bring)
+            side.audit.accept_files(LimitsFile(director.loop, path, InProcessCheck(director.director_file), director.change_limits, director.limits_refused, b"(limits)").bring)
             self.directors.append(director)
             self.sides.append(side)
 
@@ -131,7 +131,7 @@
     world = fleet.world
     world.run(world.now + 3_000)
     data = b"(limits (defaults (attempts 2)))\n; " + b"x" * PADDING_BYTES
-    name = versions.version(versions.LIMITS, limits_text(load(data, "wanted", fleet.directors[0].house).limits)).hash
+    name = versions.version(versions.LIMITS, limits_text(load(data, "wanted", fleet.directors[0].director_file).limits)).hash
     fleet.planner.loop.now = world.now
     answer = json.loads(fleet.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS})))
     assert "refused" not in answer, answer
--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -88,7 +88,7 @@
         self.concurrency.for_node(attempt.allocation.node).record_answer(max(0.0, self.loop.now - attempt.set_up_sent_at))
         report, notes, well_formed = (), [], True
         try:
-            report, notes = frames.read_set_up_answer(call.body, self.house.deployment.reports)
+            report, notes = frames.read_set_up_answer(call.body, self.director_file.deployment.reports)
         except frames.MalformedFrame as error:
             well_formed = False
             self.watch("bad answer", node=attempt.allocation.node, reason=str(error))
@@ -145,7 +145,7 @@
         link = self.fleet.links.get(allocation.node)
         self.watch("answer", play=attempt.id, answer="playing", product=attempt.request.product, tries=attempt.previous.attempts,
                    own_ms=self.loop.read_clock() - attempt.requested_at - attempt.node_time_ms, first_ms=now - attempt.requested_at, reason="")
-        attempt.exchange.begin(200, frames.playing(tokens.sign(self.house.keys, attempt.previous), allocation.node,
+        attempt.exchange.begin(200, frames.playing(tokens.sign(self.director_file.keys, attempt.previous), allocation.node,
                                                    link.address if link else ("", 0), allocation.name, allocation.rung, self.rate(attempt)))
         self.feed(self.controller.play_started, now, attempt.id, allocation.number, now - allocation.requested_at, allocation.node)
 
@@ -196,7 +196,7 @@
             outcome = interface.UNREACHABLE
         if outcome == interface.SERVED:
             try:
-                report = frames.read_probe_answer(call.body, self.house.deployment.reports)
+                report = frames.read_probe_answer(call.body, self.director_file.deployment.reports)
             except frames.MalformedFrame as error:
                 outcome = interface.ERROR
                 self.watch("bad answer", node=node, reason=str(error))
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -39,7 +39,7 @@
 
     def __init__(self, loop, director_file: DirectorFile, wall: Callable[[], float] = lambda: time.time() * 1000,
                  tap: Callable | None = None, watch: Callable = ignore_event, limits: Limits | None = None):
-        self.loop, self.house, self.wall, self.tap, self.watch = loop, director_file, wall, tap, watch
+        self.loop, self.director_file, self.wall, self.tap, self.watch = loop, director_file, wall, tap, watch
         self.bounds = director_file.bounds
         self.products = {name: index for index, name in enumerate(director_file.names)}
         built_in = built_in_terms(director_file.bounds.max_lease_ms, allocation_machine.CONFIRM_GRACE_MS)
@@ -63,7 +63,7 @@
         self.server = Server(loop, director_file.listen, self.serve, PeerLimits(max_connections=self.bounds.max_connections), tap)
         self.address = self.server.address
         self.pages: dict[tuple[str, str], Callable[[Exchange], None]] = {("POST", "/v1/plays"): self.handle_play_request, ("POST", "/v1/mail"): self.peer_message_received}
-        self.messages = DirectorMessages(loop, director_file.number, director_file.peers, lambda: self.house.keys, wall)
+        self.messages = DirectorMessages(loop, director_file.number, director_file.peers, lambda: self.director_file.keys, wall)
         loop.on_turn_end(self.finish_turn)
         if not director_file.deployment.must_ask:
             self.fleet.request_list()
@@ -80,7 +80,7 @@
         self.generations.switch(limits, self.loop.now)
         self.budgets.configure(budget_terms(limits))
         self.concurrency.change_kind(limits.adaptive)
-        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.house.deployment, self.house.names, limits))
+        self.feed(self.controller.update_deployment, self.loop.now, deployment_with(self.director_file.deployment, self.director_file.names, limits))
         self.watch("limits changed", generation=self.generations.current.number, lines=len(changed))
         if self.tap is not None:
             self.tap("limits changed", self.loop.now, {"generation": self.generations.current.number, "older": len(self.generations.older), "lines": changed})
@@ -90,9 +90,9 @@
         """Puts the reloaded file's keys, deployment and peers in force; running plays keep the terms of their admission.
         What needs a restart stays as it is. Going back to the former file is the same step."""
         self.change_keys(director_file.keys, director_file.retired)
-        if (director_file.names, director_file.deployment, director_file.peers) == (self.house.names, self.house.deployment, self.house.peers):
+        if (director_file.names, director_file.deployment, director_file.peers) == (self.director_file.names, self.director_file.deployment, self.director_file.peers):
             return
-        self.house = self.house._replace(names=director_file.names, deployment=director_file.deployment, peers=director_file.peers)
+        self.director_file = self.director_file._replace(names=director_file.names, deployment=director_file.deployment, peers=director_file.peers)
         self.products = {name: index for index, name in enumerate(director_file.names)}
         self.max_importance = max(product.importance for product in director_file.deployment.products)
         self.messages.set_peers(director_file.peers)
@@ -133,7 +133,7 @@
     def random_fraction(self) -> float:
         """The next number of a seeded series, in [0, 1)."""
         self.random_draws += 1
-        return crc32(b"%d door %d" % (self.house.seed, self.random_draws)) / 2 ** 32
+        return crc32(b"%d door %d" % (self.director_file.seed, self.random_draws)) / 2 ** 32
 
     # Viewers
     def serve(self, exchange: Exchange) -> None:
@@ -154,14 +154,14 @@
             exchange.answer(400, frames.error_body(str(error)))
             return
         product = self.products[request.product]
-        generation, retry_safety = self.generations.begin_play(), self.house.deployment.products[product].repeat
+        generation, retry_safety = self.generations.begin_play(), self.director_file.deployment.products[product].repeat
         margin = self.bounds.answer_margin_ms if self.limits.answer_margin is None else self.limits.answer_margin.value
         effective = self.limits.find(request.route, request.product)
         play_state = PlayState(effective.terms, retry_safety, exchange.read_at, admission.remaining_wait_ms(request.wait_ms, exchange.stall_ms, margin), margin)
         self.last_attempt_id += 1
         attempt = Attempt(self.last_attempt_id, exchange, request, product, self.previous_attempt(request), play_state, generation, budget_names(effective.entries, self.limits),
-                          self.house.deployment)
-        product_row = self.house.deployment.products[product]
+                          self.director_file.deployment)
+        product_row = self.director_file.deployment.products[product]
         nodes_overloaded = at_limit(self.waiting, self.concurrency.total_limit(self.ready_nodes()), product_row.importance, self.max_importance, attempt.previous.attempts)
         rejection = (admission.check_capacity(self.bounds, self.waiting, self.active_plays, self.stopping, self.random_fraction()) or admission.check_node_latency(nodes_overloaded, self.bounds, self.random_fraction())
                      or admission.check_earlier_attempt(retry_safety == "paid", attempt.previous.may_have_run) or play_state.check_viewer_attempts(attempt.previous.attempts)
@@ -183,7 +183,7 @@
         wall = self.wall()
         if request.token is not None:
             try:
-                previous = tokens.read(self.house.keys, request.token, request.key, wall)
+                previous = tokens.read(self.director_file.keys, request.token, request.key, wall)
                 return previous._replace(attempts=previous.attempts + 1)
             except tokens.BadToken as error:
                 self.watch("token refused", reason=str(error))
@@ -240,7 +240,7 @@
         """Answers an attempt that does not become a play."""
         if attempt.claim_answer():
             self.waiting -= 1
-            token = tokens.sign(self.house.keys, attempt.previous._replace(may_have_run=attempt.previous.may_have_run or answer == interface.FAILED))
+            token = tokens.sign(self.director_file.keys, attempt.previous._replace(may_have_run=attempt.previous.may_have_run or answer == interface.FAILED))
             status = 502 if answer == interface.FAILED else 503
             extra = "" if retry_ms is None else f"Retry-After: {-int(-retry_ms // 1000)}\r\n"
             self.watch("answer", play=attempt.id, answer=answer, product=attempt.request.product, tries=attempt.previous.attempts,
@@ -302,7 +302,7 @@
 
     def list_failed(self) -> None:
         self.watch("list failed")
-        if self.house.deployment.must_ask:
+        if self.director_file.deployment.must_ask:
             self.feed(self.controller.fleet_list_failed, self.loop.now)
 
     def session_up(self, link: Link) -> None:
@@ -335,7 +335,7 @@
 
     def change_keys(self, keys: tuple, retired: frozenset[str]) -> None:
         """Puts the keys of the reloaded file in force: the first signs from now on."""
-        self.house = self.house._replace(keys=keys, retired=retired)
+        self.director_file = self.director_file._replace(keys=keys, retired=retired)
         self.watch("keys changed", signs=keys[0][0], taken=len(keys), retired=len(retired))
 
     # Stopping
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -53,13 +53,13 @@
     except director_files.FileRejected as error:
         log.error("file refused", faults=[str(fault) for fault in error.faults])
         return
-    faults = director_files.switch_fault(director.house, director_file)
+    faults = director_files.switch_fault(director.director_file, director_file)
     if faults is None and limits is not None:
         faults = "; ".join(load_file(limits, director_file).texts()) or None
     if faults is not None:
         log.error("file refused", faults=[faults])
         return
-    for_restart = director_files.restart_only_changes(director.house, director_file)
+    for_restart = director_files.restart_only_changes(director.director_file, director_file)
     director.change_director_file(director_file)
     log.info("keys changed", signs=director_file.keys[0][0], taken=[name for name, _ in director_file.keys], retired=sorted(director_file.retired), for_restart=for_restart)
 
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -41,16 +41,16 @@
 class EdgeFront(Director):
     """A director with sessions. `programme`: the rules in force for new sessions."""
 
-    def __init__(self, loop, house, programme: Programme = Programme({}, ()), **more):
+    def __init__(self, loop, director_file, programme: Programme = Programme({}, ()), **more):
         self.sessions: dict[str, Session] = {}
         self.ending: dict[str, Session] = {}       # over, with allocations that are not released yet
         self.fetcher = Fetcher(loop)
         self.programme, self.rule_index, self.item_names, self.next_item = programme, RuleIndex(programme.rules), sorted(programme.pieces), 0
         self.failed_sources: dict[int, float] = {}
-        self.item_load = ItemLoad(house.deployment.directors)
+        self.item_load = ItemLoad(director_file.deployment.directors)
         self.title_cache: dict[int, TitlePlaylists] = {}
         self.session_count = 0
-        super().__init__(loop, house, **more)
+        super().__init__(loop, director_file, **more)
         self.pages["POST", "/v1/sessions"] = self.open_session
         self.ended_sessions: dict[str, int] = {}
         loop.call_later(CHECK_INTERVAL_MS, self.check_players)
@@ -87,13 +87,13 @@
         """The first node has set the play up: the title's playlists are fetched from it, then the viewer is answered."""
         title, terms = session.frame["title"], session.terms
         rungs: dict[int, Media | None] = {}
-        count = len(self.house.deployment.ladder)
+        count = len(self.director_file.deployment.ladder)
         def on_rung(rung: int, media: Media | None) -> None:
             rungs[rung] = media
             if len(rungs) == count:
                 self.title_fetched(session, answer, [rungs[k] for k in range(count)])
         states = {node: (entry.state == interface.READY and node in self.fleet.links, entry.cell) for node, entry in self.fleet.entries.items()} if terms.read_copies else {}
-        frame, cells = session.frame, self.house.deployment.cells
+        frame, cells = session.frame, self.director_file.deployment.cells
         nodes = playlist_sources(answer["node"], states, int(frame.get("home", 0)), int(frame.get("copies", 0)), cells, terms.read_copies)
         sources = [tuple(answer["address"])] + [self.fleet.links[node].address for node in nodes[1:]]
         for rung in range(count):
@@ -128,8 +128,8 @@
         """Answers the viewer with the address of the session's manifest."""
         if session.state == OVER:
             return
-        session.player = f"{crc32(b'%d %s' % (self.house.seed, session.name.encode())):08x}"
-        session.path = addresses.sign_path(self.house.keys, session.name, self.wall() + ADDRESS_TTL_MS, session.player, "")
+        session.player = f"{crc32(b'%d %s' % (self.director_file.seed, session.name.encode())):08x}"
+        session.path = addresses.sign_path(self.director_file.keys, session.name, self.wall() + ADDRESS_TTL_MS, session.player, "")
         session.composer = Composer(title, placed, lambda what: session.path + what, self.target_duration(placed), first)
         session.playback = PlaybackMonitor(self.loop.now, session.composer.target_ms, session.terms.first_segment_ms)
         body = {key: answer[key] for key in ("answer", "token", "node", "rung")} | {"session": session.name, "manifest": session.path + MASTER}
@@ -145,8 +145,8 @@
         """Answers that the session failed. Its set-up may have run, and the token must say so: a paid play is not set up again."""
         earlier = tokens.PreviousAttempt(session.frame["key"], self.wall(), 1, True)
         if session.token is not None:
-            earlier = tokens.read(self.house.keys, session.token, session.frame["key"], self.wall())._replace(may_have_run=True)
-        session.exchange.answer(502, frames.not_playing(interface.FAILED, tokens.sign(self.house.keys, earlier), None, reason))
+            earlier = tokens.read(self.director_file.keys, session.token, session.frame["key"], self.wall())._replace(may_have_run=True)
+        session.exchange.answer(502, frames.not_playing(interface.FAILED, tokens.sign(self.director_file.keys, earlier), None, reason))
         self.end_session(session, "failed")
 
     def title_playlists(self, number: int, rungs: tuple[Media, ...]) -> TitlePlaylists:
@@ -196,7 +196,7 @@
         """Answers a player's request for one of its session's files."""
         player = dict(part.strip().partition("=")[::2] for part in exchange.headers.get("cookie", "").split(";")).get("player")
         try:
-            requested = addresses.verify(self.house.keys, self.house.retired, exchange.path, player, self.wall())
+            requested = addresses.verify(self.director_file.keys, self.director_file.retired, exchange.path, player, self.wall())
             session = self.sessions.get(requested.session)
             if session is None or session.composer is None:
                 raise addresses.AddressError(410, "the session is over")
@@ -251,7 +251,7 @@
 
     def item_rate(self, piece: Piece) -> float:
         """kB per second of an item's segments."""
-        return self.house.deployment.ladder[-1] if piece.rate_kb is None else piece.rate_kb
+        return self.director_file.deployment.ladder[-1] if piece.rate_kb is None else piece.rate_kb
 
     def segment_stalled(self, session: Session, origin: SegmentOrigin) -> None:
         """A node answered before and now delivers no segment: an item is fetched from another node, a play is moved off this one."""
@@ -268,7 +268,7 @@
 
     def master_playlist(self, session: Session) -> bytes:
         """The multivariant playlist has one variant: the control module chooses the rung."""
-        rate = int(self.house.deployment.ladder[-1] * 8_000)
+        rate = int(self.director_file.deployment.ladder[-1] * 8_000)
         return f"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH={rate}\n{session.path}{MEDIA}\n".encode()
 
     def media_playlist(self, session: Session) -> bytes:
@@ -323,7 +323,7 @@
 
     def source_nodes(self, nodes: Iterable[int], span: tuple[float, float] = (0.0, 0.0)) -> dict[int, SourceNode]:
         """Some nodes as sources of items: whether ready and cold, and the shares of their links that plays and, in a span, items take."""
-        sources, now, deployment = {}, self.loop.now, self.house.deployment
+        sources, now, deployment = {}, self.loop.now, self.director_file.deployment
         for node in nodes:
             entry, link = self.fleet.entries.get(node), self.fleet.links.get(node)
             if entry is None:
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -78,7 +78,7 @@
     def __init__(self, plant: Plant, script: list[Trouble], kills: int = 6, director_class=Tallied, faults: list[LineFault] | None = None):
         super().__init__(plant, script, TWO, kills, director_class=director_class)
         self.lines = Lines(self.world.host("relay"), self.record, plant.seed)
-        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+        self.director_file = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.tallies: dict[str, Tally] = {}
         self.switches = 0
         ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(TWO)]
@@ -90,7 +90,7 @@
     def start_director(self, number: int) -> None:
         MemoryStage.start_director(self, number)
         director, places = self.directors[number], []
-        director.house = director.house._replace(without_planner=CLOSED if number % 2 else OPEN)
+        director.director_file = director.director_file._replace(without_planner=CLOSED if number % 2 else OPEN)
         director.tally.began, director.tally.stays_open = self.world.now, not number % 2
         for planner in range(self.count):
             ends = f"d{number}", f"p{planner}"
@@ -98,7 +98,7 @@
             places.append(line.address)
         side = self.sides[number] = PlannerClient(director, tuple(places), self.keys())
         if not old(number):
-            side.audit.accept_files(LimitsFile(director.loop, self.limits_of(number), InProcessCheck(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
+            side.audit.accept_files(LimitsFile(director.loop, self.limits_of(number), InProcessCheck(director.director_file), director.change_limits, director.limits_refused, EMPTY).bring)
         self.tallies[director.name] = director.tally
 
     def limits_of(self, number: int) -> str:
@@ -146,8 +146,8 @@
         if self.done or self.wanting.on:
             return
         self.switches += 1
-        text = sound(self.plant.seed, self.switches % 4, self.house)     # (of four, so that versions come back)
-        loaded = load(text.encode(), f"version-{self.switches % 4}", self.house)
+        text = sound(self.plant.seed, self.switches % 4, self.director_file)     # (of four, so that versions come back)
+        loaded = load(text.encode(), f"version-{self.switches % 4}", self.director_file)
         for number, director in self.directors.items():
             host, wait = self.world.hosts[f"d{number}"], between(self.plant.seed, 0, SPREAD_MS, "spread", number, self.switches)
             self.loop.call_at(self.world.now + wait, lambda host=host, director=director: host.alive and host.running
--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -20,18 +20,18 @@
 SOUND_TRIES = 200          # drawn until one is accepted
 
 
-def version(seed: int, number: int, house: DirectorFile) -> tuple[str, bool]:
+def version(seed: int, number: int, director_file: DirectorFile) -> tuple[str, bool]:
     """The text of a version, and whether it is sound."""
     if draw(seed, "broken", number) < BROKEN_PART:
         return broken(seed, number), False
-    return sound(seed, number, house), True
+    return sound(seed, number, director_file), True
 
 
-def sound(seed: int, number: int, house: DirectorFile) -> str:
+def sound(seed: int, number: int, director_file: DirectorFile) -> str:
     """The first drawn text that is accepted: the search decides, not the drawing."""
     for turn in range(SOUND_TRIES):
-        text = drawn(seed, (number, turn), house.names)
-        if load(text.encode(), "drawn", house).limits is not None:
+        text = drawn(seed, (number, turn), director_file.names)
+        if load(text.encode(), "drawn", director_file).limits is not None:
             return text
     raise ValueError(f"no sound text in {SOUND_TRIES} drawn")
 
@@ -79,7 +79,7 @@
 
     def __init__(self, plant: Plant, script: list[Trouble], **more):
         super().__init__(plant, script, **more)
-        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+        self.director_file = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.numbers = 0
         self.loop.call_later(EVERY_MS, self.switch)
 
@@ -87,8 +87,8 @@
         if self.done:
             return
         self.numbers += 1
-        text, _ = version(self.plant.seed, self.numbers, self.house)
-        loaded = load(text.encode(), f"version-{self.numbers}", self.house)
+        text, _ = version(self.plant.seed, self.numbers, self.director_file)
+        loaded = load(text.encode(), f"version-{self.numbers}", self.director_file)
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
@@ -102,9 +102,9 @@
 
     def __init__(self, plant: Plant, script: list[Trouble], folder: str | None = None, level: str = "warning"):
         super().__init__(plant, script, folder, level)
-        self.house = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
+        self.director_file = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
         self.limits, self.numbers = self.file("limits.terms"), 0
-        self.write(sound(plant.seed, 0, self.house))
+        self.write(sound(plant.seed, 0, self.director_file))
 
     def director_command(self, file: str, source: str) -> list[str]:
         return super().director_command(file, source) + ["--limits", self.limits]
@@ -124,7 +124,7 @@
         if self.ending:
             return
         self.numbers += 1
-        text, _ = version(self.plant.seed, self.numbers, self.house)
+        text, _ = version(self.plant.seed, self.numbers, self.director_file)
         how = draw(self.plant.seed, "how", self.numbers)
         if how < 0.5:
             self.write(text)
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -68,18 +68,18 @@
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
-                old = self.plant.house(number, director.house.listen, director.house.lists, director.house.seed)
+                old = self.plant.house(number, director.director_file.listen, director.director_file.lists, director.director_file.seed)
                 text = file_of(self.plant, old, shape, turn, peers)
                 host.deliver_at(self.world.now, lambda director=director, text=text: self.switch(director, text))
 
     def switch(self, director, text: str) -> None:
         try:
-            house = director_files.read(text)
+            director_file = director_files.read(text)
         except director_files.FileRejected:
             self.refused += 1
             return
-        if director_files.switch_fault(director.house, house) is None:
-            director.change_director_file(house)
+        if director_files.switch_fault(director.director_file, director_file) is None:
+            director.change_director_file(director_file)
 
 
 class ProcessMove(Moving, ProcessStage):
--- a/laddergw/lab/one_run.py
+++ b/laddergw/lab/one_run.py
@@ -19,11 +19,11 @@
             data = stream.read()
 
         class Under(Director):
-            def __init__(self, loop, house, **more):
-                loaded = loading.load(data, order["limits"], house)
+            def __init__(self, loop, director_file, **more):
+                loaded = loading.load(data, order["limits"], director_file)
                 if loaded.limits is None:
                     raise ValueError(loaded.texts()[0])
-                super().__init__(loop, house, limits=loaded.limits, **more)
+                super().__init__(loop, director_file, limits=loaded.limits, **more)
         under = Under
     records = ApartStage(the_plant, daybook.script_of(day, the_plant), order["planners"], director_class=under).run()
     judged = audit.audit(the_plant, records)
--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -84,9 +84,9 @@
         self.starts[number] += 1
         source = f"d{number}.{self.starts[number]}"
         host = self.world.host(f"d{number}")
-        house = read(self.plant.house(number, (f"d{number}", PORT), self.list.address, self.plant.seed * 1000 + number * 10
+        director_file = read(self.plant.house(number, (f"d{number}", PORT), self.list.address, self.plant.seed * 1000 + number * 10
                                       + self.starts[number]), source)
-        self.directors[number] = self.director_class(host, house, wall=lambda: self.world.now, tap=tap(source, self.record))
+        self.directors[number] = self.director_class(host, director_file, wall=lambda: self.world.now, tap=tap(source, self.record))
         self.record("director up", self.world.now, number=number, source=source)
 
     def down(self, number: int, how: str) -> None:
--- a/laddergw/lab/storm.py
+++ b/laddergw/lab/storm.py
@@ -48,8 +48,8 @@
     the_plant = storm_plant(seed, rate, seconds, rationed)
 
     class Under(Director):
-        def __init__(self, loop, house, **more):
-            super().__init__(loop, house, limits=files.read(f"(limits (adaptive {adaptive}))", house.names, default_terms(house)), **more)
+        def __init__(self, loop, director_file, **more):
+            super().__init__(loop, director_file, limits=files.read(f"(limits (adaptive {adaptive}))", director_file.names, default_terms(director_file)), **more)
     nodes = [node.node for node in the_plant.nodes]
     script = [Trouble(STILL_AT_MS, "still", node, STILL_MS) for node in nodes] if kind == "still" else fault(nodes, "late", STILL_AT_MS, STILL_MS, LATE_MS)
     stage = MemoryStage(the_plant, script, Under)
--- a/laddergw/lab/wanting.py
+++ b/laddergw/lab/wanting.py
@@ -17,7 +17,7 @@
 
 
 class Wanting:
-    """See the module. `stage`: with planners, a house and the world's clock."""
+    """See the module. `stage`: with planners, a director file and the world's clock."""
 
     def __init__(self, stage):
         self.stage, self.on, self.over, self.wants, self.halted = stage, False, False, 0, 0
@@ -50,8 +50,8 @@
         stage.loop.call_at(stage.world.now + WANT_MS, self.want)
         number = self.wants + 1
         bad = number % BAD_EACH == 0
-        data = (broken(stage.plant.seed, number) if bad else sound(stage.plant.seed, number % TEXTS, stage.house)).encode()
-        loaded = load(data, "wanted", stage.house)
+        data = (broken(stage.plant.seed, number) if bad else sound(stage.plant.seed, number % TEXTS, stage.director_file)).encode()
+        loaded = load(data, "wanted", stage.director_file)
         name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         for row in self.ask("floors").get("floors", ()):
             self.ask("allow", f"limits {row['version']}")
--- a/laddergw/planner/audit_client.py
+++ b/laddergw/planner/audit_client.py
@@ -50,7 +50,7 @@
         director, self.next_watch, self.next_fleet_changed = self.director, self.director.watch, self.director.fleet.on_change
         director.watch, director.fleet.on_change = self.event_watched, self.fleet_changed
         director.pages["POST", "/v1/audit"] = self.page
-        self.right = Right(director.house.without_planner, self.loop.now) if director.house.without_planner else None
+        self.right = Right(director.director_file.without_planner, self.loop.now) if director.director_file.without_planner else None
         self.active_hashes: frozenset = frozenset()
         self.file_receiver, self.apply_file, self.limits_fault = FileReceiver(), None, ""
         if self.right is not None:
@@ -61,13 +61,13 @@
 
     def read_version(self, kind: str) -> None:
         """Computes the version of one kind as the director has it now."""
-        house = self.director.house
+        director_file = self.director.director_file
         if kind == versions.LIMITS:
             texts = limits_text(self.director.limits)
         elif kind == versions.DIRECTOR_FILE:
-            texts = [*house.names, repr(house.deployment._replace(number=0, zone=0))]     # number and zone differ between directors and are left out
+            texts = [*director_file.names, repr(director_file.deployment._replace(number=0, zone=0))]     # number and zone differ between directors and are left out
         elif kind == versions.KEYS:
-            texts = [part for name, secret in house.keys for part in (name, secret)] + sorted(house.retired)
+            texts = [part for name, secret in director_file.keys for part in (name, secret)] + sorted(director_file.retired)
         else:
             programme = getattr(self.director, "programme", None)
             if programme is None:
@@ -149,8 +149,8 @@
     def report(self, reported: ReportedState) -> Part:
         """The audit part of the next digest on the connection with this state."""
         since, self.unreachable_since = self.unreachable_since, None
-        return reported.next_part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.house.without_planner, over=self.director.stopping,
-                         zone=self.director.house.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.limits_fault)
+        return reported.next_part(self.action_counts, alone_ms=0.0 if since is None else self.loop.now - since, without=self.director.director_file.without_planner, over=self.director.stopping,
+                         zone=self.director.director_file.deployment.zone, takes=self.file_receiver.kinds, came=tuple(self.file_receiver.outcome), trouble=self.limits_fault)
 
     # Files from planners
 
--- a/laddergw/planner/planner_client.py
+++ b/laddergw/planner/planner_client.py
@@ -41,7 +41,7 @@
         self.connections = [PlannerConnection(self, tuple(address)) for address in planners]
         director.observer = self
         self.audit = AuditClient(self)
-        self.grant_holder = GrantHolder(director.house.issuer) if director.house.issuer else None
+        self.grant_holder = GrantHolder(director.director_file.issuer) if director.director_file.issuer else None
         if self.grant_holder is not None:
             self.grant_holder.configure(fleet_budget_windows(director.limits))
             director.budgets.fleet_grants, self.next_watch, director.watch = self.grant_holder, director.watch, self.watch
@@ -52,7 +52,7 @@
     @property
     def keys(self) -> Keys:
         """Keys with which plans may be signed."""
-        return self.director.house.keys if self.own_keys is None else self.own_keys
+        return self.director.director_file.keys if self.own_keys is None else self.own_keys
 
     # Callbacks of the director
 
@@ -72,7 +72,7 @@
         """A node reported the load requested of its link, as a share of the link: it is compared with the plan in force."""
         plan, entry = self.followed.current(self.loop.now), self.director.fleet.entries.get(node)
         if plan is not None and entry is not None and node in plan.nodes:
-            self.trust.compare(demand * entry.weight * self.director.house.deployment.link_unit, plan.nodes[node][0])
+            self.trust.compare(demand * entry.weight * self.director.director_file.deployment.link_unit, plan.nodes[node][0])
 
     def watch(self, event: str, **facts) -> None:
         """Updates the fleet budgets when limits change, then passes the event on."""
--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -35,13 +35,13 @@
     def connect_planner(self, number):
         """Makes a director report to the planner, and accept files from it."""
         director = self.cluster.directors[number]
-        director.house = director.house._replace(deployment=director.house.deployment._replace(zone=self.zones.get(number, 0)))
+        director.director_file = director.director_file._replace(deployment=director.director_file.deployment._replace(zone=self.zones.get(number, 0)))
         self.clients[number] = client = PlannerClient(director, (self.links[number].address,))
         path = os.path.join(self.folder, f"limits.{number}")
         if not os.path.exists(path):
             with open(path, "w") as stream:
                 stream.write("(limits)")
-        self.files[number] = LimitsFile(director.loop, path, InProcessCheck(director.house), director.change_limits, director.limits_refused, b"(limits)")
+        self.files[number] = LimitsFile(director.loop, path, InProcessCheck(director.director_file), director.change_limits, director.limits_refused, b"(limits)")
         client.audit.accept_files(self.files[number].bring)
 
     def inject_fault(self, number, what, value=None):
--- a/tests/fleet_commands.py
+++ b/tests/fleet_commands.py
@@ -18,11 +18,11 @@
 
     def command(self, *words: str) -> None:
         """Runs `laddergw fleet` with these words on a file that names the current address of director 0."""
-        exit_codes, house = [], self.file("asked.scm")
-        with open(self.file(f"d0.{self.starts[0]}.scm")) as source, open(house, "w") as target:
+        exit_codes, director_file_path = [], self.file("asked.scm")
+        with open(self.file(f"d0.{self.starts[0]}.scm")) as source, open(director_file_path, "w") as target:
             target.write(source.read().replace('(listen "127.0.0.1" 0)', '(listen "%s" %d)' % self.addresses[0]))
         with open(self.file("answer.txt"), "w+") as out:
-            self.loop.spawn([sys.executable, "-m", "laddergw.cli", "fleet", *words, house], exit_codes.append, stdout=out, stderr=subprocess.STDOUT)
+            self.loop.spawn([sys.executable, "-m", "laddergw.cli", "fleet", *words, director_file_path], exit_codes.append, stdout=out, stderr=subprocess.STDOUT)
             self.wait(lambda: exit_codes, COMMAND_TIMEOUT_MS, " ".join(words))
             out.seek(0)
             self.answers[words[-1] if words[0] == "audit" else " ".join(words)] = exit_codes[0], out.read()
--- a/tests/replays.py
+++ b/tests/replays.py
@@ -23,8 +23,8 @@
     """A cluster in memory with two directors under a limits file that was not checked."""
 
     def __init__(self, text: str, nodes: int = 8):
-        self.house = read(DIRECTOR_FILE)
-        self.loaded = files.read(text, self.house.names, default_terms(self.house))
+        self.director_file = read(DIRECTOR_FILE)
+        self.loaded = files.read(text, self.director_file.names, default_terms(self.director_file))
         self.moves: deque = deque()
         super().__init__(nodes=nodes, directors=2)
         for number in self.nodes:
--- a/tests/test_budgets_cluster.py
+++ b/tests/test_budgets_cluster.py
@@ -34,13 +34,13 @@
 
     def connect_planner(self, number):
         director = self.cluster.directors[number]
-        director.house = director.house._replace(issuer=store_identity(self.planner.store))
+        director.director_file = director.director_file._replace(issuer=store_identity(self.planner.store))
         super().connect_planner(number)
 
     def put_limits_in_force(self, number, window_ms=int(WINDOW_MS)):
         """Puts limits with a fleet budget of this window in force at a director."""
         director = self.cluster.directors[number]
-        director.change_limits(load(TEXT % window_ms, "limits", director.house).limits)
+        director.change_limits(load(TEXT % window_ms, "limits", director.director_file).limits)
 
     def spend(self, number, times=1):
         """Spends as `allocate` does for each retry; returns how many were allowed."""
@@ -125,10 +125,10 @@
         self.assertEqual([client.grant_holder.held[NAME].right(self.cluster.world.now + 60_000) for client in self.clients.values()], [0, 0, 0])
 
     def test_invalid_scopes_are_rejected(self):
-        house = self.cluster.directors[0].house
+        director_file = self.cluster.directors[0].director_file
         for text in b'(limits (budget (free 5) (scope fleet)))', b'(limits (tenant "basin" (budget (free 5) (scope world))))':
             with self.assertRaises(FileRejected):
-                files.read(text.decode(), house.names, default_terms(house))
+                files.read(text.decode(), director_file.names, default_terms(director_file))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -92,11 +92,11 @@
         edge = cluster.directors[0]
         audit = PlannerClient(edge, ()).audit
         set_ids, rules = [audit.action_counts.current_id], programmes.read(GOOD)
-        limits, house = load(b"(limits (defaults (attempts 2)))", "own", edge.house).limits, edge.house
+        limits, director_file = load(b"(limits (defaults (attempts 2)))", "own", edge.director_file).limits, edge.director_file
         usual = edge.limits
         for there, back in ((lambda: edge.change_programme(rules), lambda: edge.change_programme(Programme({}, ()))),
                             (lambda: edge.change_limits(limits), lambda: edge.change_limits(usual)),
-                            (lambda: edge.change_keys((("new", b"another key of the town"), *house.keys), frozenset()), lambda: edge.change_keys(house.keys, house.retired)),
+                            (lambda: edge.change_keys((("new", b"another key of the town"), *director_file.keys), frozenset()), lambda: edge.change_keys(director_file.keys, director_file.retired)),
                             (lambda: cluster.list_node(2, "draining"), lambda: cluster.list_node(2, "ready"))):
             for act in there, back:
                 act()
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -72,7 +72,7 @@
     def own_version(self):
         """Switches the second director to a limits file of its own; returns how its hash begins."""
         director, host = self.cluster.directors[1], self.cluster.world.hosts["d1"]
-        loaded = load(b"(limits (defaults (attempts 2)))", "own", director.house)
+        loaded = load(b"(limits (defaults (attempts 2)))", "own", director.director_file)
         host.deliver_at(self.cluster.world.now, lambda: director.change_limits(loaded.limits))
         self.cluster.run(1_500)
         return self.clients[1].audit.active_versions[versions.LIMITS].hash[:8]
@@ -124,7 +124,7 @@
         """A silent process that stays open may act on a forbidden version until an operator declares it gone; if it is heard again, that is taken back."""
         for client in self.clients.values():
             client.audit.right.without_right = OPEN
-            client.director.house = client.director.house._replace(without_planner=OPEN)
+            client.director.director_file = client.director.director_file._replace(without_planner=OPEN)
         name, old = f"limits {self.own_version()}", self.cluster.directors[1].name
         self.ask_planner("forbid", name)
         self.inject_fault(1, "hole")
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -23,7 +23,7 @@
 
     def want(self, data, soak_ms=500.0, by_ms=0.0, name=None):
         """Asks the planner for a rollout of these limits; returns its answer."""
-        loaded = load(data, "wanted", self.cluster.directors[0].house)
+        loaded = load(data, "wanted", self.cluster.directors[0].director_file)
         name = name or versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         self.name = name
         return json.loads(self.planner.auditor.answer_question(wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": soak_ms, "by_ms": by_ms})))
@@ -48,7 +48,7 @@
         self.assertIn("goes on", self.want(OTHER)["refused"])
         self.cluster.run(600)
         self.want_name = self.name
-        self.name = versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash
+        self.name = versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].director_file).limits)).hash
         self.assertEqual({self.zones[number] for number in self.on_it()}, {0, 1})
         self.assertEqual(len(self.on_it()), 2)
         self.assertEqual(self.until_done()["state"], "done")
@@ -157,7 +157,7 @@
                 crashed.append(number)
                 self.cluster.loop_at = self.cluster.world.schedule(self.cluster.world.now + 1, lambda: (self.restart(number), crash_on_file(number)))
             self.clients[number].audit.apply_file = apply_file
-        first = int(wanted.rollout_order(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].house).limits)).hash, "", 1),
+        first = int(wanted.rollout_order(Want("limits", 1, versions.version(versions.LIMITS, limits_text(load(GOOD, "", self.cluster.directors[0].director_file).limits)).hash, "", 1),
                                          self.planner.auditor.fleet_log.progress("limits", 1, self.cluster.world.now))[0].director[1:])
         crash_on_file(first)
         self.want(GOOD)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -92,7 +92,7 @@
         player = self.play(5)
         self.cluster.run(6_000)
         front = self.edge()
-        old, new = front.house.keys[0], ("k9", b"the key after the first one")
+        old, new = front.director_file.keys[0], ("k9", b"the key after the first one")
         front.loop.now = self.cluster.world.now
         front.change_keys((new, old), frozenset())
         before = player.media
@@ -163,7 +163,7 @@
         time."""
         front = self.edge()
         front.loop.now = self.cluster.world.now
-        front.change_limits(read_limits("(limits (defaults (read-copies 1) (copy-after-ms 150)))", front.house.names, default_terms(front.house)))
+        front.change_limits(read_limits("(limits (defaults (read-copies 1) (copy-after-ms 150)))", front.director_file.names, default_terms(front.director_file)))
         self.cluster.nodes[1].fault("no playlists", True)
         for number in (3, 5, 7, 9, 11, 13):
             self.play(number, home=1, copies=2, wait_ms=1_500)
--- a/tests/test_limits_running.py
+++ b/tests/test_limits_running.py
@@ -132,11 +132,11 @@
         """The loop goes on turning while the child checks; a child that cannot run counts as a rejection."""
         loop, done = SocketLoop(), []
         self.addCleanup(loop.close)
-        house = os.path.join(self.folder.name, "house.scm")
-        with open(house, "w") as stream:
+        director_file_path = os.path.join(self.folder.name, "house.scm")
+        with open(director_file_path, "w") as stream:
             stream.write(DIRECTOR_FILE)
-        SubprocessCheck(loop, house).check(b"(limits (cold-pace 0.5))", "x", done.append)
-        SubprocessCheck(loop, house).check(b"(limits (cold-pace 20))", "x", done.append)
+        SubprocessCheck(loop, director_file_path).check(b"(limits (cold-pace 0.5))", "x", done.append)
+        SubprocessCheck(loop, director_file_path).check(b"(limits (cold-pace 20))", "x", done.append)
         SubprocessCheck(loop, self.path + "none").check(b"(limits)", "x", done.append)
         while len(done) < 3:
             loop.turn()
@@ -146,15 +146,15 @@
         self.assertIn("cold-pace: 20 lets 2 directors send", rejected[1])
 
     def test_a_director_starts_with_the_last_good_version(self):
-        house, path = SETTINGS, self.path
-        self.assertEqual(load_at_start(path, house)[1], [])
+        director_file, path = SETTINGS, self.path
+        self.assertEqual(load_at_start(path, director_file)[1], [])
         self.write("(limits (cold-pace 0.5))")
         self.cluster.run(1_000)
         self.write("(limits (cold-pace")
-        loaded, faults = load_at_start(path, house)
+        loaded, faults = load_at_start(path, director_file)
         self.assertEqual((loaded.limits.cold_pace.value, len(faults)), (0.5, 1))
         os.remove(path + ".good")
-        self.assertIsNone(load_at_start(path, house)[0].limits)
+        self.assertIsNone(load_at_start(path, director_file)[0].limits)
 
     def test_generations_end_with_their_last_play(self):
         generations = Generations(read_limits("(limits)"), 0.0)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -53,8 +53,8 @@
     def test_the_audit_sees_a_switch_that_drops_plays(self):
         """The same rehearsal with a director that lets its plays go at a switch: it must be caught."""
         class Dropping(Director):
-            def change_director_file(self, house):
-                super().change_director_file(house)
+            def change_director_file(self, director_file):
+                super().change_director_file(director_file)
                 for ply in list(self.attempts.values()):
                     self.remove_from_node(ply, LOST)
         the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
@@ -67,19 +67,19 @@
         town.run(300)
         director = town.directors[0]
         held = next(iter(director.attempts.values()))
-        rate, house = director.rate(held), director.house
+        rate, director_file = director.rate(held), director.director_file
         for text, why in ((file_with("(told-by guess)"), "told-by"), (file_with("(join 2)"), "join"), (file_with(product="(live maybe)"), "live")):
             with self.assertRaisesRegex(director_files.FileRejected, why):
                 director_files.read(text)
         other = director_files.read(file_with().replace("(product safe", "(product unheard (importance 1)) (product safe"))
-        self.assertIn("product", director_files.switch_fault(house, other))
+        self.assertIn("product", director_files.switch_fault(director_file, other))
         new = director_files.read(file_with("(probes yes) (told-by probe) (join 0.3)", product="(live yes)").replace("100 200 400", "50 90 130"))
         director.change_director_file(new)
-        self.assertEqual((director.rate(held), director.house.deployment.told_by), (rate, "probe"))
-        director.change_director_file(house)
+        self.assertEqual((director.rate(held), director.director_file.deployment.told_by), (rate, "probe"))
+        director.change_director_file(director_file)
         town.run(3_000)
         self.assertIsNone(ask.ended)
-        self.assertEqual((director.active_plays, director.house), (1, house))
+        self.assertEqual((director.active_plays, director.director_file), (1, director_file))
 
     def test_a_probe_is_sent_and_its_answer_places_the_play(self):
         town = Cluster()
