--- a/laddergw/planner/planner_client.py
+++ b/laddergw/planner/planner_client.py
@@ -4,7 +4,7 @@
 """
 from typing import Callable
 
-from laddergw import interface as face
+from laddergw import interface
 from laddergw.director.director import Director
 from laddergw.director import frames
 from laddergw.director.attempts import Attempt
@@ -65,7 +65,7 @@
 
     def ended(self, node: int, outcome: str) -> None:
         """Counts an allocation that a node failed."""
-        if outcome in (face.ERROR, face.TIMED_OUT, face.UNREACHABLE, face.BROKEN):
+        if outcome in (interface.ERROR, interface.TIMED_OUT, interface.UNREACHABLE, interface.BROKEN):
             self.failures[node] = self.failures.get(node, 0) + 1
 
     def node_load_reported(self, node: int, demand: float) -> None:
@@ -89,7 +89,7 @@
         for node, attempts in director.attempts_by_node.items():
             if attempts:
                 nodes[node] = sum(director.rate(attempt) for attempt in attempts.values()), len(attempts)
-        drains = tuple(sorted(node for node, entry in director.fleet.entries.items() if entry.state != face.READY))
+        drains = tuple(sorted(node for node, entry in director.fleet.entries.items() if entry.state != interface.READY))
         return Digest(director.name, self.digest_number, self.loop.now, nodes, dict(self.arrivals), tuple(self.hot_titles.top(MAX_HOT_TITLES)), dict(self.failures), drains)
 
     def send_periodically(self) -> None:
@@ -127,7 +127,7 @@
         director, entries = self.director, self.director.fleet.entries
         if not self.trust.believed:
             return
-        leave_out = frozenset(node for node in plan.nodes if node not in entries or entries[node].state != face.READY)
+        leave_out = frozenset(node for node in plan.nodes if node not in entries or entries[node].state != interface.READY)
         loads = self.sent_digests.load_of_others(plan, director.name, leave_out)
         if loads is None:
             return
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -62,10 +62,10 @@
         self.assertGreater(move.switched(records)["dropped"], 0)
 
     def test_plays_keep_their_terms_and_a_refused_file_changes_nothing(self):
-        town = Cluster()
-        ask = town.ask()
-        town.run(300)
-        director = town.directors[0]
+        cluster = Cluster()
+        ask = cluster.ask()
+        cluster.run(300)
+        director = cluster.directors[0]
         held = next(iter(director.attempts.values()))
         rate, director_file = director.rate(held), director.director_file
         for text, why in ((file_with("(told-by guess)"), "told-by"), (file_with("(join 2)"), "join"), (file_with(product="(live maybe)"), "live")):
@@ -77,22 +77,22 @@
         director.change_director_file(new)
         self.assertEqual((director.rate(held), director.director_file.deployment.told_by), (rate, "probe"))
         director.change_director_file(director_file)
-        town.run(3_000)
+        cluster.run(3_000)
         self.assertIsNone(ask.ended)
         self.assertEqual((director.active_plays, director.director_file), (1, director_file))
 
     def test_a_probe_is_sent_and_its_answer_places_the_play(self):
-        town = Cluster()
-        director = town.directors[0]
+        cluster = Cluster()
+        director = cluster.directors[0]
         director.change_director_file(director_files.read(file_with("(probes yes) (told-by probe)")))
-        ask = town.ask()
-        town.run(600)
+        ask = cluster.ask()
+        cluster.run(600)
         self.assertEqual(ask.answer, "playing")
-        self.assertGreater(len(town.records_of("probed")), 0)
-        town.fault(1, "mute", True)
-        town.fault(2, "mute", True)
-        late = town.ask(wait_ms=1_000)
-        town.run(1_500)
+        self.assertGreater(len(cluster.records_of("probed")), 0)
+        cluster.fault(1, "mute", True)
+        cluster.fault(2, "mute", True)
+        late = cluster.ask(wait_ms=1_000)
+        cluster.run(1_500)
         self.assertIn(late.answer, ("declined", "failed"))
         self.assertLessEqual(late.ms, 1_000)
 
@@ -128,13 +128,13 @@
             self.post.read(body)
 
     def test_a_director_refuses_nonsense_and_goes_on(self):
-        town = Cluster()
+        cluster = Cluster()
         calls = []
-        town.pools[0].call("POST", "/v1/mail", b"nonsense", calls.append)
-        town.run(100)
+        cluster.pools[0].call("POST", "/v1/mail", b"nonsense", calls.append)
+        cluster.run(100)
         self.assertEqual([call.status for call in calls], [400])
-        ask = town.ask()
-        town.run(300)
+        ask = cluster.ask()
+        cluster.run(300)
         self.assertEqual(ask.answer, "playing")
 
 
