--- a/laddergw/planner/rollouts.py
+++ b/laddergw/planner/rollouts.py
@@ -159,7 +159,7 @@
         if rollout is None or rollout.state == wanted.HALTED:
             return "nothing goes on"
         before = rollout.as_record()
-        rollout.state, rollout.why = wanted.HALTED, "halted by an operator"
+        rollout.state, rollout.why = wanted.HALTED, "an operator said so"
         if not self.write_state(rollout):
             self.roll_back(rollout, before)
             return "it could not be written"
