--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -45,7 +45,7 @@
     def __init__(self, world: MemoryNetwork, director_file, number: int, nodes: int):
         self.loop, self.director_file, self.name = world.host(f"d{number}"), director_file._replace(number=number), f"d{number}-0"
         self.limits, self.watch, self.pages, self.attempts, self.attempts_by_node = Limits("built in", default_terms(director_file)), lambda what, **facts: None, {}, {}, {}
-        self.stopping, self.bounds, self.random_fraction, self.rate = False, director_file.bounds, lambda: 0.5, lambda ply: 100.0
+        self.stopping, self.bounds, self.random_fraction, self.rate = False, director_file.bounds, lambda: 0.5, lambda attempt: 100.0
         entry = SimpleNamespace(state=READY, weight=1.0, _replace=lambda **changes: "a node")
         self.fleet = SimpleNamespace(entries={1_000 + n: entry for n in range(nodes)}, on_change=lambda *given: None)
         self.controller = SimpleNamespace(observe_load=None)
--- a/laddergw/control/candidates.py
+++ b/laddergw/control/candidates.py
@@ -18,8 +18,8 @@
 BACKOFF_MS, MAX_BACKOFF_DOUBLINGS = 400.0, 5
 # Share of a cold node's allowance that all directors use: set-ups differ in work.
 COLD_RAMP_SHARE = 0.7
-FRESH_REPORT_MS = 1_000.0  # a report holds so long: under a change or two of a node's plays
-# A play waits so long for probes: a set-up's time, far under first-frame targets.
+FRESH_REPORT_MS = 1_000.0  # a report is valid this long: under a change or two of a node's plays
+# A play waits this long for probes: a set-up's time, far under first-frame targets.
 PROBE_WAIT_MS = 200.0
 
 
@@ -193,7 +193,7 @@
         play.candidates.sort(
             key=lambda n: n.probed_at is not None and now - n.probed_at >= PROBE_WAIT_MS
         )
-        # A node that left a probe unanswered comes last: it may stand still. A play too near its
+        # A node that left a probe unanswered comes last: it may have stalled. A play too near its
         # limit does not wait for a probe.
         node, late = play.candidates[0], play.answer_by - now <= 2 * PROBE_WAIT_MS
         if (
--- a/laddergw/control/prices.py
+++ b/laddergw/control/prices.py
@@ -191,7 +191,7 @@
         before = prices[:]
         for index, capacity in enumerate(capacities):
             prices[index] = 0.0
-            # As this price moves and the others stand, each choice is a line: what it nets at 0,
+            # As this price moves and the others stay, each choice is a line: what it nets at 0,
             # and its use
             lines = [
                 (
--- a/laddergw/control/rungs.py
+++ b/laddergw/control/rungs.py
@@ -37,7 +37,7 @@
         just_started = (
             play and play.first_node and play.started_at is not None and now - play.started_at < 1
         )
-        # NaN and infinite values are no note, either
+        # NaN and infinite values are not valid in a note, either
         kind = kind if node and 0 <= value < IMPLAUSIBLE_LOAD else None
         if kind == interface.RUNG_CHANGED and play and play.node is node:
             self.change_rung(now, play, min(int(value), len(play.deployment.ladder) - 1))
@@ -63,7 +63,7 @@
             n is not node and now - n.short_at < TOGETHER_MS for n in rack.nodes.values()
         )
         if others + node.own > rate or not together:
-            # It is the only one: the node itself sags, or stands still
+            # It is the only one: the node itself slows down, or has stalled
             if now >= node.settle_until:
                 node.record_others(now, max(others, rate / share - node.own))
             return self.step_down(now, node, [node], 1 / share)
--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -213,7 +213,7 @@
         attempt.exchange.push(frames.event("rung", rung=rung))
 
     def remove_from_node(self, attempt: Attempt, reason: str) -> None:
-        """Ends a running play on its node; the viewer is told `reason` once the node has released it. With LOST the controller is told that the play broke."""
+        """Ends a running play on its node; the viewer is sent `reason` once the node has released it. With LOST the controller is notified that the play broke."""
         if attempt.allocation is not None and attempt.playing and not attempt.viewer_gone:
             attempt.end_event = attempt.end_event or reason
             self.apply(attempt, attempt.allocation.stalled() if reason == LOST else attempt.allocation.moved())
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -56,7 +56,7 @@
         self.links_to_flush: dict[Link, None] = {}
         self.last_attempt_id = self.waiting = self.active_plays = self.random_draws = 0
         self.stopping = False
-        # `observer`: the connection to the planners, told of admissions, ends and notes; `closed_rejection()`: rejects every play, or None
+        # `observer`: the connection to the planners, notified of admissions, ends and notes; `closed_rejection()`: rejects every play, or None
         self.observer, self.closed_rejection = None, lambda: None
         self.reload_files: Callable[[], None] = lambda: None    # called on SIGHUP
         self.fleet = Fleet(loop, director_file.lists, str(director_file.number), self.make_link, self.list_changed, self.list_failed, tap)
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -11,7 +11,7 @@
 LIST_LIMITS = PoolLimits(max_connections=1, max_waiting=2, connect_ms=500.0, max_answer_bytes=16_777_216)
 # Pause before the list is requested again: its server may be unreachable for long
 REDIAL_MS = 500.0
-# Without any frame for so long, not even a sign of life, the list is requested again
+# Without any frame for this long, not even a heartbeat, the list is requested again
 SILENCE_TIMEOUT_MS = 15_000.0
 
 
--- a/laddergw/director/frames.py
+++ b/laddergw/director/frames.py
@@ -39,7 +39,7 @@
     length_ms: float | None
     wait_ms: float
     token: str | None
-    unsettled_ms: float     # an earlier attempt may still hold an allocation for so long
+    unsettled_ms: float     # an earlier attempt may still hold an allocation for this long
     route: str              # selects the terms in the operators' file
 
 
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -94,7 +94,7 @@
 
 def run(path: str, level: str = "info", tap_file: str | None = None, source: str = "d", create: Callable = Director,
         on_start: Callable = lambda director, log: None, limits: str | None = None) -> int:
-    """Runs one director until it is told to stop. Returns the process's exit status: 2 if a file is rejected. `create` is called
+    """Runs one director until it is signalled to stop. Returns the process's exit status: 2 if a file is rejected. `create` is called
     like Director, `on_start(director, log)` once it listens. `limits`: path of the operators' file, which is watched."""
     try:
         director_file = director_files.read_file(path)
--- a/laddergw/director/session.py
+++ b/laddergw/director/session.py
@@ -1,7 +1,7 @@
 """State of a director's session at a node: an estimate of the node's clock, when keeps are due, silence, the lease. No I/O.
 
 A session connects one director with one process of a node. The node ends all that it holds for a session when the session's
-stream of notes breaks or its lease, renewed by keeps, expires. Times are ms of the director's clock, unless they are said to be the node's.
+stream of notes breaks or its lease, renewed by keeps, expires. Times are ms of the director's clock, unless they are stated to be the node's.
 """
 import math
 from collections import deque
@@ -10,7 +10,7 @@
 KEEP_MS = 1_000.0
 # A session's lease: a process that stalls for less than two seconds breaks no play
 LEASE_MS = 3_000.0
-# Without an answer to a keep for so long no further keep is sent, and the lease expires
+# Without an answer to a keep for this long no further keep is sent, and the lease expires
 SILENCE_TIMEOUT_MS = 2_500.0
 # Pause before the session is opened again, doubled with each failure
 MIN_REDIAL_MS, MAX_REDIAL_MS = 200.0, 3_000.0
--- a/laddergw/director/tokens.py
+++ b/laddergw/director/tokens.py
@@ -12,7 +12,7 @@
 
 # 128 bits cannot be guessed
 MARK_BYTES = 16
-# A request with an older token counts as a first attempt: no play is retried for so long
+# A request with an older token counts as a first attempt: no play is retried for this long
 MAX_AGE_MS = 3_600_000.0
 # A first attempt may lie this far in the future: the clocks of directors differ a little
 MAX_CLOCK_SKEW_MS = 5_000.0
--- a/laddergw/edge/front.py
+++ b/laddergw/edge/front.py
@@ -28,10 +28,10 @@
 from laddergw.programme.sources import ChosenSource, SourceNode, choose, item_segment_node, is_cold, decide_unfetched, playlist_sources, link_share
 
 CHECK_INTERVAL_MS = 500.0  # between checks of the players: one that has left is noticed within this
-ADDRESS_TTL_MS = 6 * 3_600_000.0   # a session's addresses are valid for so long: a long evening
+ADDRESS_TTL_MS = 6 * 3_600_000.0   # a session's addresses are valid for this long: a long evening
 RELOCATION_PAUSE_MS = 300.0    # before a lost play is requested again
 MIN_RELOCATION_WAIT_MS = 1_500.0   # shortest wait of such a request
-FAILED_SOURCE_MS = 5_000.0 # a node that could not serve an item is not used as a source for so long
+FAILED_SOURCE_MS = 5_000.0 # a node that could not serve an item is not used as a source for this long
 REFRESH_BATCH = 8          # items' playlists refreshed at each check: enough for a few hundred before they reach half their age
 MAX_TITLES = 2_000         # cached for later sessions; sessions under way keep their own
 MASTER, MEDIA = "master.m3u8", "media.m3u8"
--- a/laddergw/edge/sessions.py
+++ b/laddergw/edge/sessions.py
@@ -85,7 +85,7 @@
         self.state = PLAYING
 
     def play_rejected(self, exchange: PlayExchange, status: int, body: bytes, extra: str) -> None:
-        """No node serves the play: the viewer is told, or a session under way retries later."""
+        """No node serves the play: the viewer is informed, or a session under way retries later."""
         if exchange is not self.play_exchange:
             return
         if self.state == WAITING:
--- a/laddergw/edge/watching.py
+++ b/laddergw/edge/watching.py
@@ -5,9 +5,9 @@
 """
 from typing import NamedTuple
 
-# Without a request for so many target durations, and at least so many ms, a player has left: two reloads were missed
+# Without a request for this many target durations, and at least this many ms, a player has left: two reloads were missed
 SILENT_TARGET_DURATIONS, MIN_SILENCE_MS = 3.0, 10_000.0
-# A segment requested so often over so long: its node does not deliver it
+# A segment requested this often over this long: its node does not deliver it
 STALL_REQUESTS, STALL_MS = 3, 2_000.0
 # Until the first segment request: a player that never requests one has left
 START_MS = 8_000.0
--- a/laddergw/fleet/answers.py
+++ b/laddergw/fleet/answers.py
@@ -11,8 +11,8 @@
     for process in in_order(log):
         if now - process.heard_ms >= SILENT_MS and not process.gone:
             sentences.append(f"{process.name} silent since {format_seconds(now - process.heard_ms)} ago: what it does now is not known")
-        if process.untold:
-            sentences.append(f"{process.name} dropped {process.untold} actions before any planner could keep them")
+        if process.dropped_actions:
+            sentences.append(f"{process.name} dropped {process.dropped_actions} actions before any planner could keep them")
         sentences += [f"{process.name}: its turns {first} to {last} are missing here: the journal was set back, or another planner keeps it" for first, last in gaps(process)]
     return sentences
 
--- a/laddergw/fleet/fleet_log.py
+++ b/laddergw/fleet/fleet_log.py
@@ -23,7 +23,7 @@
 
 
 class TurnRecord(NamedTuple):
-    """A turn in the planner's time. `stand`: id of its version set; `told_ms`: when the planner heard of it."""
+    """A turn in the planner's time. `stand`: id of its version set; `told_ms`: when the planner learned of it."""
     number: int
     since_ms: float
     stand: str
@@ -31,10 +31,10 @@
 
 
 class Process:
-    """One director's process. `untold`: actions that it dropped before any planner kept them; `gone`: why it admits nothing any more, empty while it does."""
+    """One director's process. `dropped_actions`: actions that it dropped before any planner kept them; `gone`: why it admits nothing any more, empty while it does."""
 
     def __init__(self, name: str):
-        self.name, self.heard_ms, self.untold, self.outages, self.without, self.gone = name, 0.0, 0, [], "", ""
+        self.name, self.heard_ms, self.dropped_actions, self.outages, self.without, self.gone = name, 0.0, 0, [], "", ""
         self.turns: dict[int, TurnRecord] = {}
         self.counts: dict[Key, int] = {}
         self.folded_to = 0                                  # turns up to this are counted in `earlier` alone
@@ -42,7 +42,7 @@
         self.recent: list[tuple[float, str, int]] = []      # admitted: when reported, version set, how many
         self.results: dict[tuple[str, str], list[int]] = {} # answers by kind and hash, of ROLLOUT_KINDS: with a play, without one
         self.last_part = Part()                             # without turns and counts: zone, kinds accepted, outcome of a want
-        self.digests, self.stall_ms, self.stall_end = 0, 0.0, float("-inf")     # number of its last digest; its last stall, and when it was heard again
+        self.digests, self.stall_ms, self.stall_end = 0, 0.0, float("-inf")     # number of its last digest; its last stall, and when it reported again
 
     @property
     def director(self) -> str:
@@ -111,7 +111,7 @@
         if part.alone_ms and (not process.outages or now - process.outages[-1][0] > 1.0):
             process.outages = [*process.outages[1 - MAX_OUTAGES:], (now, part.alone_ms)]
         process.record_digest(now, number)
-        process.untold, process.without, process.last_part = max(process.untold, part.untold), part.without, msgspec.structs.replace(part, turns=(), stands={}, counts=())
+        process.dropped_actions, process.without, process.last_part = max(process.dropped_actions, part.untold), part.without, msgspec.structs.replace(part, turns=(), stands={}, counts=())
         process.recent = [row for row in process.recent if now - row[0] < MINUTE_MS]
         if new_turns or new_counts:
             unstored = self.changed.setdefault(name, (set(), set()))
@@ -135,7 +135,7 @@
                 del self.processes[oldest.name]
 
     def mark_gone(self, process: Process, gone: str) -> None:
-        """Notes why a process admits nothing any more: it reported its stop, or an operator declared it gone; empty once it is heard again."""
+        """Notes why a process admits nothing any more: it reported its stop, or an operator declared it gone; empty once it reports again."""
         if process.gone != gone:
             process.gone = gone
             self.changed.setdefault(process.name, (set(), set()))
@@ -150,7 +150,7 @@
 
     def progress(self, kind: str, number: int, now: float) -> list[ProcessProgress]:
         """Returns each director as its process reports it, for the rollout of that number; those that stopped or are gone are left out. Where several processes
-        of one name are heard, the one that began last is the director, and each other one is listed under its own name."""
+        of one name report, the one that began last is the director, and each other one is listed under its own name."""
         rows = []
         for name, process in sorted((row for rows_of_director in self.running(now).values() for row in rows_of_director), key=lambda row: row[0]):
             on, part = self.version_sets[process.last().stand].of(kind), process.last_part
@@ -160,16 +160,16 @@
         return rows
 
     def running(self, now: float) -> dict[str, list[tuple[str, Process]]]:
-        """Returns by director the processes that are heard, the last begun first, or the one heard last; each with the name under which its progress is listed."""
+        """Returns by director the processes that report, the last begun first, or the one that reported last; each with the name under which its progress is listed."""
         by_director: dict[str, list[Process]] = {}
         for process in self.processes.values():
             if not process.gone and process.turns:
                 by_director.setdefault(process.director, []).append(process)
         running = {}
         for director, processes in by_director.items():
-            heard = [one for one in processes if now - one.heard_ms < SILENT_MS] or [max(processes, key=lambda one: (one.heard_ms, one.name))]
-            heard.sort(key=lambda one: (-one.turns[min(one.turns)].since_ms, one.name))
-            running[director] = [(one.name if index else director, one) for index, one in enumerate(heard)]
+            reporting = [one for one in processes if now - one.heard_ms < SILENT_MS] or [max(processes, key=lambda one: (one.heard_ms, one.name))]
+            reporting.sort(key=lambda one: (-one.turns[min(one.turns)].since_ms, one.name))
+            running[director] = [(one.name if index else director, one) for index, one in enumerate(reporting)]
         return running
 
     def count_result(self, process: Process, key: Key, increase: int) -> None:
@@ -203,7 +203,7 @@
             turns, counts = set(process.turns), set(process.counts)
         turn_records = [process.turns[number] for number in sorted(turns) if number in process.turns]
         set_ids = ({t.stand for t in turn_records} | {key.kept for key in counts if key.kept}) - (set() if whole else self.stored_version_sets)
-        return {"process": name, "wall_ms": wall_ms, "heard_ms": process.heard_ms, "untold": process.untold, "gone": process.gone, "folded_to": process.folded_to,
+        return {"process": name, "wall_ms": wall_ms, "heard_ms": process.heard_ms, "untold": process.dropped_actions, "gone": process.gone, "folded_to": process.folded_to,
                 "earlier": [(*key, count) for key, count in sorted(process.earlier.items())] if whole else [],
                 "turns": [tuple(t) for t in turn_records], "counts": [(*key, process.counts[key]) for key in sorted(counts) if key in process.counts],
                 "stands": {s: [tuple(v) for v in self.version_sets[s].versions] for s in sorted(set_ids) if s in self.version_sets}}
@@ -237,7 +237,7 @@
             key = Key(*row[:4])
             if key.turn > process.folded_to:
                 self.count_result(process, key, process.count(key, row[4]))
-        process.heard_ms, process.untold = max(process.heard_ms, record["heard_ms"]), max(process.untold, record["untold"])
+        process.heard_ms, process.dropped_actions = max(process.heard_ms, record["heard_ms"]), max(process.dropped_actions, record["untold"])
         process.gone = record.get("gone", "")
 
     def acknowledged(self, name: str) -> int:
--- a/laddergw/fleet/grant_issuer.py
+++ b/laddergw/fleet/grant_issuer.py
@@ -174,5 +174,5 @@
         return Grant(self.budget.name, self.budget.whole, amount, floor, self.budget.window_ms)
 
     def unknown_floors(self, now: float) -> int:
-        """Returns what a previous planner may have granted to processes that are not heard: floors outlast the rest, and those reported now were part of them."""
+        """Returns what a previous planner may have granted to processes that do not report: floors outlast the rest, and those reported now were part of them."""
         return 0 if self.is_settled(FLOOR_LEASE_MS, now) else max(0, int(self.past_whole * RESERVE_SHARE) - self.floors_total)
--- a/laddergw/fleet/rights.py
+++ b/laddergw/fleet/rights.py
@@ -18,7 +18,7 @@
 FIRST_GRANT_WAIT_MS = 2_000.0
 # Requests that a grant may answer: the digests of 16 s, longer than any lease.
 MAX_PENDING_REQUESTS = 64
-# Of the directors heard lately, the share that forbidding a version may exclude.
+# Of the directors that reported lately, the share that forbidding a version may exclude.
 MAX_EXCLUDED_SHARE = 0.5
 MAX_FORBIDDEN_VERSIONS = 64
 # What a director does whose right has ended.
@@ -104,7 +104,7 @@
 
     def check_unused(self, version: VersionKey, seen: list[ObservedProcess], now: float) -> tuple[bool, list[str]]:
         """Returns whether no director admits plays under a forbidden version any more, and which may still: of those that stay open without a right, whoever last
-        reported it (what is sent to it may be lost although it is heard) and whoever is silent (it may have switched to it unheard)."""
+        reported it (what is sent to it may be lost although it reports) and whoever is silent (it may have switched to it without a report)."""
         since = self.since[version]
         may = [one.name for one in seen if one.without_right == OPEN and (version in one.versions or now - one.heard_ms >= LEASE_MS)]
         return now >= since + LEASE_MS + MARGIN_MS and not may, may
--- a/laddergw/fleet/rights_check.py
+++ b/laddergw/fleet/rights_check.py
@@ -1,6 +1,6 @@
 """A model checker for rights: runs the functions of directors and planners themselves, in all orders of losses, delays, stalls and takeovers.
 
-There are two planners on one store, and a director on version V that switches to another version and back (directors do not hear of each other, so one stands for many).
+There are two planners on one store, and a director on version V that switches to another version and back (directors exchange no messages, so one represents many).
 A state is what the real objects hold, as plain values; each is visited once, breadth first, so a violation is reported with the fewest steps. Ticks and messages in
 flight are bounded.
 
--- a/laddergw/fleet/wanted.py
+++ b/laddergw/fleet/wanted.py
@@ -2,7 +2,7 @@
 
 A rollout goes to a first few directors, then to shares of all, alternating between zones. A step is passed when every director that can be on the version has been on it
 for a while and does no worse than the others. It halts at the first refusal, at crashes, and where answers get worse. A halted rollout sends nothing more; the way back
-is to want the earlier version. One kind has one rollout at a time. Decisions are in the journal before any director is told.
+is to want the earlier version. One kind has one rollout at a time. Decisions are in the journal before any director is sent them.
 """
 import math
 from typing import Iterable, NamedTuple
@@ -49,11 +49,11 @@
 
 class ProcessProgress(NamedTuple):
     """One director as the planner knows it: its latest process. `on`: hash of the kind in force; `outcome`, `why`: its report of this want, with its error; `stall_ms`,
-    `stall_end`: length of its last stall, and when it was heard again."""
+    `stall_end`: length of its last stall, and when it reported again."""
     director: str
     process: str
     zone: int
-    heard: bool
+    is_reporting: bool
     heard_ms: float
     on: str
     takes: bool
@@ -130,7 +130,7 @@
 
     def able(self, progress: ProcessProgress) -> bool:
         """Returns whether a director is on it, refused it, or can be sent it; the rollout does not wait for the others."""
-        return progress.on == self.want.hash or progress.heard and progress.takes and progress.outcome != IN_FORCE and self.may_try(progress)
+        return progress.on == self.want.hash or progress.is_reporting and progress.takes and progress.outcome != IN_FORCE and self.may_try(progress)
 
     def update(self, all_progress: list[ProcessProgress], new: Answers, others: Answers, now: float) -> Decision:
         """Returns the next decision. `new`, `others`: answers since the start, under the wanted version and under others."""
@@ -156,11 +156,11 @@
             if last is not None and progress.process != last:
                 self.crashed.add(progress.director)
                 del self.process[progress.director]
-            if progress.heard and progress.on == self.want.hash:
+            if progress.is_reporting and progress.on == self.want.hash:
                 self.process[progress.director] = progress.process
 
     def process_stopped(self, director: str) -> None:
-        """Notes that a director stopped as it was told to: the next process under its name is no crash."""
+        """Notes that a director stopped on request: the next process under its name is no crash."""
         self.process.pop(director, None)
 
     def halt_reason(self, members: list[ProcessProgress], all_progress: list[ProcessProgress], new: Answers, others: Answers) -> str | None:
@@ -193,7 +193,7 @@
             self.ready.pop(progress.director, None)
             return False
         self.ready.setdefault(progress.director, now)
-        return progress.heard and progress.takes and progress.outcome == "" and self.may_try(progress)
+        return progress.is_reporting and progress.takes and progress.outcome == "" and self.may_try(progress)
 
     def record_sent(self, process: str) -> None:
         """Notes that a process was sent the last piece; a second time, after its connection broke, does not count as another attempt."""
@@ -206,10 +206,10 @@
         return len(self.sent.get(director, ()))
 
     def cause(self, progress: ProcessProgress, now: float) -> tuple[str, str] | None:
-        """Returns why a director is not on the wanted version, with details; None if it is on it and heard."""
+        """Returns why a director is not on the wanted version, with details; None if it is on it and reports."""
         if progress.on == self.want.hash:
-            return None if progress.heard else (UNREACHABLE, f"on it when it was last heard, {(now - progress.heard_ms) / 1000:.1f} s ago")
-        if not progress.heard:
+            return None if progress.is_reporting else (UNREACHABLE, f"on it when it was last heard, {(now - progress.heard_ms) / 1000:.1f} s ago")
+        if not progress.is_reporting:
             return UNREACHABLE, f"silent since {(now - progress.heard_ms) / 1000:.1f} s ago"
         if progress.outcome == IN_FORCE:
             return FILE, "it was in force there, and its own file was changed since"
--- a/laddergw/fleet/wanted_check.py
+++ b/laddergw/fleet/wanted_check.py
@@ -18,7 +18,7 @@
     """The functions that are checked, and the bounds of the search; tests pass in mistakes.
 
     `number`: the number of a new want, from the epoch and the highest number known; `fenced`: a planner that lost the store offers nothing; `in_flight`: messages at
-    most; `lives`: processes of one director; `wants`: in one epoch.
+    most; `processes_per_director`: starts of one director at most; `wants`: in one epoch.
     """
     handle_offer: Callable = FileReceiver.handle_offer
     may_try: Callable = Rollout.may_try
@@ -26,14 +26,14 @@
     fenced: bool = True
     directors: int = 2
     in_flight: int = 2
-    lives: int = 3
+    processes_per_director: int = 3
     epochs: int = 3
     wants: int = 2
 
 
 class State(NamedTuple):
-    """`store`: its epoch and its want, as number, text, state and, by director, the lives that were sent it; `planners`: the epoch of each, and the store's want as it
-    read it; `directors`: life, highest epoch obeyed, offer held, checking, outcome, what is in force as number and text; `in_flight`: what may still arrive."""
+    """`store`: its epoch and its want, as number, text, state and, by director, the numbers of the processes that were sent it; `planners`: the epoch of each, and the store's want as it
+    read it; `directors`: process number, highest epoch obeyed, offer held, checking, outcome, what is in force as number and text; `in_flight`: what may still arrive."""
     store: tuple
     planners: tuple
     directors: tuple
@@ -68,13 +68,13 @@
 def rollout(want: tuple) -> Rollout:
     """Returns a Rollout that holds the values of a want."""
     number, text, state, sent = want
-    return Rollout(Want("limits", number, f"v{text}", "", 1), 0.0, 0, state, "", {f"d{d}": [f"d{d}-{life}" for life in lives] for d, lives in enumerate(sent) if lives})
+    return Rollout(Want("limits", number, f"v{text}", "", 1), 0.0, 0, state, "", {f"d{d}": [f"d{d}-{process_number}" for process_number in process_numbers] for d, process_numbers in enumerate(sent) if process_numbers})
 
 
 def to_want(made: Rollout, want: tuple) -> tuple:
     """Returns the values of a want after its Rollout changed."""
-    lives = tuple(tuple(int(name.partition("-")[2]) for name in made.sent.get(f"d{d}", ())) for d in range(len(want[3])))
-    return want[:3] + (lives,)
+    process_numbers = tuple(tuple(int(name.partition("-")[2]) for name in made.sent.get(f"d{d}", ())) for d in range(len(want[3])))
+    return want[:3] + (process_numbers,)
 
 
 def put(rows: tuple, position: int, row) -> tuple:
@@ -98,7 +98,7 @@
                     sent = ("offer", director, row[0], position, mine, known[0], known[1])
                     yield f"planner {position} offers {known[:2]} to {director}", state._replace(in_flight=tuple(sorted(state.in_flight + (sent,))))
     for director, row in enumerate(state.directors):
-        if row[0] < rules.lives:
+        if row[0] < rules.processes_per_director:
             yield f"director {director} restarts", state._replace(directors=put(state.directors, director, (row[0] + 1, 0, None, False, Outcome(), row[5])))
     for index, message in enumerate(state.in_flight):
         rest = state._replace(in_flight=state.in_flight[:index] + state.in_flight[index + 1:])
@@ -126,7 +126,7 @@
 
 def arrive(state: State, rules: Rules, message: tuple) -> Iterator[tuple[str, State]]:
     """Yields what the arrival of a message at its director leads to."""
-    kind, director, life, position, epoch, number, text = message
+    kind, director, process_number, position, epoch, number, text = message
     row, broken = state.directors[director], ""
     made = receiver_of(row)
     if kind == "offer":
@@ -138,12 +138,12 @@
         mine, known = state.planners[position]
         if fetch is not None and (mine == state.store[0] or not rules.fenced) and known is not None and known[0] == number and known[2] == GOING:
             new = rollout(known)
-            new.record_sent(f"d{director}-{life}")
+            new.record_sent(f"d{director}-{process_number}")
             kept = to_want(new, known)
             if max(map(len, kept[3])) > MAX_SENDS:
                 broken = f"director {director} is sent {number} a third time"
             after = after._replace(planners=put(state.planners, position, (mine, kept)), store=(state.store[0], kept if mine == state.store[0] else state.store[1]),
-                                   in_flight=tuple(sorted(after.in_flight + (("whole", director, life, position, epoch, number, text),))), broken=broken)
+                                   in_flight=tuple(sorted(after.in_flight + (("whole", director, process_number, position, epoch, number, text),))), broken=broken)
         yield f"{message} arrives", after
         return
     found = made.handle_piece(number, 0, TEXTS[text])
--- a/laddergw/lab/soak/change_log.py
+++ b/laddergw/lab/soak/change_log.py
@@ -86,7 +86,7 @@
             connection.send_pending()
 
     def initial_events(self, director: int) -> dict:
-        """Returns all events so far, as they stand in that director's configuration file."""
+        """Returns all events so far, as they appear in that director's configuration file."""
         return {
             "seq": len(self.events),
             "results": [self.with_addresses(event_data, director) for event_data in self.events],
--- a/laddergw/lab/soak/judge_drains.py
+++ b/laddergw/lab/soak/judge_drains.py
@@ -4,9 +4,9 @@
 
 from laddergw.lab.soak.violation import SLACK_MS, RuleViolation
 
-# From this time after a director was told that a node drains, it sends the node nothing new.
+# From this time after a director was notified that a node drains, it sends the node nothing new.
 MIN_DRAIN_NOTICE_MS = 250.0
-# A change that an unreachable change log cannot send counts as told this long after the log became
+# A change that an unreachable change log cannot send counts as known this long after the log became
 # unreachable,
 UNREACHABLE_NOTICE_MS = 4_000.0
 # or, if the log was unreachable for longer than that, this long after it has the change and can be
@@ -15,10 +15,10 @@
 
 
 def notice_at(at: float, outages: list[list[float]]) -> float:
-    """Returns when a change that the change log had at a time counts as told to directors.
+    """Returns when a change that the change log had at a time counts as known to directors.
 
     `outages` are the spans in which the log could not be reached. A change of an outage counts as
-    told 4 s after the outage began, or 6 s after its end if the outage was longer than those 4 s.
+    known 4 s after the outage began, or 6 s after its end if the outage was longer than those 4 s.
     """
     for begins, ends in outages:
         if begins <= at < max(ends, begins + UNREACHABLE_NOTICE_MS):
@@ -31,7 +31,7 @@
 
 
 def check_drains(records, grace_ms: float) -> list[RuleViolation]:
-    """Checks that a draining node is sent nothing new once directors count as told of the drain."""
+    """Checks that a draining node is sent nothing new once directors count as knowing of it."""
     outages: list[list[float]] = []
     noticed_at: dict[str, float] = {}
     violations = []
--- a/laddergw/lab/soak/viewer_connection.py
+++ b/laddergw/lab/soak/viewer_connection.py
@@ -15,10 +15,10 @@
 LEAVE_SHARE, LEAVE_MS = (
     0.3,
     300.0,
-)  # part of the viewers that leave before their answer, within so long
+)  # part of the viewers that leave before their answer, within this many ms
 # The same share under the condition `leave_early`.
 EARLY_LEAVE_SHARE = 0.6
-END_SHARE, END_MS = 0.1, 1_500.0  # part of the viewers that end what plays, within so long
+END_SHARE, END_MS = 0.1, 1_500.0  # part of the viewers that end what plays, within so many ms
 # Share of the rejected viewers that retry at once under the condition `repeat_at_once`.
 REPEAT_SHARE = 0.8
 TITLE_COUNT = 60
--- a/laddergw/loop/base.py
+++ b/laddergw/loop/base.py
@@ -21,7 +21,7 @@
 NO_DESCRIPTOR = "no descriptor"
 # a turn that comes so much later than it is due counts as a stall of the process
 STALL_THRESHOLD_MS = 100.0
-# a turn that runs so long is logged: the time limits of its viewers are of this size
+# a turn that runs this long is logged: the time limits of its viewers are of this size
 SLOW_TURN_MS = 1_000.0
 # the log names the calls that took at least SLOW_CALL_MS, and at most MAX_SLOW_CALLS of them
 SLOW_CALL_MS, MAX_SLOW_CALLS = 20.0, 8
--- a/laddergw/loop/memory.py
+++ b/laddergw/loop/memory.py
@@ -143,7 +143,7 @@
             self.deliver_at(self.network.now, self.signal_handlers[number])
 
     def freeze(self, ms: float) -> None:
-        """Stops the host's turns for so long; what arrives waits."""
+        """Stops the host's turns for this long; what arrives waits."""
         if self.frozen_until <= self.network.now:
             self.froze_at = self.network.now
         self.frozen_until = max(self.frozen_until, self.network.now + ms)
--- a/laddergw/loop/memory_streams.py
+++ b/laddergw/loop/memory_streams.py
@@ -83,7 +83,7 @@
     def flush(self, quiet: bool = False) -> None:
         """Sends what the window takes; the reader opens it again by reading.
 
-        `quiet`: the owner is not told that the queue is empty.
+        `quiet`: the owner is not notified that the queue is empty.
         """
         while self.write_queue and self.alive and self.remote is not None:
             room = WINDOW - self.remote.unread
--- a/laddergw/loop/streams.py
+++ b/laddergw/loop/streams.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from laddergw.loop.sockets import SocketLoop
 
-# limit for the queue of a connection that we have closed: if its peer takes nothing for so long,
+# limit for the queue of a connection that we have closed: if its peer takes nothing for this long,
 # the rest is dropped
 CLOSE_STALL_MS = 5_000.0
 
@@ -195,7 +195,7 @@
     def close(self, delivery_limit_ms: float | None = None) -> None:
         """Closes once everything queued is sent; nothing more is read.
 
-        With `delivery_limit_ms`, what the peer's kernel has not acknowledged so long after that is
+        With `delivery_limit_ms`, what the peer's kernel has not acknowledged that long after it is
         discarded from ours and never arrives; without it, ours goes on delivering.
         """
         if self.sock is None or self.closing:
--- a/laddergw/loop/timers.py
+++ b/laddergw/loop/timers.py
@@ -1,7 +1,7 @@
 """Timers: a heap and a hierarchical timing wheel behind one interface.
 
 Both return timers in the order of (time, order of adding), so a run does not depend on which one is
-used. Which one the loops use, and why, is told in docs/loop.md with the figures of
+used. Which one the loops use, and why, is described in docs/loop.md with the figures of
 benchmarks/timers.py. Times are ms with fractions.
 """
 
--- a/laddergw/machines/admission.py
+++ b/laddergw/machines/admission.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-# Reasons of rejections, as viewers are told them
+# Reasons of rejections, as sent to viewers
 DIRECTOR_FULL, DIRECTOR_STOPPING, MAY_HAVE_RUN, ATTEMPT_UNSETTLED, NODES_SLOW = (
     "director is full",
     "director stops",
@@ -31,7 +31,7 @@
     answer_margin_ms: float = 40.0
     # When rejected viewers may ask again: drawn from the upper half of this
     retry_after_ms: float = 1_000.0
-    # Plays being served may go on for so long after a SIGTERM
+    # Plays being served may go on for this long after a SIGTERM
     finish_ms: float = 10_000.0
 
 
@@ -75,7 +75,7 @@
 def defer_retry(unsettled_ms: float, max_lease_ms: float) -> Rejection | None:
     """Declines a retry whose earlier, unanswered attempt may still hold an allocation elsewhere.
 
-    The viewer is told when to ask again, ms; no allocation outlives the longest lease. The retry is
+    The answer states when to ask again, ms; no allocation outlives the longest lease. The retry is
     not kept waiting here: a play counts as taken when it is admitted, and the retry budget counts
     from then.
     """
@@ -87,6 +87,6 @@
     """Returns how long a viewer still waits, ms.
 
     That is the viewer's own figure less the time for which its request lay unread while the
-    director stood still, and less the margin for the answer's way.
+    director was stalled, and less the margin for the answer's way.
     """
     return max(0.0, wait_ms - unread_ms - margin_ms)
--- a/laddergw/machines/allocation.py
+++ b/laddergw/machines/allocation.py
@@ -5,10 +5,10 @@
        |               `--time-out, cut, viewer left--> ENDING --acknowledged, lease over--> GONE
        `--withdrawn, no connection-----------------------------------------> GONE
 
-A node may hold an allocation until it has acknowledged its release, or until its lease, told in the
-node's own clock, is over. Only then is the allocation's end reported (`AllocationActions.ended`),
-so that the next allocation of the play never exists beside it. Times are ms of the director's
-clock, handed in.
+A node may hold an allocation until it has acknowledged its release, or until its lease, given in
+the node's own clock, is over. Only then is the allocation's end reported
+(`AllocationActions.ended`), so that the next allocation of the play never exists beside it. Times
+are ms of the director's clock, handed in.
 """
 
 import math
@@ -70,7 +70,7 @@
         self.requested_at, self.set_up_deadline = now, now + timeout_ms
         self.grace_ms, self.release_ms = grace_ms, release_ms
         self.lease_ends_at = self.release_deadline = now + timeout_ms + grace_ms
-        # ran: the node said that it set the play up; confirmed: the director accepted that in time
+        # ran: the node reported the play as set up; confirmed: the director accepted that in time
         self.ran = self.confirmed = False
 
     def sent(self) -> AllocationActions:
@@ -154,7 +154,7 @@
     def stalled(self) -> AllocationActions:
         """The node holds the play, but the viewer gets no data.
 
-        The node releases it, and the controller is told that it broke.
+        The node releases it, and the controller is notified that it broke.
         """
         return self.start_release(interface.BROKEN) if self.state == HELD else NO_ACTIONS
 
--- a/laddergw/machines/play.py
+++ b/laddergw/machines/play.py
@@ -47,11 +47,11 @@
     connect_ms: float = 1_940.0
     # To a set-up's answer
     set_up_ms: float = 1_940.0
-    # A set-up may be out for so long without the director's confirmation
+    # A set-up may be out for this long without the director's confirmation
     lease_ms: float = 2_000.0
     # For the acknowledgement of a release; after this the next allocation is sent
     release_ms: float = 2_000.0
-    # A node that sends no segment for so long has stalled
+    # A node that sends no segment for this long has stalled
     first_segment_ms: float = 2_000.0
     # Allocations of one viewer's attempt
     attempts: int = 100
--- a/laddergw/planner/rollouts.py
+++ b/laddergw/planner/rollouts.py
@@ -178,5 +178,5 @@
         if self.highest_number > rollout.want.number:
             not_known.append(f"directors were offered number {self.highest_number}, the last one here is {rollout.want.number}: this journal was set back; start the rollout again")
         return {"want": rollout.want._asdict(), "step": rollout.step + 1, "steps": len(wanted.STEP_SHARES), "state": rollout.state, "why": rollout.why,
-                "on_it": sum(director.on == rollout.want.hash and director.heard for director in directors), "directors": len(directors), "behind": behind, "not_known": not_known}
+                "on_it": sum(director.on == rollout.want.hash and director.is_reporting for director in directors), "directors": len(directors), "behind": behind, "not_known": not_known}
 
--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -1,4 +1,4 @@
-"""One director process: reads its configuration and serves until it is told to stop."""
+"""One director process: reads its configuration and serves until it is signalled to stop."""
 
 # Before all else: until the loop handles them, signals end the process by default.
 if __name__ == "__main__":
@@ -74,7 +74,7 @@
     for number in signal.SIGTERM, signal.SIGINT:
         loop.on_signal(number, director.stop)
     loop.on_signal(signal.SIGHUP, lambda: reload_configuration(path, director))
-    # What the start has created stays for the process's life: the collector need not scan it again.
+    # What the start has created stays for the process's lifetime: the collector need not rescan it.
     gc.freeze()
     log.info(
         "director %s runs at %s, %d nodes, change log at %s; "
--- a/laddergw/platform/allocator.py
+++ b/laddergw/platform/allocator.py
@@ -173,7 +173,7 @@
     def cancel(self, play: Play) -> None:
         """Ends a play's allocation, if there is one: its viewer no longer waits.
 
-        The controller is told of an end at once, before the session's name can come again.
+        The controller is notified of an end at once, before the session's name can come again.
         """
         if play.connection is not None:
             self.drop_set_up(play, allocation.CANCELLED)
@@ -185,7 +185,7 @@
         what still comes on it belongs to no play.
 
         The connection is aborted while the node's kernel has not received the whole set-up: a node
-        that stood still or was away would begin it when it is back.
+        that had stalled or was unreachable would begin it when it is back.
         """
         connection = play.connection
         log.debug(
--- a/laddergw/platform/answers.py
+++ b/laddergw/platform/answers.py
@@ -16,7 +16,7 @@
 from laddergw.platform.plays import Play
 from laddergw.signalling import description, rtsp
 
-# A description that may be cut short is passed on once nothing more has come for so long.
+# A description that may be cut short is passed on once nothing more has come for this long.
 MORE_BODY_WAIT_MS = 250.0
 
 log = logging.getLogger("laddergw.platform")
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -16,7 +16,7 @@
 # A connection is not used so shortly before the node closes it as idle: a set-up that crosses the
 # close may have run, for all we know, and a paid play then fails.
 IDLE_CLOSE_MARGIN_MS = 500.0
-# A message from a node proves that it is alive; so long after its last one it is pinged. An answer
+# A message from a node proves it alive; it is pinged this long after its last one. An answer
 # passes at once: a connection whose ping is unanswered for PING_TIMEOUT_MS is dead. With the checks
 # (each nodes.CHECK_INTERVAL_MS) before both, and so many connections in a row that never come up, a
 # machine is found gone within 6 s of the 8 s after which its plays count as lost.
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -8,7 +8,7 @@
 from laddergw.platform.connection import Connection
 from laddergw.platform.node import Node
 
-# A release that its node has not acknowledged is sent again for so long: what ran then counts as
+# A release that its node has not acknowledged is sent again for this long: what ran then counts as
 # lost.
 RELEASE_RETRY_MS = 8_000.0
 # Time between checks of the nodes where plays run.
@@ -197,7 +197,7 @@
                 del self.by_id[node.id]
 
     def check(self) -> None:
-        """Checks the nodes where plays run, the one that was heard longest ago first.
+        """Checks the nodes where plays run, the one with the oldest last message first.
 
         Connections may be fewer than nodes: that one has had no turn for longest.
         """
--- a/laddergw/programme/sources.py
+++ b/laddergw/programme/sources.py
@@ -10,7 +10,7 @@
 
 # Of a link, for items of plays on other nodes: what the plays of the node itself can spare
 MAX_ITEM_SHARE = 0.1
-# So long before its splice an item must be known to be available: the fetch of a playlist and one retry
+# This long before its splice an item must be known to be available: the fetch of a playlist and one retry
 FETCH_LEAD_MS = 1_500.0
 # On top of that: a player's next reload still comes in time
 RELOAD_WAIT_MS = 2_500.0
--- a/laddergw/terms/limits.py
+++ b/laddergw/terms/limits.py
@@ -44,7 +44,7 @@
 
 
 class Budget(NamedTuple):
-    """A budget of further allocations within a window in ms: a fixed number, and a share of the plays taken in it."""
+    """A retry budget, of further allocations within a window in ms: a fixed number, and a share of the plays taken in it."""
     free: float
     share: float
     window_ms: float
--- a/laddergw/terms/proof.py
+++ b/laddergw/terms/proof.py
@@ -66,7 +66,7 @@
 # Values
 
 def value_objections(limits: Limits, settings: DirectorFile, classes: Iterable[TermsClass]) -> Iterable[Objection]:
-    """Inconsistent values, once for each line that they stand in."""
+    """Inconsistent values, once for each line that holds them."""
     seen = set()
     for one in classes:
         for field, reason in inconsistencies(one.effective.terms, settings, answer_margin_ms(limits, settings)):
--- a/laddergw/terms/search.py
+++ b/laddergw/terms/search.py
@@ -2,7 +2,7 @@
 
 The search is explicit-state model checking. It runs the director's own state machines (machines/play.py, machines/allocation.py) against everything that nodes, network and viewer
 can do at each step, each at its worst moment: a set-up refused, without a connection, silent, or cut after its last byte; a release acknowledged or lost; a node that drains while a
-set-up waits; a director that dies, a viewer that leaves, a viewer that retries at once at a director that knows nothing of the first. The viewer's attempts and the states are bounded.
+set-up waits; a director that crashes, a viewer that leaves, a viewer that retries at once at a director that knows nothing of the first. The viewer's attempts and the states are bounded.
 
 The alternative was a solver of timing inequalities (z3). Inequalities would be a second description beside the state machine and could differ from it; here the machine itself
 is run, and a counterexample can be replayed on a real director. States that differ only in how they were reached are visited once.
@@ -174,7 +174,7 @@
         return state.then(f"{name}: sent, its lease ends at {allocation.lease_ends_at:g} ms", held_until=state.held_until + (allocation.lease_ends_at,))
 
     def interrupt(self, held: SearchState, allocation: Allocation) -> None:
-        """The viewer leaves or the director dies while the set-up is out. The viewer knows how long the attempt may be unsettled, and waits so long."""
+        """The viewer leaves or the director crashes while the set-up is out. The viewer knows how long the attempt may be unsettled, and waits that long."""
         settled_at = held.requested_at + held.wait_ms
         for move, text in (("viewer leaves", "the viewer leaves"), ("director dies", "the director dies")):
             self.request(held.then(text, move).then(now=max(settled_at, held.now)))
--- a/laddergw/terms/sexpr.py
+++ b/laddergw/terms/sexpr.py
@@ -105,7 +105,7 @@
 
 
 def unescape(text: str) -> str:
-    """Replaces the escape sequences of a string; an unknown one stands for its second character."""
+    """Replaces the escape sequences of a string; an unknown one is replaced by its second character."""
     result, characters = [], iter(text)
     for char in characters:
         result.append(ESCAPES.get(escaped := next(characters), escaped) if char == "\\" else char)
--- a/laddergw/work/scheduler.py
+++ b/laddergw/work/scheduler.py
@@ -14,7 +14,7 @@
 BUDGET_MS = 2.0
 # Of the budget, by priority
 BUDGET_SHARES = (0.5, 0.35, 0.15)
-# A task that has waited for so long gets a step beyond the budget
+# A task that has waited for this long gets a step beyond the budget
 STARVATION_MS = 2_000.0
 # A longer step is reported: its task should yield more often
 LONG_STEP_MS = 5.0
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -27,7 +27,7 @@
     burst: float = 1.5               # factor of the rate from the start of the cold nodes on
     skew: float = 1.0                # factor of the rate at every fifth director
     list_delay_ms: float = 1_000.0   # a director learns of a start within this
-    dead_ms: float = 0.0             # the cold nodes are old ones, down for so long, that return under their names; 0: new nodes replace them
+    dead_ms: float = 0.0             # the cold nodes are old ones, down for this long, that return under their names; 0: new nodes replace them
     restarts: float = 0.0            # share of the directors that restart while the nodes are cold
     streams: float = 30.0
     warm_ms: float = 12_000.0
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -218,7 +218,7 @@
 
 
 class Stopping(DirectorTest):
-    """A director that is told to stop."""
+    """A director that is requested to stop."""
 
     def test_stop_answers_waiting_viewers_and_ends_plays_later(self):
         cluster = Cluster(bounds="(bounds (finish-ms 2000))")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -98,9 +98,9 @@
 
     def test_invalid_parts_are_rejected(self):
         good = VERSION_SETS[0]
-        told = {good.id: tuple(tuple(v) for v in good.versions)}
-        for part in (Part(turns=((0, 1.0, good.id),), stands=told), Part(turns=((2, 1.0, good.id), (1, 1.0, good.id)), stands=told), Part(turns=((1, float("nan"), good.id),), stands=told),
-                     Part(turns=((1, 1.0, good.id),)), Part(stands={"0" * 12: told[good.id]}), Part(counts=((1, "", "safe", "sang", 1),)),
+        versions_by_set = {good.id: tuple(tuple(v) for v in good.versions)}
+        for part in (Part(turns=((0, 1.0, good.id),), stands=versions_by_set), Part(turns=((2, 1.0, good.id), (1, 1.0, good.id)), stands=versions_by_set), Part(turns=((1, float("nan"), good.id),), stands=versions_by_set),
+                     Part(turns=((1, 1.0, good.id),)), Part(stands={"0" * 12: versions_by_set[good.id]}), Part(counts=((1, "", "safe", "sang", 1),)),
                      Part(counts=((1, "", "safe", ADMITTED, -1),)), Part(untold=-1), Part(alone_ms=-1.0), Part(stands={good.id: (("hat", 0, "x", ""),)})):
             with self.subTest(part):
                 self.assertRaises(InvalidReport, FleetLog().merge, "d0-1", part, 1.0, 1.0)
@@ -123,13 +123,13 @@
         self.assertEqual(found[0]["since_wall_ms"], 1e6 - 2_500.0)
 
     def test_two_processes_under_one_name(self):
-        """Each process that is heard is listed; the one that began last is the director, whichever was heard last. One that is silent beside another is not listed."""
+        """Each process that reports is listed; the one that began last is the director, whichever reported last. One that is silent beside another is not listed."""
         actions, reported = ActionCounts(), ReportedState()
         actions.set_in_force(VERSION_SETS[1], 0.0)
         self.log.merge("d1-a", reported.next_part(actions), 100.0, 10_400.0)        # it began 2.3 s after d1-b
-        for heard, now in (("d1-b", 11_000.0), ("d1-a", 11_100.0)):
-            self.log.processes[heard].record_digest(now, 1)
-            with self.subTest(heard):
+        for process, now in (("d1-b", 11_000.0), ("d1-a", 11_100.0)):
+            self.log.processes[process].record_digest(now, 1)
+            with self.subTest(process):
                 progress = self.log.progress(versions.LIMITS, 1, now)
                 self.assertEqual([(one.director, one.process) for one in progress], [("d0", "d0-a"), ("d1", "d1-a"), ("d1-b", "d1-b")])
                 self.assertEqual(answers.list_unknown(self.log, now)[0], "2 processes run as d1: d1-a, d1-b")
@@ -146,9 +146,9 @@
 
     def test_answers_state_what_is_not_known(self):
         self.assertEqual(answers.list_unknown(self.log, 10_500.0), [])
-        said = answers.versions(self.log, 10_000.0 + SILENT_MS, 1e6)
-        self.assertEqual((said["versions"], len(said["not_known"])), ([], 2))
-        self.assertIn("d0-a silent since 5.0 s ago", said["not_known"][0])
+        answer = answers.versions(self.log, 10_000.0 + SILENT_MS, 1e6)
+        self.assertEqual((answer["versions"], len(answer["not_known"])), ([], 2))
+        self.assertIn("d0-a silent since 5.0 s ago", answer["not_known"][0])
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -49,7 +49,7 @@
         self.assertEqual(answers.total_counts(planner.auditor.fleet_log), {("d0-1", VERSION_SETS[0].id, "safe", ADMITTED): 1})
 
     def test_one_planner_at_a_time_keeps_the_journal(self):
-        """Guards against answers of a fenced planner that does not know what its successor was told, and against one that takes the store back without reading it first."""
+        """Guards against answers of a fenced planner that does not know what its successor was sent, and against one that takes the store back without reading it first."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = os.path.join(folder.name, "store")
@@ -74,7 +74,7 @@
         second.fleet_log.merge("d0-1", ReportedState().next_part(actions), 4.0, 4.0)
         list(second.write_journal(()))
         actions.acknowledge(second.fleet_log.acknowledged("d0-1"))
-        self.assertEqual(len(actions.turns), 1)                           # what only the second was told is not reported again
+        self.assertEqual(len(actions.turns), 1)                           # what only the second was sent is not reported again
         first.fleet_log.merge("d0-1", ReportedState().next_part(actions), 5.0, 5.0)
         self.assertFalse(json.loads(first.answer_question(wire.Ask("verify")))["kept"])
         self.assertTrue(json.loads(first.answer_question(wire.Ask("versions")))["not_known"])
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -43,10 +43,10 @@
         self.assertIn("no director is heard", floors.forbid(V, seen(1, 3), 9_000.0, 5_000.0))
         self.assertIsNone(floors.forbid(V, seen(1, 3), 0.0, 5_000.0))
         self.assertEqual([floors.check_unused(V, seen(1, 3), at)[0] for at in (LEASE_MS, LEASE_MS + MARGIN_MS)], [False, True])
-        heard = [one._replace(heard_ms=20_000.0) for one in seen(1, 2, OPEN)]
-        self.assertEqual(floors.check_unused(V, heard, 20_100.0), (False, ["d0"]))     # heard, but what is sent to it may be lost
-        self.assertEqual(floors.check_unused(V, heard[1:], 20_100.0), (True, []))
-        self.assertEqual(floors.check_unused(V, heard[1:], 20_000.0 + LEASE_MS), (False, ["d1", "d2"]))   # a silent director may switch to it
+        reporting = [one._replace(heard_ms=20_000.0) for one in seen(1, 2, OPEN)]
+        self.assertEqual(floors.check_unused(V, reporting, 20_100.0), (False, ["d0"]))     # it reports, but what is sent to it may be lost
+        self.assertEqual(floors.check_unused(V, reporting[1:], 20_100.0), (True, []))
+        self.assertEqual(floors.check_unused(V, reporting[1:], 20_000.0 + LEASE_MS), (False, ["d1", "d2"]))   # a silent director may switch to it
         floors.restore([V], 50_000.0)
         self.assertFalse(floors.check_unused(V, [], 50_000.0 + LEASE_MS)[0])
         self.assertEqual((floors.allow(V), floors.allow(V)), (True, False))
@@ -121,7 +121,7 @@
         self.assertIn("must not be used", self.request_play(1)[1])
 
     def test_a_silent_director_that_stays_open_until_declared_gone(self):
-        """A silent process that stays open may act on a forbidden version until an operator declares it gone; if it is heard again, that is taken back."""
+        """A silent process that stays open may act on a forbidden version until an operator declares it gone; if it reports again, that is taken back."""
         for client in self.clients.values():
             client.audit.right.without_right = OPEN
             client.director.director_file = client.director.director_file._replace(without_planner=OPEN)
--- a/tests/test_fleet_rollouts.py
+++ b/tests/test_fleet_rollouts.py
@@ -137,7 +137,7 @@
     def test_a_planner_killed_before_its_offer_and_one_with_a_restored_journal(self):
         shutil.copy(self.path, self.path + ".backup")
         self.want(GOOD)
-        self.kill_planner()                                                          # it is in the journal, no director was told
+        self.kill_planner()                                                          # it is in the journal, no director was notified
         self.start_planner()
         self.until_done()
         self.kill_planner()
--- a/tests/test_fleet_wanted.py
+++ b/tests/test_fleet_wanted.py
@@ -64,7 +64,7 @@
         for _ in range(2):
             self.rollout.record_sent(f"{order[0]}-{_}")
         stall = {"stall_ms": 7_000.0, "stall_end": 15_000.0}
-        for expected, changes in ((wanted.UNREACHABLE, {"heard": False}), (wanted.REFUSED, {"outcome": file_transfer.CONFLICT}), (wanted.FILE, {"outcome": file_transfer.IN_FORCE}), (wanted.UNSUPPORTED, {"takes": False}),
+        for expected, changes in ((wanted.UNREACHABLE, {"is_reporting": False}), (wanted.REFUSED, {"outcome": file_transfer.CONFLICT}), (wanted.FILE, {"outcome": file_transfer.IN_FORCE}), (wanted.UNSUPPORTED, {"takes": False}),
                                   (wanted.STALLED, stall), (wanted.IN_PROGRESS, {}), (wanted.FILE, {"trouble": "cannot be read"})):
             progress = ProcessProgress(order[1], f"{order[1]}-1", 0, True, 0.0, "w" * 16, True)._replace(**changes)
             self.assertEqual(self.rollout.cause(progress, 20_000.0)[0], expected, changes)
@@ -120,8 +120,8 @@
             made.epoch = min(made.epoch, offer.epoch)
             return FileReceiver.handle_offer(made, offer)
         bounds = {"directors": 1, "in_flight": 1, "epochs": 1, "wants": 1}
-        for violation, rules in (("a third time", Rules(may_try=lambda rollout, progress: True, **bounds)), ("obeys epoch 1 after 2", Rules(handle_offer=any_epoch, fenced=False, lives=1)),
-                                 ("two contents", Rules(number=lambda epoch, highest: highest + 1, in_flight=1, lives=1))):    # a journal restored while an offer was in flight
+        for violation, rules in (("a third time", Rules(may_try=lambda rollout, progress: True, **bounds)), ("obeys epoch 1 after 2", Rules(handle_offer=any_epoch, fenced=False, processes_per_director=1)),
+                                 ("two contents", Rules(number=lambda epoch, highest: highest + 1, in_flight=1, processes_per_director=1))):    # a journal restored while an offer was in flight
             with self.subTest(violation):
                 self.assertIn(violation, check(rules).broken)
 
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -8,7 +8,7 @@
 from tests.platform_cluster import answer, event, member, set_up
 from tests.socket_harness import SocketHarness
 
-# By the platform's terms a director is expected to know an event so long after a break, and after silence.
+# By the platform's terms a director is expected to know an event this long after a break, and after silence.
 BREAK_LIMIT_MS, SILENCE_LIMIT_MS = 2_000.0, 4_000.0
 
 
@@ -179,8 +179,8 @@
         self.assertEqual(self.harness.wait_for_set_up("b")[1].session, f"{2:016x}")       # node a, at the address that was b's
 
     def test_a_new_node_at_the_address_of_a_dead_one(self):
-        """The old process dies, and its successor answers at its address before we have dialled again: its answers do not prove that the
-        old one lives. Once the list names the successor, the old one's plays are over."""
+        """The old process exits, and its successor answers at its address before we have dialled again: its answers do not prove that the
+        old one is alive. Once the list names the successor, the old one's plays are over."""
         _, log = self.accept(200)
         viewer = self.harness.viewer()
         viewer.write(set_up(1, attributes="home:0;copies:1;top:2"))
--- a/tests/test_orders_stopping.py
+++ b/tests/test_orders_stopping.py
@@ -14,7 +14,7 @@
 
 
 class StoppingTests(unittest.TestCase):
-    """A director that was told to stop."""
+    """A director that was signalled to stop."""
 
     def setUp(self):
         self.now = [0.0]
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -34,7 +34,7 @@
     @settings(max_examples=120)
     @given(DIGESTS, st.randoms(use_true_random=False))
     def test_lost_duplicated_and_reordered_digests_give_the_same_view(self, drawn, chance):
-        """A number stands for one digest of a process, so that order and duplicates do not change the view."""
+        """A number identifies one digest of a process, so that order and duplicates do not change the view."""
         made = [one._replace(nodes={1: (100.0 * one.number, one.number), ord(one.edge): (5.0, 1)}, arrivals={"x": 3 * one.number}) for one in drawn]
         views = []
         for order in (made, chance.sample(made, len(made)) + made, list(reversed(made)) * 2):
--- a/tests/test_platform_fleet.py
+++ b/tests/test_platform_fleet.py
@@ -47,7 +47,7 @@
 
 class Fleets(unittest.TestCase):
     def test_a_bad_day(self):
-        """A rollout, restarts and kills of directors, the change log away, connections reset, a node that hangs and one that dies."""
+        """A rollout, restarts and kills of directors, the change log away, connections reset, a node that hangs and one that crashes."""
         records = Trial(DIRECTORS, NODES, RATE, SECONDS, BAD_DAY, SEED, terms=TERMS).run()
         self.assertEqual(judge(records, TERMS), [])
         whats = [what for _, what, _ in records]
