--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -24,10 +24,22 @@
     of notes and ends of allocations; `released`: allocations that the node has released, and whether each ran, and those that it does not hold.
     """
     links_to_flush: dict
-    def session_up(self, link: "Link") -> None: ...
-    def session_lost(self, link: "Link", reason: str) -> None: ...
-    def notes_received(self, link: "Link", line: frames.NoteLine) -> None: ...
-    def released(self, link: "Link", released: dict, unknown: list) -> None: ...
+
+    def session_up(self, link: "Link") -> None:
+        """Called when a session is open."""
+        ...
+
+    def session_lost(self, link: "Link", reason: str) -> None:
+        """Called when the node holds nothing of the former session any more."""
+        ...
+
+    def notes_received(self, link: "Link", line: frames.NoteLine) -> None:
+        """Called with a line of notes and ends of allocations."""
+        ...
+
+    def released(self, link: "Link", released: dict, unknown: list) -> None:
+        """Called with released allocations, and whether each ran, and those that the node does not hold."""
+        ...
 
 
 class Link:
--- a/laddergw/lab/soak/bad_clients.py
+++ b/laddergw/lab/soak/bad_clients.py
@@ -20,9 +20,11 @@
         self.data = data
 
     def opened(self, stream) -> None:
+        """Sends the client's bytes, if it has any."""
         super().opened(stream)
         if self.data:
             stream.write(self.data)
 
     def data_received(self, stream, data: bytes) -> None:
+        """Ignores what the director sends."""
         pass
--- a/laddergw/lab/soak/change_log.py
+++ b/laddergw/lab/soak/change_log.py
@@ -25,6 +25,7 @@
         self.log, self.director, self.data, self.sent_count = log, director, b"", None
 
     def data_received(self, stream, data: bytes) -> None:
+        """Reads the request line, then sends the events from the number in it."""
         self.data += data
         if self.data.endswith(b"\n") and self.sent_count is None:
             self.sent_count = int(self.data.split()[1])
@@ -38,6 +39,7 @@
         self.sent_count = len(self.log.events)
 
     def closed(self, stream, why: str | None) -> None:
+        """Removes the connection from those that get events."""
         if self in self.log.connections:
             self.log.connections.remove(self)
 
--- a/laddergw/lab/soak/director_supervisor.py
+++ b/laddergw/lab/soak/director_supervisor.py
@@ -36,10 +36,12 @@
         loop.dial(address, self, 1_000.0)
 
     def opened(self, stream) -> None:
+        """Sends a ping."""
         super().opened(stream)
         stream.write(PING_MESSAGE)
 
     def handle_message(self, message) -> None:
+        """Reports a director that accepts plays, and closes the connection."""
         if message.kind == binary.PONG and message.parameters[binary.CAUSE] == b"\1":
             self.on_ready()
         self.stream.close()
--- a/laddergw/lab/soak/node_connection.py
+++ b/laddergw/lab/soak/node_connection.py
@@ -46,6 +46,7 @@
         self.writer = PieceWriter(node.loop, node.rng)
 
     def opened(self, stream) -> None:
+        """Sends the releases that this director has not acknowledged yet."""
         super().opened(stream)
         self.node.connections.append(self)
         for session, cause in self.node.unacknowledged.get(self.director, {}).items():
@@ -60,6 +61,7 @@
         )
 
     def handle_message(self, message) -> None:
+        """Handles a set-up, a release, a ping or the acknowledgement of a release."""
         node, session = self.node, message.headers["session"]
         if message.method == "SETUP":
             node.record(
@@ -144,6 +146,7 @@
         )
 
     def closed(self, stream, why: str | None) -> None:
+        """Ends the attempts of the connection that are not playing."""
         if self in self.node.connections:
             self.node.connections.remove(self)
         for session in [session for session in self.attempts if session not in self.node.playing]:
--- a/laddergw/lab/soak/peers.py
+++ b/laddergw/lab/soak/peers.py
@@ -21,6 +21,7 @@
         self.stream = stream
 
     def write_buffer_drained(self, stream) -> None:
+        """Ignores that all queued writes were sent."""
         pass
 
     def data_received(self, stream, data: bytes) -> None:
--- a/laddergw/lab/soak/ports.py
+++ b/laddergw/lab/soak/ports.py
@@ -25,6 +25,7 @@
         self.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
 
     def close(self) -> None:
+        """Closes both sockets."""
         super().close()
         self.datagram_socket.close()
 
--- a/laddergw/lab/soak/viewer_connection.py
+++ b/laddergw/lab/soak/viewer_connection.py
@@ -54,6 +54,7 @@
         self.number = next(group.connection_numbers)
 
     def opened(self, stream) -> None:
+        """Sends the requests that waited for the connection."""
         super().opened(stream)
         self.group.connections.append(self)
         queued, self.queued = self.queued, []
@@ -130,6 +131,7 @@
         self.writer.write(self.stream, binary.encode(kind, session, *parameters))
 
     def handle_message(self, message: binary.Message) -> None:
+        """Handles one message of the director."""
         self.last_used_ms = self.group.loop.now
         request = self.requests.get(message.session) or self.group.playing.get(message.session)
         if message.kind == binary.ANSWER:
@@ -174,6 +176,7 @@
             self.group.request_play(request.product)
 
     def closed(self, stream, why: str | None) -> None:
+        """Reports the end, and each request that still waits, to the group."""
         if self in self.group.connections:
             self.group.connections.remove(self)
             self.group.record(
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -50,6 +50,7 @@
         return self.name
 
     def opened(self, stream) -> None:
+        """Registers the connection at its listener."""
         self.stream = stream
         log.debug("%s: opened by %s", self, stream.peer)
         self.listener.connection_opened(self)
@@ -58,6 +59,7 @@
         pass
 
     def data_received(self, stream, data: bytes) -> None:
+        """Handles complete messages; a malformed one closes the connection."""
         self.reader.feed(data)
         self.partial_since = (
             self.listener.loop.now if self.partial_since is None else self.partial_since
--- a/laddergw/terms/sexpr.py
+++ b/laddergw/terms/sexpr.py
@@ -84,9 +84,11 @@
         self.file = file
 
     def place_of(self, node) -> Place:
+        """Returns the position of a token or of a rule's metadata."""
         return Place(self.file, node.line, node.column)
 
     def atom(self, children):
+        """Returns the Atom of a token: a string, a finite number or a word."""
         token = children[0]
         if token.type == "STRING":
             return Atom(unescape(token[1:-1]), self.place_of(token), True)
@@ -98,9 +100,11 @@
 
     @lark.v_args(meta=True)
     def list(self, meta, children):
+        """Returns the Form of a parenthesized list."""
         return Form(tuple(children), self.place_of(meta))
 
     def start(self, children):
+        """Returns the forms of the whole text."""
         return tuple(children)
 
 
