--- a/laddergw/control/controller.py
+++ b/laddergw/control/controller.py
@@ -124,7 +124,7 @@
         node.probed_at, verdicts = None, []
         if outcome == interface.SERVED and report:
             verdicts = self.rungs.receive_report(now, node, report)
-        # Too many probes at once tell nothing
+        # Too many probes at once give no information
         elif outcome != interface.FULL:
             self.candidates.record_failure(now, node)
         self.pending += self.candidates.take_waiting(lambda play: play.awaited_node is node)
--- a/laddergw/control/fleet_state.py
+++ b/laddergw/control/fleet_state.py
@@ -17,8 +17,8 @@
 FEW_DIRECTORS, DRAW_WEIGHT, UNKNOWN_MARGIN = 4, 1.0, 0.26
 REPORT_LAG_MS = 300.0  # usual age of a load report
 UPLINK_STEP = 0.5  # weight of one note on what an uplink carries: a few notes settle it
-UPLINK_BOUNDS = 0.3, 3.0  # of a believed uplink over its stated rate; sagging links stretch it
-UPLINK_RETURN_MS = 30_000.0  # without shortage the belief returns to the stated rate: sags end
+UPLINK_BOUNDS = 0.3, 3.0  # of an estimated uplink over its stated rate; slow links stretch it
+UPLINK_RETURN_MS = 30_000.0  # without shortage, estimates return to the stated rate: slowdowns end
 STEP_UP_MARGIN, STEP_UP_SHARED = 0.25, 0.2  # share of a link left free; less where many share it
 LAYOUT = "racks", "rack_kb", "cells", "link_unit", "streams"  # the estimates are built on these
 MIX_FACTOR = 2_654_435_761  # odd; by the linear crc32 alone, similar seeds draw alike
@@ -49,7 +49,7 @@
         )
 
     def record_others(self, now, load):
-        """Takes in others' load. Above what is ever asked, the link gives less (sags, stalls)."""
+        """Takes in others' load. Above what is ever asked, the link gives less (slow, stalled)."""
         rate, change = (
             self.rate - self.known_kb.at(now),
             min(load, MAX_LOAD * self.rate) - self.known_load.at(now),
@@ -236,7 +236,7 @@
             self.usable_rate(now, node),
             node.own - sum(change for at, change in node.changes if at > now - lag),
         )
-        if rate <= 0:  # weighted out or starting from 0: a share of nothing is no load
+        if rate <= 0:  # weighted out or starting from 0: a share of nothing is not a load
             return
         node.record_others(now, others := max(0.0, load * rate - own))
         self.reports += 1
--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -203,7 +203,7 @@
         self.feed(self.controller.probe_ended, self.loop.now, node, outcome, self.loop.now - asked_at, report)
 
     def change_rung(self, attempt: Attempt, rung: int) -> None:
-        """Changes the rung of a running play and tells its node and its viewer."""
+        """Changes the rung of a running play and notifies its node and its viewer."""
         allocation = attempt.allocation
         link = self.fleet.links.get(allocation.node) if allocation is not None else None
         if allocation is None or allocation.state != allocation_machine.HELD or link is None:
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -179,7 +179,7 @@
         return [node for node, entry in self.fleet.entries.items() if entry.state == interface.READY] if self.concurrency.kind != OFF else []
 
     def previous_attempt(self, request: frames.Request) -> tokens.PreviousAttempt:
-        """The attempts that the viewer's token tells, this one included; with a rejected token it is a first attempt."""
+        """The attempts that the viewer's token states, this one included; with a rejected token it is a first attempt."""
         wall = self.wall()
         if request.token is not None:
             try:
--- a/laddergw/director/frames.py
+++ b/laddergw/director/frames.py
@@ -29,7 +29,7 @@
 
 
 class Request(NamedTuple):
-    """A viewer's request: its own key, what it wants to play, and what it tells of earlier attempts."""
+    """A viewer's request: its own key, what it wants to play, and what it states about earlier attempts."""
     key: str
     product: str
     title: int
--- a/laddergw/director/tokens.py
+++ b/laddergw/director/tokens.py
@@ -1,7 +1,7 @@
 """Signed tokens that a viewer carries from one attempt to the next, so that directors that share no state recognize retries of one play.
 
 A token is id.body.mark: a key's id, base64 of JSON, and HMAC-SHA256 over both, truncated to 16 bytes. Marks are compared in constant
-time. The first key signs; all keys are accepted, so that keys can be rotated. Times are ms of the wall clock, handed in.
+time. The first key signs; all keys are accepted, so that keys can be rotated. Times are ms of the wall clock, passed in.
 """
 import base64
 import hashlib
--- a/laddergw/edge/addresses.py
+++ b/laddergw/edge/addresses.py
@@ -58,7 +58,7 @@
 
 
 def verify(keys: Keys, retired: frozenset[str], path: str, player: str | None, now_ms: float) -> RequestedResource:
-    """Checks a path at a time. Raises AddressError: 404 where it is no address, 403 for a wrong signature, key or player, 410 once it has expired."""
+    """Checks a path at a time. Raises AddressError: 404 for a path that is not an address, 403 for a wrong signature, key or player, 410 once it has expired."""
     parts = path.split("/")
     if len(parts) != 5 or parts[0] or parts[1] != PREFIX or not parts[2] or not parts[4]:
         raise AddressError(404, "not a session's address")
--- a/laddergw/edge/cache.py
+++ b/laddergw/edge/cache.py
@@ -31,7 +31,7 @@
 
 
 class Cache:
-    """Entries by name. Times are ms and handed in."""
+    """Entries by name. Times are ms and passed in."""
 
     def __init__(self, limits: CacheLimits = CacheLimits()):
         self.limits, self.entries = limits, {}
--- a/laddergw/edge/composer.py
+++ b/laddergw/edge/composer.py
@@ -2,7 +2,7 @@
 
 The playlist is of type EVENT: each reload lists a few more segments, at the node and rung in force then. So a rung change or a
 move reaches the player with its next reload, no segment is redirected, and an item's source is chosen shortly before its splice,
-not at the session's start. Times are ms; the clock is handed in. docs/stitching.md compares this with a complete playlist whose
+not at the session's start. Times are ms; the clock is passed in. docs/stitching.md compares this with a complete playlist whose
 segments are redirected.
 """
 from typing import Callable, NamedTuple
--- a/laddergw/edge/watching.py
+++ b/laddergw/edge/watching.py
@@ -1,4 +1,4 @@
-"""Infers from a player's requests whether its play has begun, goes on, has ended or was left. No I/O; time is handed in.
+"""Infers from a player's requests whether its play has begun, goes on, has ended or was left. No I/O; time is passed in.
 
 A player reports nothing but its requests. The first request for a programme segment begins the play; each reload or segment request is
 a heartbeat; none for long enough means that the player has left; the play ends once the last segment was requested and its length has passed.
--- a/laddergw/fleet/answers.py
+++ b/laddergw/fleet/answers.py
@@ -82,7 +82,7 @@
         after = process.turns.get(turn.number + 1)
         rows.append({"process": process.name, "stand": turn.stand, "turn": turn.number, "versions": [tuple(v) for v in log.version_sets[turn.stand].versions],
                      "since_wall_ms": wall_ms - (now - turn.since_ms), "until_wall_ms": None if after is None else wall_ms - (now - after.since_ms),
-                     "last_word_wall_ms": wall_ms - (now - process.heard_ms), "late_by_at_most_ms": turn.told_ms - turn.since_ms,
+                     "last_word_wall_ms": wall_ms - (now - process.heard_ms), "late_by_at_most_ms": turn.reported_ms - turn.since_ms,
                      "did": actions_of_turn(process, turn.number)})
     return {"director": name, "at_wall_ms": at_wall_ms, "processes": rows, "not_known": list_unknown(log, now)}
 
--- a/laddergw/fleet/file_transfer.py
+++ b/laddergw/fleet/file_transfer.py
@@ -1,6 +1,6 @@
 """A director's side of a file that a planner distributes: the offer, its pieces, one check at a time, and the outcome. Does no input or output.
 
-An offer carries the planner's epoch and the number of the wanted version. The highest epoch is obeyed, an older number is ignored, and other content under the same
+An offer carries the planner's epoch and the number of the wanted version. The highest epoch is followed, an older number is ignored, and other content under the same
 number is an error that is reported. Pieces continue where the last connection broke off; the whole file is compared with its hash before anybody reads it.
 """
 from hashlib import sha256
--- a/laddergw/fleet/fleet_log.py
+++ b/laddergw/fleet/fleet_log.py
@@ -23,11 +23,11 @@
 
 
 class TurnRecord(NamedTuple):
-    """A turn in the planner's time. `stand`: id of its version set; `told_ms`: when the planner learned of it."""
+    """A turn in the planner's time. `stand`: id of its version set; `reported_ms`: when the planner learned of it."""
     number: int
     since_ms: float
     stand: str
-    told_ms: float
+    reported_ms: float
 
 
 class Process:
--- a/laddergw/fleet/grant_issuer.py
+++ b/laddergw/fleet/grant_issuer.py
@@ -1,7 +1,7 @@
 """A planner's side of a budget that the whole fleet shares: how much each process is charged with, and what may be granted. Does no input or output.
 
-Each process is charged with the most that it may have spent, or may still spend, within any window: the highest of the grants that it may obey and of what it reported as
-spent. The sum of all charges never exceeds the total, so no window holds more, wherever it begins. A charge falls only by what is known: a process reported that it obeys a
+Each process is charged with the most that it may have spent, or may still spend, within any window: the highest of the grants that it may follow and of what it reported as
+spent. The sum of all charges never exceeds the total, so no window holds more, wherever it begins. A charge falls only by what is known: a process reported that it follows a
 smaller grant (what it had spent stays charged until it reports that it left the window), or a lease, a margin and a window have passed since it was last granted anything.
 
 A planner that takes over knows nothing for certain: its store may be a backup. Until everything that its predecessor granted has expired, it grants nobody more than that
@@ -47,7 +47,7 @@
 
 
 class Charge:
-    """The charge of one process, of one budget. Each grant that it may obey counts from when it was sent until it expires; one that has expired is not revived by the next."""
+    """The charge of one process, of one budget. Each grant that it may follow counts from when it was sent until it expires; one that has expired is not revived by the next."""
 
     def __init__(self):
         # By number of the digest that it answers.
--- a/laddergw/fleet/grants.py
+++ b/laddergw/fleet/grants.py
@@ -25,7 +25,7 @@
 
 
 class Row(NamedTuple):
-    """One budget as a director reports it: the grant that it obeys, an upper bound of what it spent within a window, what it needs now, and what it wants in reserve."""
+    """One budget as a director reports it: the grant that it follows, an upper bound of what it spent within a window, what it needs now, and what it wants in reserve."""
     name: str
     window_ms: float
     epoch: int
@@ -82,7 +82,7 @@
 
 
 class GrantHolder:
-    """All fleet budgets of one process. `issuer`: identity of the one store whose planners may grant; others are not obeyed. `on_draw`: called with each that is drawn."""
+    """All fleet budgets of one process. `issuer`: identity of the one store whose planners may grant; others are not followed. `on_draw`: called with each that is drawn."""
 
     def __init__(self, issuer: str):
         self.issuer, self.held, self.refused = issuer, {}, 0
--- a/laddergw/fleet/wanted.py
+++ b/laddergw/fleet/wanted.py
@@ -160,7 +160,7 @@
                 self.process[progress.director] = progress.process
 
     def process_stopped(self, director: str) -> None:
-        """Notes that a director stopped on request: the next process under its name is no crash."""
+        """Notes that a director stopped on request: the next process under its name does not count as a crash."""
         self.process.pop(director, None)
 
     def halt_reason(self, members: list[ProcessProgress], all_progress: list[ProcessProgress], new: Answers, others: Answers) -> str | None:
--- a/laddergw/fleet/wanted_check.py
+++ b/laddergw/fleet/wanted_check.py
@@ -1,7 +1,7 @@
 """A model checker for wanted versions: two planners that share a store, two directors, offers and files that are lost, late and out of order, stores restored from a backup,
 and processes that restart. It runs the functions of the program itself: FileReceiver, Rollout.may_try and record_sent, and next_number.
 
-Invariants of every state: a number has one content wherever it came into force; no director obeys a planner of an older epoch than one that it has obeyed; no director is
+Invariants of every state: a number has one content wherever it came into force; no director follows a planner of an older epoch than one that it has followed; no director is
 sent the whole file of a want a third time; and of a halted want nothing comes into force that was not in flight by then. Mistakes passed in `Rules` must be found.
 """
 from hashlib import sha256
@@ -33,7 +33,7 @@
 
 class State(NamedTuple):
     """`store`: its epoch and its want, as number, text, state and, by director, the numbers of the processes that were sent it; `planners`: the epoch of each, and the store's want as it
-    read it; `directors`: process number, highest epoch obeyed, offer held, checking, outcome, what is in force as number and text; `in_flight`: what may still arrive."""
+    read it; `directors`: process number, highest epoch followed, offer held, checking, outcome, what is in force as number and text; `in_flight`: what may still arrive."""
     store: tuple
     planners: tuple
     directors: tuple
--- a/laddergw/lab/soak/judge_releases.py
+++ b/laddergw/lab/soak/judge_releases.py
@@ -148,7 +148,7 @@
 
 
 def was_killed(records, director: str, since: float, until: float) -> bool:
-    """Tells whether the process of a session was killed, also while its answer was in transit."""
+    """Returns whether the process of a session was killed, also while its answer was in transit."""
     return any(
         event == "director killed"
         and fields["director"] == director
--- a/laddergw/lab/soak/node_connection.py
+++ b/laddergw/lab/soak/node_connection.py
@@ -24,7 +24,7 @@
 
 
 class Conditions:
-    """The conditions of the plan that hold for all peers of a trial at the moment."""
+    """The conditions of the plan that currently hold for all peers of a trial."""
 
     def __init__(self) -> None:
         self.active: set[str] = set()
--- a/laddergw/lab/soak/nodes.py
+++ b/laddergw/lab/soak/nodes.py
@@ -57,7 +57,7 @@
         )
         # By director: sessions whose release it has not acknowledged, with the cause.
         self.unacknowledged: dict[int, dict[str, int]] = {}
-        # Reserved beyond the node's death: the ports must refuse connections, and no other trial
+        # Reserved beyond the node's end: the ports must refuse connections, and no other trial
         # may be given them.
         self.ports = [reserve_port() for _ in range(directors)]
         self.listeners = [
@@ -125,7 +125,7 @@
             connection.stream.abort()
 
     def close_early(self) -> None:
-        """Closes every connection in good order, whatever is open on it."""
+        """Closes every connection gracefully, whatever is open on it."""
         for connection in list(self.connections):
             connection.stream.close()
 
--- a/laddergw/lab/soak/trial.py
+++ b/laddergw/lab/soak/trial.py
@@ -168,14 +168,14 @@
             group.close_idle()
 
     def run_until(self, done: Callable[[], bool]) -> bool:
-        """Runs the loop until a condition holds or the wait limit is over; tells if it holds."""
+        """Runs the loop until a condition holds or the wait limit is over; returns if it holds."""
         deadline = time.monotonic() + WAIT_LIMIT_S
         while not done() and time.monotonic() < deadline:
             self.loop.turn()
         return done()
 
     def is_settled(self) -> bool:
-        """Tells whether no play runs any more, or the time to wait for that is over."""
+        """Returns whether no play runs any more, or the time to wait for that is over."""
         if self.loop.now < self.load_ends_at + MIN_SETTLE_MS or not all(
             director.accepts_plays for director in self.directors
         ):
--- a/laddergw/loop/base.py
+++ b/laddergw/loop/base.py
@@ -34,7 +34,7 @@
 
     `opened` comes when the connection is up, `data_received` with data that was read,
     `write_buffer_drained` when all queued writes have left, and `closed` last; its `reason` is None
-    after a close in good order, else a short text.
+    after a graceful close, else a short text.
     """
 
     def opened(self, stream) -> None:
@@ -50,7 +50,7 @@
         ...
 
     def closed(self, stream, reason: str | None) -> None:
-        """Called last; `reason` is None after a close in good order."""
+        """Called last; `reason` is None after a graceful close."""
         ...
 
 
--- a/laddergw/loop/memory_streams.py
+++ b/laddergw/loop/memory_streams.py
@@ -170,7 +170,7 @@
             self.close_now(reason)
 
     def finish_close(self) -> None:
-        """Everything is sent: tells the other end and closes."""
+        """Everything is sent: notifies the other end and closes."""
         if self.remote is not None and self.remote.alive:
             self.send(lambda remote: remote.remote_closed(None))
         self.close_now(None)
--- a/laddergw/loop/streams.py
+++ b/laddergw/loop/streams.py
@@ -220,7 +220,7 @@
             self.limit_timer = self.loop.call_later(ms, self.abort)
 
     def finish_close(self) -> None:
-        """Tells the owner that the stream is closed; the socket lingers until its peer closes."""
+        """Reports to the owner that the stream closed; the socket lingers until its peer closes."""
         if not self.open:
             return self.close_now(None)
         self.loop.linger(self.detach_socket(), self.delivery_limit_ms)
--- a/laddergw/loop/tls.py
+++ b/laddergw/loop/tls.py
@@ -151,7 +151,7 @@
             self.stream.write(self.outgoing.read())
 
     def fail(self, reason: str) -> None:
-        """Sends the peer its TLS alert, tells our owner the reason and closes."""
+        """Sends the peer its TLS alert, reports the reason to our owner and closes."""
         self.flush()
         if not self.is_closed:
             self.is_closed = True
--- a/laddergw/machines/admission.py
+++ b/laddergw/machines/admission.py
@@ -1,7 +1,7 @@
 """Decides which plays a director admits, by its own limits, its readiness and whether it stops.
 
 Admission is not a second placement policy: it rejects only what the process itself cannot hold, and
-answers what it rejects at once. No I/O; time and random numbers are handed in.
+answers what it rejects at once. No I/O; time and random numbers are passed in.
 """
 
 from typing import NamedTuple
@@ -67,7 +67,7 @@
 def check_earlier_attempt(paid: bool, may_have_run: bool) -> Rejection | None:
     """Rejects a paid play of which an earlier set-up may have run: it must not be set up again.
 
-    It is failed, not declined: declining would tell that a retry is harmless.
+    It is failed, not declined: declining would imply that a retry is harmless.
     """
     return Rejection(True, None, MAY_HAVE_RUN) if paid and may_have_run else None
 
--- a/laddergw/machines/allocation.py
+++ b/laddergw/machines/allocation.py
@@ -8,7 +8,7 @@
 A node may hold an allocation until it has acknowledged its release, or until its lease, given in
 the node's own clock, is over. Only then is the allocation's end reported
 (`AllocationActions.ended`), so that the next allocation of the play never exists beside it. Times
-are ms of the director's clock, handed in.
+are ms of the director's clock, passed in.
 """
 
 import math
--- a/laddergw/machines/play.py
+++ b/laddergw/machines/play.py
@@ -1,5 +1,5 @@
 """State machine of one viewer's attempt, within the operators' limits file. No I/O; time and random
-numbers are handed in.
+numbers are passed in.
 
     received --admitted--> CHOOSING --node chosen--> PAUSED --pause over--> OUT --set up--> PLAYING
       |                     ^  |                                             |
--- a/laddergw/machines/retry_budget.py
+++ b/laddergw/machines/retry_budget.py
@@ -1,6 +1,6 @@
 """Counters over sliding windows in constant memory, and retry budgets that use them.
 
-No I/O; time is handed in.
+No I/O; time is passed in.
 
 A window is divided into buckets that are counted as a whole. The upper bound includes the bucket
 that lies partly outside the window, the lower bound leaves it out, so that a budget that is kept by
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -137,7 +137,7 @@
         """Concludes from the end of a connection what has become of the running plays.
 
         Without a descriptor it proves nothing; the next check dials again, when there may be one.
-        `why` is None where the connection was closed in good order.
+        `why` is None where the connection was closed gracefully.
         """
         if why == NO_DESCRIPTOR:
             return
--- a/laddergw/platform/viewers.py
+++ b/laddergw/platform/viewers.py
@@ -205,7 +205,7 @@
         return more
 
     def close_all(self) -> None:
-        """Closes every connection in good order."""
+        """Closes every connection gracefully."""
         for viewer in list(self.viewers):
             if viewer.stream is not None:
                 viewer.stream.close()
--- a/laddergw/programme/load.py
+++ b/laddergw/programme/load.py
@@ -1,4 +1,4 @@
-"""Tracks the load that items will put on each node's link, as far as this edge has chosen their sources. No I/O; times are handed in.
+"""Tracks the load that items will put on each node's link, as far as this edge has chosen their sources. No I/O; times are passed in.
 
 While a session shows an item it requests no programme segments, so an item from the play's own node takes no more of its link than the play
 itself would; an item from another node adds to that node's load. An edge knows only its own choices. Viewers spread evenly over the edges, so
--- a/laddergw/programme/sources.py
+++ b/laddergw/programme/sources.py
@@ -1,4 +1,4 @@
-"""Chooses the node from which an item is fetched, and what is done when it is not available in time. No I/O; time is handed in.
+"""Chooses the node from which an item is fetched, and what is done when it is not available in time. No I/O; time is passed in.
 
 An item's segments are idempotent reads of small files: they occupy no slot and set nothing up, so they are not allocations, and
 placement stays with the control module. Their rate is load all the same: the play's own node comes first, where it holds the item,
--- a/laddergw/signalling/binary.py
+++ b/laddergw/signalling/binary.py
@@ -40,7 +40,7 @@
 
 
 class MalformedError(Exception):
-    """Bytes that are no message of this protocol.
+    """Bytes that are not a message of this protocol.
 
     What follows them on the connection cannot be read either.
     """
--- a/laddergw/signalling/changes.py
+++ b/laddergw/signalling/changes.py
@@ -13,7 +13,7 @@
 
 
 class MalformedError(Exception):
-    """A line that is no event.
+    """A line that is not an event.
 
     The client connects again and continues after the last valid event.
     """
--- a/laddergw/signalling/rtsp.py
+++ b/laddergw/signalling/rtsp.py
@@ -31,7 +31,7 @@
 
 
 class MalformedError(Exception):
-    """Bytes that are no message of this protocol; the connection cannot be used any further."""
+    """Bytes that are not a message of this protocol; the connection cannot be used any further."""
 
 
 class Message(NamedTuple):
--- a/laddergw/store/planner_store.py
+++ b/laddergw/store/planner_store.py
@@ -197,6 +197,6 @@
 
 
 def to_store_error(error: apsw.Error, path: str) -> StoreError:
-    """Returns a StoreError that tells of an error of SQLite."""
+    """Returns a StoreError that describes an error of SQLite."""
     kind = StoreFullError if isinstance(error, apsw.FullError) else StoreError
     return kind(f"{path}: {error}")
--- a/laddergw/work/scheduler.py
+++ b/laddergw/work/scheduler.py
@@ -2,7 +2,7 @@
 
 A task is a generator that yields wherever it may be suspended. Digests, snapshots, forecasts and the ageing of sketches are such tasks. Each priority
 has a share of the budget; what the higher ones leave goes to the lower ones. A task that has waited long is run whatever the budget says, one step in
-a turn. Time is handed in by `clock`.
+a turn. `clock` returns the time.
 """
 from collections import deque
 from typing import Callable, Generator, NamedTuple
--- a/tests/test_orders_repeats.py
+++ b/tests/test_orders_repeats.py
@@ -72,7 +72,7 @@
         self.assertEqual([m.session for _, m in harness.nodes["b"].receive() if m.method == "SETUP"], [f"{1:016x}"])
 
     def test_a_paid_play_is_not_retried_whatever_was_seen(self):
-        """The node closes an idle connection as we write on it, resets it behind the set-up, or answers with bytes that are no message."""
+        """The node closes an idle connection as we write on it, resets it behind the set-up, or answers with bytes that are not a message."""
         for name, act in {"closes": lambda connection: connection.close(), "resets": lambda connection: connection.reset(),
                           "spoils": lambda connection: connection.write(b"\xff\xff\xff")}.items():
             with self.subTest(name):
--- a/tests/test_platform_viewers.py
+++ b/tests/test_platform_viewers.py
@@ -143,7 +143,7 @@
         self.assertEqual((len(cluster.director.running_plays), cluster.director.controller.plays), (0, {}))
         self.assertFalse(any(node.plays for node in cluster.director.controller.fleet.nodes.values()))
 
-    # Guards against ending a play with a cause that is no final answer when its viewer left while the answer was on its way.
+    # Guards against ending a play with a cause that is not a final answer when its viewer left while the answer was on its way.
     def test_a_play_left_while_its_answer_is_in_transit_ends_with_a_final_answer(self):
         for after_ms, cause in (1, 41), (18, 41), (40, 16), (300, 16):
             with self.subTest(after_ms=after_ms):
