--- a/benchmarks/budgets_use.py
+++ b/benchmarks/budgets_use.py
@@ -79,7 +79,7 @@
 
 
 def measure_reuse(seeds: int) -> None:
-    """Prints the time from a director's death until others use its share."""
+    """Prints the time from a director's crash until others use its share."""
     found = []
     for seed in range(1, seeds + 1):
         play = Play(seed, Kind(directors=12, whole=60, window_ms=2_000.0, seconds=140, spends=60, troubles=0, skew=0.8))
--- a/laddergw/fleet/answers.py
+++ b/laddergw/fleet/answers.py
@@ -9,8 +9,8 @@
     sentences = [f"{len(processes)} processes run as {director}: {', '.join(sorted(process.name for _, process in processes))}"
                  for director, processes in sorted(log.running(now).items()) if len(processes) > 1]
     for process in in_order(log):
-        if now - process.heard_ms >= SILENT_MS and not process.gone:
-            sentences.append(f"{process.name} silent since {format_seconds(now - process.heard_ms)} ago: what it does now is not known")
+        if now - process.last_report_ms >= SILENT_MS and not process.gone:
+            sentences.append(f"{process.name} silent since {format_seconds(now - process.last_report_ms)} ago: what it does now is not known")
         if process.dropped_actions:
             sentences.append(f"{process.name} dropped {process.dropped_actions} actions before any planner could keep them")
         sentences += [f"{process.name}: its turns {first} to {last} are missing here: the journal was set back, or another planner keeps it" for first, last in gaps(process)]
@@ -42,7 +42,7 @@
     rows: dict[tuple, dict] = {}
     for process in in_order(log):
         turn = process.last()
-        if turn is None or now - process.heard_ms >= SILENT_MS:
+        if turn is None or now - process.last_report_ms >= SILENT_MS:
             continue
         for one in log.version_sets[turn.stand].versions:
             row = rows.setdefault((KINDS.index(one.kind), one.hash), {"kind": one.kind, "version": one.hash, "number": one.number, "issuer": one.issuer,
@@ -82,7 +82,7 @@
         after = process.turns.get(turn.number + 1)
         rows.append({"process": process.name, "stand": turn.stand, "turn": turn.number, "versions": [tuple(v) for v in log.version_sets[turn.stand].versions],
                      "since_wall_ms": wall_ms - (now - turn.since_ms), "until_wall_ms": None if after is None else wall_ms - (now - after.since_ms),
-                     "last_word_wall_ms": wall_ms - (now - process.heard_ms), "late_by_at_most_ms": turn.reported_ms - turn.since_ms,
+                     "last_word_wall_ms": wall_ms - (now - process.last_report_ms), "late_by_at_most_ms": turn.reported_ms - turn.since_ms,
                      "did": actions_of_turn(process, turn.number)})
     return {"director": name, "at_wall_ms": at_wall_ms, "processes": rows, "not_known": list_unknown(log, now)}
 
--- a/laddergw/fleet/fleet_log.py
+++ b/laddergw/fleet/fleet_log.py
@@ -34,7 +34,7 @@
     """One director's process. `dropped_actions`: actions that it dropped before any planner kept them; `gone`: why it admits nothing any more, empty while it does."""
 
     def __init__(self, name: str):
-        self.name, self.heard_ms, self.dropped_actions, self.outages, self.without, self.gone = name, 0.0, 0, [], "", ""
+        self.name, self.last_report_ms, self.dropped_actions, self.outages, self.without, self.gone = name, 0.0, 0, [], "", ""
         self.turns: dict[int, TurnRecord] = {}
         self.counts: dict[Key, int] = {}
         self.folded_to = 0                                  # turns up to this are counted in `earlier` alone
@@ -59,10 +59,10 @@
 
     def record_digest(self, now: float, number: int) -> None:
         """Notes the arrival of a digest. A process that was silent and sent few digests meanwhile was stalled; one that was cut off keeps counting them."""
-        gap, sent = now - self.heard_ms, number - self.digests
+        gap, sent = now - self.last_report_ms, number - self.digests
         if self.digests and gap >= SILENT_MS and sent * DIGEST_MS < gap / 2:
             self.stall_ms, self.stall_end = gap, now
-        self.heard_ms, self.digests = now, max(self.digests, number)
+        self.last_report_ms, self.digests = now, max(self.digests, number)
 
     def last(self) -> TurnRecord | None:
         """Returns the latest turn."""
@@ -130,7 +130,7 @@
                 break
             process.fold(number)
         if len(self.processes) > MAX_PROCESSES:
-            oldest = min(self.processes.values(), key=lambda p: p.heard_ms)
+            oldest = min(self.processes.values(), key=lambda p: p.last_report_ms)
             if oldest.name not in self.changed:
                 del self.processes[oldest.name]
 
@@ -155,7 +155,7 @@
         for name, process in sorted((row for rows_of_director in self.running(now).values() for row in rows_of_director), key=lambda row: row[0]):
             on, part = self.version_sets[process.last().stand].of(kind), process.last_part
             came = part.came if part.came[0] == number else (0, "", "", "")
-            rows.append(ProcessProgress(name, process.name, part.zone, now - process.heard_ms < SILENT_MS, process.heard_ms, on.hash if on else "", kind in part.takes,
+            rows.append(ProcessProgress(name, process.name, part.zone, now - process.last_report_ms < SILENT_MS, process.last_report_ms, on.hash if on else "", kind in part.takes,
                                         came[2], came[3], part.trouble, process.stall_ms, process.stall_end))
         return rows
 
@@ -167,7 +167,7 @@
                 by_director.setdefault(process.director, []).append(process)
         running = {}
         for director, processes in by_director.items():
-            reporting = [one for one in processes if now - one.heard_ms < SILENT_MS] or [max(processes, key=lambda one: (one.heard_ms, one.name))]
+            reporting = [one for one in processes if now - one.last_report_ms < SILENT_MS] or [max(processes, key=lambda one: (one.last_report_ms, one.name))]
             reporting.sort(key=lambda one: (-one.turns[min(one.turns)].since_ms, one.name))
             running[director] = [(one.name if index else director, one) for index, one in enumerate(reporting)]
         return running
@@ -191,7 +191,7 @@
 
     def seen(self) -> list[ObservedProcess]:
         """Returns the last report of each process that may admit plays, for rights. One that requests no right stays open."""
-        return [ObservedProcess(name, frozenset((v.kind, v.hash) for v in self.version_sets[turn.stand].versions), process.heard_ms, process.without or OPEN, process.last_part.zone)
+        return [ObservedProcess(name, frozenset((v.kind, v.hash) for v in self.version_sets[turn.stand].versions), process.last_report_ms, process.without or OPEN, process.last_part.zone)
                 for name, process in sorted(self.processes.items()) if not process.gone and (turn := process.last()) is not None]
 
     # The ledger's side
@@ -203,7 +203,7 @@
             turns, counts = set(process.turns), set(process.counts)
         turn_records = [process.turns[number] for number in sorted(turns) if number in process.turns]
         set_ids = ({t.stand for t in turn_records} | {key.kept for key in counts if key.kept}) - (set() if whole else self.stored_version_sets)
-        return {"process": name, "wall_ms": wall_ms, "heard_ms": process.heard_ms, "untold": process.dropped_actions, "gone": process.gone, "folded_to": process.folded_to,
+        return {"process": name, "wall_ms": wall_ms, "heard_ms": process.last_report_ms, "untold": process.dropped_actions, "gone": process.gone, "folded_to": process.folded_to,
                 "earlier": [(*key, count) for key, count in sorted(process.earlier.items())] if whole else [],
                 "turns": [tuple(t) for t in turn_records], "counts": [(*key, process.counts[key]) for key in sorted(counts) if key in process.counts],
                 "stands": {s: [tuple(v) for v in self.version_sets[s].versions] for s in sorted(set_ids) if s in self.version_sets}}
@@ -237,7 +237,7 @@
             key = Key(*row[:4])
             if key.turn > process.folded_to:
                 self.count_result(process, key, process.count(key, row[4]))
-        process.heard_ms, process.dropped_actions = max(process.heard_ms, record["heard_ms"]), max(process.dropped_actions, record["untold"])
+        process.last_report_ms, process.dropped_actions = max(process.last_report_ms, record["heard_ms"]), max(process.dropped_actions, record["untold"])
         process.gone = record.get("gone", "")
 
     def acknowledged(self, name: str) -> int:
--- a/laddergw/fleet/rights.py
+++ b/laddergw/fleet/rights.py
@@ -64,10 +64,10 @@
 
 
 class ObservedProcess(NamedTuple):
-    """What a planner knows of one director's process. `versions`: in force by its last report; `heard_ms`: when that arrived."""
+    """What a planner knows of one director's process. `versions`: in force by its last report; `last_report_ms`: when that arrived."""
     name: str
     versions: frozenset[VersionKey]
-    heard_ms: float
+    last_report_ms: float
     without_right: str
     zone: int = 0
 
@@ -80,7 +80,7 @@
 
     def forbid(self, version: VersionKey, seen: list[ObservedProcess], now: float, silent_ms: float) -> str | None:
         """Forbids a version from now on; returns why if that is refused."""
-        alive = [one for one in seen if now - one.heard_ms < silent_ms]
+        alive = [one for one in seen if now - one.last_report_ms < silent_ms]
         on = [one for one in alive if version in one.versions]
         if version not in self.since and len(self.since) >= MAX_FORBIDDEN_VERSIONS:
             return f"{MAX_FORBIDDEN_VERSIONS} versions are forbidden already"
@@ -106,5 +106,5 @@
         """Returns whether no director admits plays under a forbidden version any more, and which may still: of those that stay open without a right, whoever last
         reported it (what is sent to it may be lost although it reports) and whoever is silent (it may have switched to it without a report)."""
         since = self.since[version]
-        may = [one.name for one in seen if one.without_right == OPEN and (version in one.versions or now - one.heard_ms >= LEASE_MS)]
+        may = [one.name for one in seen if one.without_right == OPEN and (version in one.versions or now - one.last_report_ms >= LEASE_MS)]
         return now >= since + LEASE_MS + MARGIN_MS and not may, may
--- a/laddergw/fleet/wanted.py
+++ b/laddergw/fleet/wanted.py
@@ -54,7 +54,7 @@
     process: str
     zone: int
     is_reporting: bool
-    heard_ms: float
+    last_report_ms: float
     on: str
     takes: bool
     outcome: str = ""
@@ -208,9 +208,9 @@
     def cause(self, progress: ProcessProgress, now: float) -> tuple[str, str] | None:
         """Returns why a director is not on the wanted version, with details; None if it is on it and reports."""
         if progress.on == self.want.hash:
-            return None if progress.is_reporting else (UNREACHABLE, f"on it when it was last heard, {(now - progress.heard_ms) / 1000:.1f} s ago")
+            return None if progress.is_reporting else (UNREACHABLE, f"on it when it was last heard, {(now - progress.last_report_ms) / 1000:.1f} s ago")
         if not progress.is_reporting:
-            return UNREACHABLE, f"silent since {(now - progress.heard_ms) / 1000:.1f} s ago"
+            return UNREACHABLE, f"silent since {(now - progress.last_report_ms) / 1000:.1f} s ago"
         if progress.outcome == IN_FORCE:
             return FILE, "it was in force there, and its own file was changed since"
         if progress.outcome:
--- a/laddergw/planner/auditing.py
+++ b/laddergw/planner/auditing.py
@@ -84,7 +84,7 @@
         self.rollouts.restore(wants)
         self.budget_grants.restore(budgets)
         for name, process in self.fleet_log.processes.items():
-            process.heard_ms = min(process.heard_ms, self.loop.now)      # the clock of the machine that wrote it may be ahead
+            process.last_report_ms = min(process.last_report_ms, self.loop.now)      # the clock of the machine that wrote it may be ahead
             known = on_disk.processes.get(name)
             folded = known.folded_to if known else 0
             turns = {number for number in process.turns if number > folded and (known is None or number not in known.turns)}
@@ -190,8 +190,8 @@
             return {"refused": "this planner does not keep the journal: ask the one that does"}
         if process is None:
             return {"refused": f"no process {name[:60]!r} has ever reported here"}
-        if self.loop.now - process.heard_ms < SILENT_MS:
-            return {"refused": f"{name} spoke {answers.format_seconds(self.loop.now - process.heard_ms)} ago"}
+        if self.loop.now - process.last_report_ms < SILENT_MS:
+            return {"refused": f"{name} spoke {answers.format_seconds(self.loop.now - process.last_report_ms)} ago"}
         before = process.gone
         self.fleet_log.mark_gone(process, before or DECLARED_GONE)
         if not self.append_batch([self.fleet_log.record(name, self.wall_clock())]):
--- a/laddergw/planner/rules_check.py
+++ b/laddergw/planner/rules_check.py
@@ -27,7 +27,7 @@
 
 
 class State(NamedTuple):
-    """The whole system as plain values. `planners`: (alive, state, epoch, highest, last_heard, version); `edges`: (highest_rank, plan rank, received_ms); `in_flight`: (rank, edge)."""
+    """The whole system as plain values. `planners`: (alive, state, epoch, highest, last_plan_at, version); `edges`: (highest_rank, plan rank, received_ms); `in_flight`: (rank, edge)."""
     tick: int
     store: int
     planners: tuple[tuple, ...]
@@ -56,7 +56,7 @@
 
 def planner_row(alive: bool, standby: Standby, version: int) -> tuple:
     """The row of a planner."""
-    return alive, standby.state, standby.epoch, standby.highest, standby.last_heard, version
+    return alive, standby.state, standby.epoch, standby.highest, standby.last_plan_at, version
 
 
 def restore_followed(row: tuple) -> FollowedPlan:
@@ -81,7 +81,7 @@
     """All steps that are possible next, each with the state after it."""
     now = state.tick * TICK_MS
     for index, name in enumerate(PLANNERS):
-        alive, role, epoch, highest, last_heard, version = state.planners[index]
+        alive, role, epoch, highest, last_plan_at, version = state.planners[index]
         if not alive:
             store = state.store + 1 if rules.fenced else state.store
             yield f"{name} restarts", state._replace(store=store, planners=replace_row(state.planners, index, (True, LEADS, store, max(store, highest), now, version)))
@@ -90,12 +90,12 @@
             fenced = restore_standby(state.planners[index])
             fenced.fenced(now)
             yield f"{name} is fenced", state._replace(planners=replace_row(state.planners, index, planner_row(True, fenced, version)))
-        yield f"{name} crashes", state._replace(planners=replace_row(state.planners, index, (False, role, epoch, highest, last_heard, version)))
+        yield f"{name} crashes", state._replace(planners=replace_row(state.planners, index, (False, role, epoch, highest, last_plan_at, version)))
         if role == LEADS and len(state.in_flight) < MAX_IN_FLIGHT and (not rules.fenced or epoch == state.store):
             rank = (epoch, name, version + 1)
             for edge in EDGES:
                 yield f"{name} plans {epoch}.{version + 1} for edge {edge}", state._replace(
-                    planners=replace_row(state.planners, index, (alive, role, epoch, highest, last_heard, version + 1)), in_flight=tuple(sorted(state.in_flight + ((rank, edge),))))
+                    planners=replace_row(state.planners, index, (alive, role, epoch, highest, last_plan_at, version + 1)), in_flight=tuple(sorted(state.in_flight + ((rank, edge),))))
     for position, (rank, edge) in enumerate(state.in_flight):
         rest = state.in_flight[:position] + state.in_flight[position + 1:]
         yield f"{rank[0]}.{rank[2]} of {rank[1]} is lost", state._replace(in_flight=rest)
--- a/laddergw/planner/standby.py
+++ b/laddergw/planner/standby.py
@@ -21,7 +21,7 @@
     """Whether one of several planners leads or stands by."""
 
     def __init__(self, seed: int, epoch: int, now: float, leads: bool):
-        self.seed, self.epoch, self.last_heard, self.draw_count = seed, epoch, now, 0
+        self.seed, self.epoch, self.last_plan_at, self.draw_count = seed, epoch, now, 0
         self.state, self.highest = LEADS if leads else STANDS_BY, epoch
         self.takeover_delay = self.draw_delay()
 
@@ -38,20 +38,20 @@
         """A plan of this epoch was received here, or by an edge `age_ms` ago."""
         self.epoch_seen(epoch)
         if epoch >= self.epoch and not (epoch == self.epoch and self.state == LEADS):
-            self.last_heard = max(self.last_heard, now - age_ms)
+            self.last_plan_at = max(self.last_plan_at, now - age_ms)
             if self.state == LEADS:              # another planner leads now
                 self.state, self.takeover_delay = STANDS_BY, self.draw_delay()
         return Step(self.state)
 
     def fenced(self, now: float) -> None:
         """Another planner has the store: this one stands by, and may take the store back when the other falls silent."""
-        self.state, self.last_heard, self.takeover_delay = STANDS_BY, now, self.draw_delay()
+        self.state, self.last_plan_at, self.takeover_delay = STANDS_BY, now, self.draw_delay()
 
     def review(self, now: float) -> Step:
         """Checks whether this planner has to stand by or to take over."""
         if self.state == LEADS and self.highest > self.epoch:
             self.fenced(now)                     # no edge accepts this planner's plans: wait for a plan of the planner that has the higher epoch
-        if self.state == STANDS_BY and now - self.last_heard >= self.takeover_delay:
+        if self.state == STANDS_BY and now - self.last_plan_at >= self.takeover_delay:
             self.state, self.takeover_delay = LEADS, self.draw_delay()
             return Step(LEADS, self.highest + 1)
         return Step(self.state)
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -50,7 +50,7 @@
             0,
             [],
         )
-        self.last_heard_at = fleet.loop.now
+        self.last_message_at = fleet.loop.now
         # plays that run there, by session
         self.running_plays: dict[str, Any] = {}
         # plays whose set-up is open there, by session
@@ -182,7 +182,7 @@
             connection.abort(allocation.CONNECTION_LOST)
             self.replace_connection()
         up = [connection for connection in self.connections if connection.up]
-        if up and up[0].ping is None and now - self.last_heard_at >= PING_AFTER_MS:
+        if up and up[0].ping is None and now - self.last_message_at >= PING_AFTER_MS:
             up[0].ping, up[0].pinged_at = self.fleet.next_ping_name(), now
             up[0].stream.write(rtsp.encode_request("OPTIONS", "ping", up[0].ping))
         elif not self.connections and self.gone:
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -204,7 +204,7 @@
         self.loop.call_later(CHECK_INTERVAL_MS, self.check)
         self.dial_waiting(len(self.awaiting_connection))
         for node in sorted(
-            (n for n in self.by_number.values() if n.running_plays), key=lambda n: n.last_heard_at
+            (n for n in self.by_number.values() if n.running_plays), key=lambda n: n.last_message_at
         ):
             node.check(self.loop.now)
         self.remove_gone()
--- a/tests/test_fleet_rights.py
+++ b/tests/test_fleet_rights.py
@@ -43,7 +43,7 @@
         self.assertIn("no director is heard", floors.forbid(V, seen(1, 3), 9_000.0, 5_000.0))
         self.assertIsNone(floors.forbid(V, seen(1, 3), 0.0, 5_000.0))
         self.assertEqual([floors.check_unused(V, seen(1, 3), at)[0] for at in (LEASE_MS, LEASE_MS + MARGIN_MS)], [False, True])
-        reporting = [one._replace(heard_ms=20_000.0) for one in seen(1, 2, OPEN)]
+        reporting = [one._replace(last_report_ms=20_000.0) for one in seen(1, 2, OPEN)]
         self.assertEqual(floors.check_unused(V, reporting, 20_100.0), (False, ["d0"]))     # it reports, but what is sent to it may be lost
         self.assertEqual(floors.check_unused(V, reporting[1:], 20_100.0), (True, []))
         self.assertEqual(floors.check_unused(V, reporting[1:], 20_000.0 + LEASE_MS), (False, ["d1", "d2"]))   # a silent director may switch to it
