--- a/benchmarks/director_cost.py
+++ b/benchmarks/director_cost.py
@@ -13,10 +13,10 @@
 import sys
 import time
 
-from laddergw.lab.plant import Ware, plant
+from laddergw.lab.deployment_model import ProductModel, build_deployment
 from laddergw.lab.stage_processes import ProcessStage
 
-WARES = (Ware("hearing", 0.5, 3.0, "safe", 4_000, 1_500, (2_000, 6_000)), Ware("survey-clip", 0.5, 1.0, "safe", 3_000, 1_000, (2_000, 6_000)))
+WARES = (ProductModel("hearing", 0.5, 3.0, "safe", 4_000, 1_500, (2_000, 6_000)), ProductModel("survey-clip", 0.5, 1.0, "safe", 3_000, 1_000, (2_000, 6_000)))
 WARM_MS = 500.0        # the director's pacing after its own start is over before the first viewer comes
 
 
@@ -71,7 +71,7 @@
 
 
 def step(rate: float, seconds: float, **changes) -> dict:
-    the_plant = plant(1, directors=1, nodes=24, rate=rate, seconds=seconds, wares=WARES, **changes)._replace(finish_ms=500, warm_ms=WARM_MS)
+    the_plant = build_deployment(1, directors=1, nodes=24, rate=rate, seconds=seconds, wares=WARES, **changes)._replace(finish_ms=500, warm_ms=WARM_MS)
     stage = CostStage(the_plant, [])
     records = stage.run()
     plays = sum(1 for _, what, _ in records if what == "asked")
@@ -112,7 +112,7 @@
     rows = []
     for number in (count // 10, count):
         long = tuple(w._replace(length_ms=(240_000, 240_000)) for w in WARES)
-        the_plant = plant(1, directors=1, nodes=24, rate=max(20.0, number / 60), seconds=60, wares=long, load=0.6)._replace(finish_ms=500)
+        the_plant = build_deployment(1, directors=1, nodes=24, rate=max(20.0, number / 60), seconds=60, wares=long, load=0.6)._replace(finish_ms=500)
         stage = CostStage(the_plant, [])
         stage.tail_ms = 2_000.0
         stage.run()
--- a/benchmarks/limits_random.py
+++ b/benchmarks/limits_random.py
@@ -9,7 +9,7 @@
 from laddergw.terms import director_file as director_files
 from laddergw.director.director import Director
 from laddergw.lab import audit, limits as lab
-from laddergw.lab.plant import plant
+from laddergw.lab.deployment_model import build_deployment
 from laddergw.lab.script import bad_day
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.terms import limits as limits_file
@@ -21,8 +21,8 @@
 def play_file(number: int) -> tuple[int, str, str]:
     """Plays the scenario under one file; returns the number of plays, what went wrong, and the file's text if anything did."""
     logging.disable(logging.CRITICAL)
-    the_plant = plant(1 + number % 25, directors=3, nodes=10, rate=RATE, seconds=SECONDS)
-    settings = director_files.read(the_plant.house(0, ("d", 1), ("list", 1), 1))
+    the_plant = build_deployment(1 + number % 25, directors=3, nodes=10, rate=RATE, seconds=SECONDS)
+    settings = director_files.read(the_plant.director_file(0, ("d", 1), ("list", 1), 1))
     text = lab.sound(77, number, settings)
     limits = limits_file.read(text, settings.names, default_terms(settings))
 
--- a/benchmarks/planner_worth.py
+++ b/benchmarks/planner_worth.py
@@ -7,7 +7,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from laddergw.lab import apart, audit, plant, script
+from laddergw.lab import apart, audit, deployment_model, script
 
 PLANNER_CASES = {"without": (0, None), "with": (1, None), "lies": (1, apart.double)} # number of planners, what changes their plans
 SECONDS, RATE, NODES, LOAD = 30.0, 24.0, 24, 1.5
@@ -17,7 +17,7 @@
     """Service, worth, rules broken and changes of trust in one run."""
     logging.disable(logging.CRITICAL)
     edges, case, seed = job
-    the_plant = plant.plant(seed, directors=edges, nodes=NODES, rate=RATE, seconds=SECONDS, load=LOAD)
+    the_plant = deployment_model.build_deployment(seed, directors=edges, nodes=NODES, rate=RATE, seconds=SECONDS, load=LOAD)
     planners, plan_override = PLANNER_CASES[case]
     stage = apart.ApartStage(the_plant, script.rolling_deploy(the_plant, 12_000, 20_000, 0.3), planners, 0, plan_override)
     records = stage.run()
--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -18,8 +18,8 @@
 from laddergw.director.limits_file import InProcessCheck, LimitsFile
 from laddergw.fleet.action_counts import ENDED, ADMITTED, PLAYING, SET_UP
 from laddergw.interface import READY
-from laddergw.lab.lines import Lines
-from laddergw.lab.plant import draw, plant
+from laddergw.lab.network_faults import FaultyNetwork
+from laddergw.lab.deployment_model import draw, build_deployment
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import wire
 from laddergw.planner.audit_client import limits_text
@@ -65,8 +65,8 @@
         host = world.host("p0")
         self.planner = Planner(host, "p0.1", ("p0", 8300), Store(os.path.join(folder, "store")), (("lab", b"key of the planners"),), clock=lambda: time.perf_counter() * 1000)
         self.time_turns(host)
-        house = director_files.read(plant(seed, directors=directors, nodes=12).house(0, ("d0", 1), ("list", 1), seed))
-        self.lines, self.directors, self.sides = Lines(world.host("relay"), lambda *given, **facts: None, seed), [], []
+        house = director_files.read(build_deployment(seed, directors=directors, nodes=12).director_file(0, ("d0", 1), ("list", 1), seed))
+        self.lines, self.directors, self.sides = FaultyNetwork(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
             light = Light(world, house, number, nodes)
             line = self.lines.line(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -8,7 +8,7 @@
 from laddergw.machines.play import PlayState
 from laddergw.machines.concurrency import ConcurrencyLimits, at_limit
 from laddergw.machines.retry_budget import RetryBudgets
-from laddergw.lab.plant import plant
+from laddergw.lab.deployment_model import build_deployment
 from laddergw.terms.director_file import read as read_settings
 from laddergw.terms import limits as limits_file
 from laddergw.terms.generations import budget_names, budget_terms
@@ -43,7 +43,7 @@
 
 def measure_requests() -> None:
     """Prints the time that a play request spends on limits: values, play state, budgets, concurrency limit; for routes that are cached or not."""
-    settings = read_settings(plant(1).house(0, ("h", 1), ("h", 1), 1))
+    settings = read_settings(build_deployment(1).director_file(0, ("h", 1), ("h", 1), 1))
     text = "(limits (adaptive gradient) (tenant t (budget (free 5) (share 0.1)))" + "".join(f'(route "/r{n}/" (tenant t) (connect-ms {100 + n}))' for n in range(200)) + ")"
     limits = limits_file.read(text, settings.names, default_terms(settings))
     began = time.perf_counter()
--- a/laddergw/cli/dayings.py
+++ b/laddergw/cli/dayings.py
@@ -10,11 +10,11 @@
 
 
 def days_of(book: Path | None) -> dict:
-    from laddergw.lab import daybook
+    from laddergw.lab import scenario_file
     from laddergw.terms.reading import read_text
     from laddergw.terms.sexpr import FileRejected
     try:
-        return daybook.book() if book is None else daybook.read(read_text(str(book)), book.name)
+        return scenario_file.named_days() if book is None else scenario_file.read(read_text(str(book)), book.name)
     except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_REFUSED) from None
@@ -48,16 +48,16 @@
     """Leaves out troubles as long as the day still fails (a rule broken, a play without an outcome, service under --below), in memory; prints what is left."""
     import logging
 
-    from laddergw.lab import audit, daybook, shrink as lab
+    from laddergw.lab import audit, scenario_file, shrink as lab
     from laddergw.lab.stage_memory import MemoryStage
     logging.disable(logging.CRITICAL)
     day = day_of(name, book)
-    the_plant = daybook.plant_of(day, seed)
+    the_plant = scenario_file.deployment_of(day, seed)
 
     def fails(script: list) -> bool:
         judged = audit.audit(the_plant, MemoryStage(the_plant, script).run())
         return bool(judged.breaks or judged.without or judged.service.get("all", 1.0) < below)
-    script = daybook.script_of(day, the_plant)
+    script = scenario_file.script_of(day, the_plant)
     if not fails(script):
         typer.echo(f"{name} with seed {seed} does not fail")
         raise typer.Exit(0)
--- a/laddergw/cli/rehearsing.py
+++ b/laddergw/cli/rehearsing.py
@@ -39,9 +39,9 @@
     log: Annotated[str, typer.Option(help="log level of the directors")] = "warning",
 ) -> None:
     """Rehearses a day against stand-ins and judges the six rules from what passed on the sockets."""
-    from laddergw.lab import daybook, days, plant, script
+    from laddergw.lab import scenario_file, days, deployment_model, script
     logging.basicConfig(level=logging.WARNING)
-    usual = lambda: plant.plant(seed, directors or 4, nodes or 24, rate or 24.0, seconds or 60.0)
+    usual = lambda: deployment_model.build_deployment(seed, directors or 4, nodes or 24, rate or 24.0, seconds or 60.0)
     if name == "soak" and day is None:
         from laddergw.cli.rehearsing_soak import soak
         from laddergw.lab.soak.plan import Sizes
@@ -50,10 +50,10 @@
         return apart(seed, usual(), report, memory, keep, log, kills)
     if name == "fleet" and day is None:
         from laddergw.cli.rehearsing_fleet import fleet
-        return fleet(seed, plant.plant(seed, directors or 12, nodes or 24, rate or 24.0, seconds or 60.0), report, memory, keep, log, kills, lines)
+        return fleet(seed, deployment_model.build_deployment(seed, directors or 12, nodes or 24, rate or 24.0, seconds or 60.0), report, memory, keep, log, kills, lines)
     if name == "budgets" and day is None:
         from laddergw.cli.rehearsing_fleet import budgets
-        return budgets(seed, plant.plant(seed, directors or 12, nodes or 24, rate or 24.0, seconds or 60.0), report, memory, keep, log, kills, lines)
+        return budgets(seed, deployment_model.build_deployment(seed, directors or 12, nodes or 24, rate or 24.0, seconds or 60.0), report, memory, keep, log, kills, lines)
     if name in ("limits", "move") and day is None:
         return switching(importlib.import_module(f"laddergw.lab.{name}"), seed, usual(), report, memory, keep, log)
     if name == "stitched" and day is None:
@@ -62,15 +62,15 @@
     try:
         if day is not None:
             mapped = days.read(day, seed, speed)
-            the_plant, the_script, said = mapped.plant, mapped.script, mapped.said
+            the_plant, the_script, said = mapped.model, mapped.script, mapped.said
         elif name in own and book is None:
             the_plant, said = usual(), []
             the_script = own[name](the_plant)
         else:
             named = day_of(name, book)
-            the_plant, said = daybook.plant_of(named, seed, seconds=seconds, rate=rate, directors=directors, nodes=nodes), [f"{name}: {named.says}"]
-            the_script = daybook.script_of(named, the_plant)
-    except days.Unreadable as error:
+            the_plant, said = scenario_file.deployment_of(named, seed, seconds=seconds, rate=rate, directors=directors, nodes=nodes), [f"{name}: {named.says}"]
+            the_script = scenario_file.script_of(named, the_plant)
+    except days.InvalidDayFile as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_COULD_NOT) from None
     for line in said:
@@ -95,7 +95,7 @@
     typer.echo(said[0])
     for at, what, facts in [r for r in records if r[1] in ("timing fault", "bad playlist")][:20]:
         typer.echo(f"broken: timing: {facts}")
-    conclude(the_plant, the_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began, seed, said, report, bool(found["timing faults"]))
+    conclude(the_plant, the_script, records, stage.scenario.missed, "in memory" if memory else "on loopback", began, seed, said, report, bool(found["timing faults"]))
 
 
 def switching(lab, seed: int, the_plant, report: Path | None, memory: bool, keep: Path | None, log: str) -> None:
@@ -107,7 +107,7 @@
     found = lab.switched(records)
     said = [f"{stage.numbers} versions; " + ", ".join(f"{name} {value}" for name, value in found.items())]
     typer.echo(said[0])
-    conclude(the_plant, the_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began, seed, said, report, bool(found["dropped"]))
+    conclude(the_plant, the_script, records, stage.scenario.missed, "in memory" if memory else "on loopback", began, seed, said, report, bool(found["dropped"]))
 
 
 def apart(seed: int, the_plant, report: Path | None, memory: bool, keep: Path | None, log: str, kills: int) -> None:
@@ -120,7 +120,7 @@
     records = played(stage)
     said = [stage.told()]
     typer.echo(said[0])
-    conclude(the_plant, the_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began, seed, said, report)
+    conclude(the_plant, the_script, records, stage.scenario.missed, "in memory" if memory else "on loopback", began, seed, said, report)
 
 
 def conclude(the_plant, the_script, records, missed: int, where: str, began: float, seed: int, said: list, report: Path | None,
@@ -146,7 +146,7 @@
     else:
         from laddergw.lab.stage_processes import ProcessStage
         stage = ProcessStage(the_plant, the_script, str(keep) if keep else None, log)
-    return played(stage), stage.conductor.missed
+    return played(stage), stage.scenario.missed
 
 
 def so_far(stage) -> str:
@@ -157,12 +157,12 @@
 
 def played(stage) -> list[tuple]:
     """A stage's records; the command ends where it could not run."""
-    from laddergw.lab.stage_processes import CouldNotRun
-    the_plant = getattr(stage, "plant", None)
+    from laddergw.lab.stage_processes import RehearsalError
+    the_plant = getattr(stage, "model", None)
     try:
         with shown(the_plant.crowd.seconds if the_plant is not None else None, lambda: so_far(stage)):
             return stage.run()
-    except CouldNotRun as error:
+    except RehearsalError as error:
         typer.echo(f"could not run: {error}", err=True)
         raise typer.Exit(EXIT_COULD_NOT) from None
 
--- a/laddergw/cli/rehearsing_soak.py
+++ b/laddergw/cli/rehearsing_soak.py
@@ -159,7 +159,7 @@
             for number in range(SHRINK_PLAYS)
         )
 
-    found = shrink(list(result.plan.faults), fails, SHRINK_MOST, sensible=lambda faults: faults)
+    found = shrink(list(result.plan.faults), fails, SHRINK_MOST, prune=lambda faults: faults)
     path.write_bytes(
         plans.to_json(msgspec.structs.replace(result.plan, faults=tuple(found.script)))
     )
--- a/laddergw/lab/apart.py
+++ b/laddergw/lab/apart.py
@@ -8,8 +8,8 @@
 from typing import Callable
 
 from laddergw.director.director import Director
-from laddergw.lab.plant import Plant, between
-from laddergw.lab.script import Trouble
+from laddergw.lab.deployment_model import DeploymentModel, draw_between
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.plan import Plan
@@ -30,8 +30,8 @@
 class ApartStage(MemoryStage):
     """See the module. `kills`: of the first planner, spread over the run; `lie`: what is done to each plan."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], planners: int = TWO, kills: int = 0, lie: Callable[[Plan], Plan] | None = None, director_class=Director):
-        super().__init__(plant, script, director_class)
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], planners: int = TWO, kills: int = 0, lie: Callable[[Plan], Plan] | None = None, director_class=Director):
+        super().__init__(model, script, director_class)
         self.count, self.kills, self.lie = planners, kills, lie
         self.folder = tempfile.mkdtemp(prefix="laddergw-apart-")
         self.planners: dict[int, Planner] = {}
@@ -46,7 +46,7 @@
             self.world.run(self.world.now + SETTLE_MS)
             start = self.world.now
             for kill in range(self.kills):
-                at = between(self.plant.seed, 2_000, self.plant.crowd.seconds * 1000, "planner", kill)
+                at = draw_between(self.model.seed, 2_000, self.model.crowd.seconds * 1000, "planner", kill)
                 self.loop.call_at(start + at, lambda kill=kill: self.kill_planner(kill % max(1, self.count)))
             return super().run()
         finally:
@@ -66,7 +66,7 @@
         host = self.world.host(f"p{number}")
         others = tuple((f"p{other}", PORT) for other in range(self.count) if other != number)
         store = Store(os.path.join(self.folder, "store")) if leads else None
-        planner = self.planners[number] = Planner(host, f"p{number}.{self.names}", (f"p{number}", PORT), store, self.keys(), leads, others, self.plant.seed + self.names,
+        planner = self.planners[number] = Planner(host, f"p{number}.{self.names}", (f"p{number}", PORT), store, self.keys(), leads, others, self.model.seed + self.names,
                                                   watch=lambda what, **facts: self.events.append((self.world.now, what, facts)), clock=lambda: host.now)
         planner.plan_override = self.lie
         if not leads:                            # opened when it takes over: until then the store is the leader's
@@ -81,7 +81,7 @@
         if store is not None:
             store.db.close()                     # as the end of its process does
         self.record("planner down", self.world.now, number=number)
-        away = between(self.plant.seed, *AWAY_MS, "away", number, self.names)
+        away = draw_between(self.model.seed, *AWAY_MS, "away", number, self.names)
         self.loop.call_at(self.world.now + away, lambda: self.start_planner(number, True))
 
     def start_director(self, number: int) -> None:
--- a/laddergw/lab/apart_processes.py
+++ b/laddergw/lab/apart_processes.py
@@ -6,9 +6,9 @@
 import sys
 
 from laddergw.lab.apart import AWAY_MS
-from laddergw.lab.papers import Authority
-from laddergw.lab.plant import Plant, between
-from laddergw.lab.script import Trouble
+from laddergw.lab.test_certificates import CertificateAuthority
+from laddergw.lab.deployment_model import DeploymentModel, draw_between
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_processes import HOST, START_MS, ProcessStage
 from laddergw.loop.sockets import DescriptorWatch
 
@@ -19,13 +19,13 @@
 class ApartProcesses(ProcessStage):
     """See the module."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], kills: int, folder: str | None = None, level: str = "warning"):
-        super().__init__(plant, script, folder, level)
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], kills: int, folder: str | None = None, level: str = "warning"):
+        super().__init__(model, script, folder, level)
         self.kills, self.names = kills, 0
         for name in os.listdir(self.folder):
             if name.startswith("planner.store"):
                 os.remove(self.file(name))
-        authority = Authority(self.folder)
+        authority = CertificateAuthority(self.folder)
         self.papers = {f"p{number}": authority.issue(f"p{number}") for number in range(PLANNERS)}
         self.edge_papers = authority.issue("d")
         self.planner_more = ""               # of each planner's file
@@ -42,9 +42,9 @@
     def tls(self, papers: tuple[str, str, str]) -> str:
         return '(tls (certificate "%s") (key "%s") (authority "%s"))' % papers
 
-    def house_text(self, number: int) -> str:
+    def director_file_text(self, number: int) -> str:
         planners = " ".join(f'(planner "{host}" {port})' for host, port in self.places.values())
-        return super().house_text(number).replace("(bounds", f"{planners} {self.tls(self.edge_papers)}\n (bounds", 1)
+        return super().director_file_text(number).replace("(bounds", f"{planners} {self.tls(self.edge_papers)}\n (bounds", 1)
 
     def start_planner(self, number: int, leads: bool) -> None:
         self.names += 1
@@ -52,8 +52,8 @@
         others = " ".join(f'(other "{place[0]}" {place[1]})' for other, place in self.places.items() if other != number)
         path = self.file(f"p{number}.planner")
         with open(path, "w") as stream:
-            stream.write(f'(planner (name p{number}) (listen "{host}" {port}) (store "{self.file("planner.store")}") (key lab "rehearsal-key-of-{self.plant.seed:08d}") '
-                         f'{"(leads)" if leads else ""} {self.planner_more} {others} {self.tls(self.papers[f"p{number}"])} (seed {self.plant.seed + self.names}))')
+            stream.write(f'(planner (name p{number}) (listen "{host}" {port}) (store "{self.file("planner.store")}") (key lab "rehearsal-key-of-{self.model.seed:08d}") '
+                         f'{"(leads)" if leads else ""} {self.planner_more} {others} {self.tls(self.papers[f"p{number}"])} (seed {self.model.seed + self.names}))')
         child = self.loop.spawn([sys.executable, "-m", "laddergw.cli", "planner", path, "--log", "debug"], lambda status: None, stdout=subprocess.PIPE, stderr=self.logs)
         self.planners[number] = child
 
@@ -65,10 +65,10 @@
                 self.places[number] = line[1].decode(), int(line[2])
         watch = DescriptorWatch(self.loop, child.stdout, said)
 
-    def let_them_come(self) -> None:
-        super().let_them_come()
+    def start_viewers(self) -> None:
+        super().start_viewers()
         for kill in range(self.kills):
-            at = between(self.plant.seed, 1_000, self.plant.crowd.seconds * 1000, "planner", kill)
+            at = draw_between(self.model.seed, 1_000, self.model.crowd.seconds * 1000, "planner", kill)
             self.loop.call_later(at, lambda kill=kill: self.kill_planner(kill % PLANNERS))
 
     def kill_planner(self, number: int) -> None:
@@ -77,7 +77,7 @@
             return
         child.send_signal(signal.SIGKILL)
         self.record("planner down", self.loop.now, number=number)
-        away = between(self.plant.seed, *AWAY_MS, "away", number, self.names)
+        away = draw_between(self.model.seed, *AWAY_MS, "away", number, self.names)
         self.loop.call_later(away, lambda: self.ending or self.start_planner(number, True))
 
     def end(self) -> None:
--- a/laddergw/lab/audit.py
+++ b/laddergw/lab/audit.py
@@ -7,7 +7,7 @@
 from collections import defaultdict, deque
 from typing import Any, NamedTuple
 
-from laddergw.lab.plant import Plant
+from laddergw.lab.deployment_model import DeploymentModel
 
 ANSWER_SLACK_MS = 30.0     # an answer so long past the viewer's limit still lay in its socket in time
 TAKEN_SLACK_MS = 80.0      # a request read so shortly before its limit cannot be held against a director
@@ -26,7 +26,7 @@
     evidence: list
 
 
-class Judged(NamedTuple):
+class AuditResult(NamedTuple):
     """What a rehearsal came to."""
     plays: int
     outcomes: dict[str, int]
@@ -55,16 +55,16 @@
         self.end = max((record[0] for record in records), default=0.0)
 
 
-def audit(plant: Plant, records: list[tuple]) -> Judged:
+def audit(model: DeploymentModel, records: list[tuple]) -> AuditResult:
     """Judges a rehearsal's records, (time, what, facts)."""
     r = Records(records)
     tries = viewer_tries(r)
-    breaks = (answers(plant, r, tries) + once(plant, r) + paid(plant, r, tries)
-              + cold(plant, r) + terms(plant, r) + budget(plant, r))
-    late, drained = drains(plant, r)
+    breaks = (answers(model, r, tries) + once(model, r) + paid(model, r, tries)
+              + cold(model, r) + terms(model, r) + budget(model, r))
+    late, drained = drains(model, r)
     outcomes, without = outcomes_of(r, tries)
     twice = sum(1 for b in breaks if b.rule == "once") + sum(1 for b in breaks if b.what.startswith("two answers"))
-    return Judged(len(outcomes) + without, count(outcomes), without, twice, breaks + late, service(plant, tries),
+    return AuditResult(len(outcomes) + without, count(outcomes), without, twice, breaks + late, service(model, tries),
                   [t["answer_ms"] for t in tries.values() if t["answer"] == "playing"], drained, len(tries), rungs_of(tries))
 
 
@@ -119,7 +119,7 @@
     return Break(name, what, list(evidence)[:EVIDENCE])
 
 
-def answers(plant: Plant, r: Records, tries: dict) -> list[Break]:
+def answers(model: DeploymentModel, r: Records, tries: dict) -> list[Break]:
     """Rule 1: what a running director took gets exactly one answer, within the viewer's time limit."""
     found, away, still = [], downs(r), stills(r)
     took: dict[str, list] = defaultdict(list)
@@ -165,7 +165,7 @@
     return found
 
 
-def once(plant: Plant, r: Records) -> list[Break]:
+def once(model: DeploymentModel, r: Records) -> list[Break]:
     """Rule 2: a play never has two allocations out at once."""
     found, by_play = [], defaultdict(list)
     for one in intervals(r).values():
@@ -180,9 +180,9 @@
     return found
 
 
-def paid(plant: Plant, r: Records, tries: dict) -> list[Break]:
+def paid(model: DeploymentModel, r: Records, tries: dict) -> list[Break]:
     """Rule 2 for products paid at set-up: set up once a try at most, and not declined once it may have run."""
-    names, found = {w.name for w in plant.wares if w.repeat == "paid"}, []
+    names, found = {w.name for w in model.wares if w.repeat == "paid"}, []
     ran: dict[str, list] = defaultdict(list)
     for at, f in r.by["set up"]:
         if f["product"] in names:
@@ -200,7 +200,7 @@
     return found
 
 
-def drains(plant: Plant, r: Records) -> tuple[list[Break], float]:
+def drains(model: DeploymentModel, r: Records) -> tuple[list[Break], float]:
     """Rule 3: nothing new to a node later than the grace after this director was told that it drains or is gone."""
     events = [(at, 0, f) for at, f in r.by["listed"]] + [(at, 1, f) for at, f in r.by["set-up written"]]
     told: dict[tuple, float] = {}
@@ -220,12 +220,12 @@
         elif (source, f["node"]) in told:
             late = at - told[source, f["node"]]
             longest = max(longest, late)
-            if late > plant.drain_grace_ms:
+            if late > model.drain_grace_ms:
                 found.append(rule("drains", f"{source} sent {f['allocation']} to node {f['node']} {late:.0f} ms after it was told", f))
     return found, longest
 
 
-def cold(plant: Plant, r: Records) -> list[Break]:
+def cold(model: DeploymentModel, r: Records) -> list[Break]:
     """Rule 4: a cold node takes set-ups at its pace, all directors together, in any window."""
     found = []
     ends = {(f["node"], f["incarnation"]): at for at, f in r.by["node ended"]}
@@ -239,13 +239,13 @@
         window: deque = deque()
         for at in (at for at in came[f["node"]] if start <= at <= until):
             window.append(at)
-            while window[0] < at - plant.fall_ms:
+            while window[0] < at - model.fall_ms:
                 window.popleft()
             share = f["cold_from"] + (1 - f["cold_from"]) * min(1.0, (at - start) / f["warm_ms"])
-            mean = plant.fall_multiple * f["streams"] / f["warm_ms"] * share * plant.fall_ms
+            mean = model.fall_multiple * f["streams"] / f["warm_ms"] * share * model.fall_ms
             allowed = mean + COLD_SIGMAS * math.sqrt(mean)
             if len(window) > allowed:
-                found.append(rule("cold", f"node {f['node']}: {len(window)} set-ups within {plant.fall_ms:.0f} ms, {allowed:.1f} allowed, "
+                found.append(rule("cold", f"node {f['node']}: {len(window)} set-ups within {model.fall_ms:.0f} ms, {allowed:.1f} allowed, "
                                           f"{at - start:.0f} ms after its start", *window))
                 break
     for at, f in r.by["fell over"]:
@@ -254,9 +254,9 @@
     return found
 
 
-def terms(plant: Plant, r: Records) -> list[Break]:
+def terms(model: DeploymentModel, r: Records) -> list[Break]:
     """Rule 5: no rung under a product's floor; no more plays of a title and product at a director than its seats."""
-    wares, found = {w.name: w for w in plant.wares}, []
+    wares, found = {w.name: w for w in model.wares}, []
     for what in "held", "rung":
         for at, f in r.by[what]:
             if f["rung"] < wares[f["product"]].floor:
@@ -275,11 +275,11 @@
     return found
 
 
-def budget(plant: Plant, r: Records) -> list[Break]:
+def budget(model: DeploymentModel, r: Records) -> list[Break]:
     """Rule 6: allocations beyond each play's first, within any window, by one director's process."""
-    if plant.budget is None:
+    if model.budget is None:
         return []
-    free, share, window = plant.budget
+    free, share, window = model.budget
     took, further, found = defaultdict(list), defaultdict(list), []
     for at, f in r.by["took"]:
         took[f["source"]].append(at)
@@ -317,9 +317,9 @@
     return found, without
 
 
-def service(plant: Plant, tries: dict) -> dict[str, float]:
+def service(model: DeploymentModel, tries: dict) -> dict[str, float]:
     """Importance answered within the first-frame target over importance asked for, tries folded into the first."""
-    wares = {w.name: w for w in plant.wares}
+    wares = {w.name: w for w in model.wares}
     first, won = {}, set()
     for (play, number), t in sorted(tries.items(), key=lambda item: (item[0][0], item[0][1])):
         first.setdefault(play, t)
@@ -333,13 +333,13 @@
     return {name: answered[name] / asked[name] for name in sorted(asked)}
 
 
-def worth(plant: Plant, records: list[tuple]) -> float:
+def worth(model: DeploymentModel, records: list[tuple]) -> float:
     """Importance times the rung's worth of plays answered within the first-frame target, over the importance asked for."""
-    wares, first, won = {w.name: w for w in plant.wares}, {}, {}
+    wares, first, won = {w.name: w for w in model.wares}, {}, {}
     for (play, _), t in sorted(viewer_tries(Records(records)).items()):
         first.setdefault(play, t)
         if t["answer"] == "playing" and t["answered_at"] - first[play]["at"] <= wares[t["product"]].aim_ms:
-            won.setdefault(play, plant.worth[t["rung"]])
+            won.setdefault(play, model.worth[t["rung"]])
     asked = sum(wares[t["product"]].importance for t in first.values())
     return sum(wares[first[play]["product"]].importance * value for play, value in won.items()) / max(asked, 1e-9)
 
--- a/laddergw/lab/budget_processes.py
+++ b/laddergw/lab/budget_processes.py
@@ -8,8 +8,8 @@
 
 from laddergw.lab.budget_parts import most_within
 from laddergw.lab.fleet_processes import FleetProcesses
-from laddergw.lab.plant import Plant
-from laddergw.lab.script import Trouble, fault
+from laddergw.lab.deployment_model import DeploymentModel
+from laddergw.lab.script import FaultEvent, temporary_fault
 from laddergw.planner import wire
 
 WHOLE, WINDOW_MS = 12, 2_000.0     # one for each of twelve: less than the retries of a storm want
@@ -20,11 +20,11 @@
 TEXT = f'(limits (defaults (attempts 3)) (tenant "basin" (budget (free {WHOLE}) (share 0) (window-ms {WINDOW_MS:g}) (scope fleet))) (route "/" (tenant "basin")))\n'
 
 
-def storms(plant: Plant) -> list[Trouble]:
+def storms(model: DeploymentModel) -> list[FaultEvent]:
     """All nodes fail most set-ups for a while, again and again: each failure may be tried again."""
-    nodes, found, at = [node.node for node in plant.nodes], [], 4_000.0
-    while at < plant.crowd.seconds * 1000:
-        found += fault(nodes, "errors", at, STORM_MS, STORM_PART)
+    nodes, found, at = [node.node for node in model.nodes], [], 4_000.0
+    while at < model.crowd.seconds * 1000:
+        found += temporary_fault(nodes, "errors", at, STORM_MS, STORM_PART)
         at += STORM_EACH_MS
     return found
 
@@ -33,17 +33,17 @@
     """See the module."""
     settle_ms = 9_000.0                # a planner waits out a lease, a margin and a window before it grants anything
 
-    def __init__(self, plant: Plant, script: list[Trouble], kills: int, *given, **named):
-        super().__init__(plant, script, kills // KILLS_LEFT_OUT, *given, **named)
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], kills: int, *given, **named):
+        super().__init__(model, script, kills // KILLS_LEFT_OUT, *given, **named)
         self.planner_more = f'(budget "{NAME}" (whole {WHOLE}) (window-ms {WINDOW_MS:g}))'
         self.shown, self.issuer = {}, ""
 
     def write_limits(self) -> None:
-        for number in range(self.plant.directors):
+        for number in range(self.model.directors):
             with open(self.limits(number), "w") as stream:
                 stream.write(TEXT)
 
-    def house_text(self, number: int) -> str:
+    def director_file_text(self, number: int) -> str:
         """It names the store whose planners it takes grants of."""
         if not self.issuer:
             db = apsw.Connection(self.file("planner.store"), flags=apsw.SQLITE_OPEN_READONLY)
@@ -51,7 +51,7 @@
             (identity,), = db.execute("SELECT value FROM facts WHERE name = 'identity'")
             db.close()
             self.issuer = f"{identity:014x}"
-        return super().house_text(number).replace("(bounds", f'(issuer "{self.issuer}")\n (bounds', 1)
+        return super().director_file_text(number).replace("(bounds", f'(issuer "{self.issuer}")\n (bounds', 1)
 
     def switch(self) -> None:
         """The file stays as it is."""
--- a/laddergw/lab/days.py
+++ b/laddergw/lab/days.py
@@ -7,8 +7,8 @@
 from typing import Callable, NamedTuple
 
 from laddergw.lab.node_stand_in import NodeFacts
-from laddergw.lab.plant import Plant, Ware
-from laddergw.lab.script import Trouble, fault
+from laddergw.lab.deployment_model import DeploymentModel, ProductModel
+from laddergw.lab.script import FaultEvent, temporary_fault
 from laddergw.lab.viewers_stand_in import Audience, Crowd
 
 REPEATS = {"safe": "safe", "pure": "safe", "keyed": "keyed", "token": "keyed", "unsafe": "paid", "side_effect": "paid"}
@@ -17,14 +17,14 @@
 COPIES = 3                 # cells that hold a title: the least of the bench; its own draw by title is not in the file
 
 
-class Unreadable(Exception):
+class InvalidDayFile(Exception):
     """A day's file that cannot be played; the text says where."""
 
 
 class Mapped(NamedTuple):
     """A day as a rehearsal."""
-    plant: Plant
-    script: list[Trouble]
+    model: DeploymentModel
+    script: list[FaultEvent]
     said: list[str]
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, day: dict, speed: float):
         self.day, self.speed, self.said = day, speed, []
-        self.script: list[Trouble] = []
+        self.script: list[FaultEvent] = []
         self.bursts, self.hot = [], []
 
     def ms(self, us: float) -> float:
@@ -48,7 +48,7 @@
 
 def crash(d: Day, t: dict, how: str = "die") -> None:
     for node in d.nodes(t):
-        d.script += [Trouble(d.ms(t["at"]), how, node), Trouble(d.ms(t["at"] + t["len"]), "return", node)]
+        d.script += [FaultEvent(d.ms(t["at"]), how, node), FaultEvent(d.ms(t["at"] + t["len"]), "return", node)]
 
 
 def vanish(d: Day, t: dict) -> None:
@@ -56,15 +56,15 @@
 
 
 def slow(d: Day, t: dict) -> None:
-    d.script += fault(d.nodes(t), "sag", d.ms(t["at"]), d.ms(t["len"]), 1 / max(t["size"], 1.0))
+    d.script += temporary_fault(d.nodes(t), "sag", d.ms(t["at"]), d.ms(t["len"]), 1 / max(t["size"], 1.0))
 
 
 def hang(d: Day, t: dict) -> None:
-    d.script += [Trouble(d.ms(t["at"]), "still", node, d.ms(t["len"])) for node in d.nodes(t)]
+    d.script += [FaultEvent(d.ms(t["at"]), "still", node, d.ms(t["len"])) for node in d.nodes(t)]
 
 
 def fast_errors(d: Day, t: dict) -> None:
-    d.script += fault(d.nodes(t), "errors", d.ms(t["at"]), d.ms(t["len"]), t["size"])
+    d.script += temporary_fault(d.nodes(t), "errors", d.ms(t["at"]), d.ms(t["len"]), t["size"])
 
 
 def burst(d: Day, t: dict) -> None:
@@ -78,28 +78,28 @@
 def deploy(d: Day, t: dict) -> None:
     for step in t["steps"]:
         for index in step["stop"]:
-            d.script.append(Trouble(d.ms(step["at"]), "replace", RACK_BASE + index, d.ms(t["extra"] * 1e6)))
+            d.script.append(FaultEvent(d.ms(step["at"]), "replace", RACK_BASE + index, d.ms(t["extra"] * 1e6)))
 
 
 def preempt(d: Day, t: dict) -> None:
     for step in t["steps"]:
         for index in step["stop"]:
             at, warning = d.ms(step["at"]), max(1.0, d.ms(t["size"] * 1e6))
-            d.script += [Trouble(at, "withdraw", RACK_BASE + index, warning),
-                         Trouble(at + warning + d.ms(t["extra"] * 1e6), "succeed", RACK_BASE + index)]
+            d.script += [FaultEvent(at, "withdraw", RACK_BASE + index, warning),
+                         FaultEvent(at + warning + d.ms(t["extra"] * 1e6), "succeed", RACK_BASE + index)]
 
 
 def discovery_down(d: Day, t: dict) -> None:
-    d.script += [Trouble(d.ms(t["at"]), "list-out"), Trouble(d.ms(t["at"] + t["len"]), "list-back")]
+    d.script += [FaultEvent(d.ms(t["at"]), "list-out"), FaultEvent(d.ms(t["at"] + t["len"]), "list-back")]
 
 
 def discovery_stale(d: Day, t: dict) -> None:
-    d.script += [Trouble(d.ms(t["at"]), "list-lag", 0, d.ms(t["size"] * 1e6)), Trouble(d.ms(t["at"] + t["len"]), "list-lag", 0, 0.0)]
+    d.script += [FaultEvent(d.ms(t["at"]), "list-lag", 0, d.ms(t["size"] * 1e6)), FaultEvent(d.ms(t["at"] + t["len"]), "list-lag", 0, 0.0)]
 
 
 def balancer_crash(d: Day, t: dict) -> None:
     for director in t["on"]:
-        d.script += [Trouble(d.ms(t["at"]), "kill", director), Trouble(d.ms(t["at"] + t["len"]), "start", director)]
+        d.script += [FaultEvent(d.ms(t["at"]), "kill", director), FaultEvent(d.ms(t["at"] + t["len"]), "start", director)]
 
 
 def balancer_stall(d: Day, t: dict) -> None:
@@ -108,7 +108,7 @@
     for place, director in enumerate(t["on"]):
         start = t["at"] / 1e6 + (period * place / max(1, len(t["on"])) if t.get("how") == "apart" else 0.0)
         while start < (t["at"] + t["len"]) / 1e6:
-            d.script.append(Trouble(d.ms(start * 1e6), "freeze", director, t["size"]))
+            d.script.append(FaultEvent(d.ms(start * 1e6), "freeze", director, t["size"]))
             start += period
 
 
@@ -117,14 +117,14 @@
         for step in range(1, AGEING_STEPS + 1):
             slower = t["size"] ** (step / AGEING_STEPS)
             at = d.ms(t["at"] + t["len"] * (step - 1) / AGEING_STEPS)
-            d.script += [Trouble(at, "sag", node, 1 / slower), Trouble(at, "late", node, 80.0 * (slower - 1))]
-        d.script += [Trouble(d.ms(t["at"] + t["len"]), "die", node),
-                     Trouble(d.ms(t["at"] + t["len"] + t["extra"] * 1e6), "return", node)]
+            d.script += [FaultEvent(at, "sag", node, 1 / slower), FaultEvent(at, "late", node, 80.0 * (slower - 1))]
+        d.script += [FaultEvent(d.ms(t["at"] + t["len"]), "die", node),
+                     FaultEvent(d.ms(t["at"] + t["len"] + t["extra"] * 1e6), "return", node)]
 
 
 def answer_lost(d: Day, t: dict) -> None:
     kind = "lose" if t.get("how") == "reset" else "hush"
-    d.script += fault(d.nodes(t), kind, d.ms(t["at"]), d.ms(t["len"]), t["size"])
+    d.script += temporary_fault(d.nodes(t), kind, d.ms(t["at"]), d.ms(t["len"]), t["size"])
 
 
 HANDLERS: dict[str, Callable[[Day, dict], None]] = {handler.__name__: handler for handler in (
@@ -137,9 +137,9 @@
     try:
         day = json.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
-        raise Unreadable(f"{path}: {error}") from None
+        raise InvalidDayFile(f"{path}: {error}") from None
     if not speed > 0:
-        raise Unreadable(f"--speed {speed}: must be over 0")
+        raise InvalidDayFile(f"--speed {speed}: must be over 0")
     d = Day(day, speed)
     try:
         for trouble in day["troubles"]:
@@ -148,26 +148,26 @@
                 d.said.append(f"not played: trouble {trouble['kind']!r} at {trouble['at'] / 1e6:.1f} s has no handler")
             else:
                 handler(d, trouble)
-        plant = plant_of(d, seed)
+        model = deployment_of(d, seed)
     except (KeyError, IndexError, TypeError) as error:
-        raise Unreadable(f"{path}: not a day of this form: {type(error).__name__}: {error}") from None
-    d.said += notes_on(d, plant)
-    return Mapped(plant, sorted(d.script, key=lambda t: t.at), d.said)
+        raise InvalidDayFile(f"{path}: not a day of this form: {type(error).__name__}: {error}") from None
+    d.said += notes_on(d, model)
+    return Mapped(model, sorted(d.script, key=lambda t: t.at), d.said)
 
 
-def notes_on(d: Day, plant: Plant) -> list[str]:
+def notes_on(d: Day, model: DeploymentModel) -> list[str]:
     said = ["played otherwise than on the bench: set-up work is uniform, titles' holders are "
             f"{COPIES} cells each, loads told are exact, plays under way at the start and moves are left out"]
     if d.speed != 1.0:
         said.append(f"time compressed {d.speed:g} times: arrivals {d.speed:g} times as dense, plays and troubles as much shorter; "
                     "time limits, leases and warm-up are not compressed")
-    said.append(f"day {d.day.get('site', '?')} {d.day.get('kind', '')}: {plant.directors} directors, {len(plant.nodes)} nodes, "
-                f"{plant.crowd.rate:.1f} plays a second for {plant.crowd.seconds:.0f} s, "
+    said.append(f"day {d.day.get('site', '?')} {d.day.get('kind', '')}: {model.directors} directors, {len(model.nodes)} nodes, "
+                f"{model.crowd.rate:.1f} plays a second for {model.crowd.seconds:.0f} s, "
                 f"troubles {', '.join(t['kind'] for t in d.day['troubles']) or 'none'}")
     return said
 
 
-def plant_of(d: Day, seed: int) -> Plant:
+def deployment_of(d: Day, seed: int) -> DeploymentModel:
     """The day's fleet, products and viewers."""
     day, fam, tier = d.day, d.day["fam"], d.day["tiers"][0]
     kinds, cells, racks = tier["kinds"], fam["cells"], fam["racks"]
@@ -183,7 +183,7 @@
                   2 + int(clients["retries"]), (max(back, 50.0), max(back, 50.0) + fam["rejoin_us"] / 1000),
                   tuple((at / d.speed, times) for at, times in traffic["shape"]) or ((0.0, 1.0),), tuple(d.bursts), tuple(d.hot))
     budget = day.get("budget")
-    return Plant(
+    return DeploymentModel(
         seed, len([b for b in day["balancers"] if b["tier"] == 0]), nodes, racks, sum(fam["uplink_kb"]) / len(fam["uplink_kb"]), wares,
         crowd, tuple(fam["rates"]), tuple(fam["worth"]), cells, fam["core_kb"],
         tuple(max(1, int(kind["cores"] * fam["core_slots"])) for kind in kinds), tier["stated_cold_from"], tier["stated_cold"] / 1000,
@@ -201,8 +201,8 @@
         fall_ms=d.day["fall_for"] / 1000, guard=fam["guard"], rate_spread=fam["vary"])
 
 
-def ware(d: Day, entry: dict, use: dict, fam: dict) -> Ware:
+def ware(d: Day, entry: dict, use: dict, fam: dict) -> ProductModel:
     life = fam["life_s"] * use["life"] * 1000 / d.speed
-    return Ware(entry["name"], entry["share"], entry["worth"], REPEATS[entry["effect"]], entry["deadline"] / 1000, entry["aim"] / 1000,
+    return ProductModel(entry["name"], entry["share"], entry["worth"], REPEATS[entry["effect"]], entry["deadline"] / 1000, entry["aim"] / 1000,
                 (life * 0.4, life * 1.6), use["floor"], use["seats"], use["scale"], entry["window"] / 1000,
                 min(use["top"], len(fam["rates"]) - 1))
--- a/laddergw/lab/plant.py
+++ b/laddergw/lab/deployment_model.py
@@ -7,10 +7,10 @@
 from laddergw.lab.viewers_stand_in import Audience, Crowd
 
 
-LEAST_STREAMS = 24         # of a node: two cores that run five plays at the middle rate each, two and a half times as many streams at most
+MIN_STREAMS = 24         # of a node: two cores that run five plays at the middle rate each, two and a half times as many streams at most
 
 
-class Ware(NamedTuple):
+class ProductModel(NamedTuple):
     """One product as a rehearsal offers it. Times ms."""
     name: str
     share: float
@@ -26,14 +26,14 @@
     top: int | None = None                # highest rung; None: the ladder's
 
 
-class Plant(NamedTuple):
+class DeploymentModel(NamedTuple):
     """All that a rehearsal is made of, but for its troubles."""
     seed: int
     directors: int
     nodes: tuple[NodeFacts, ...]
     racks: int
     rack_kb: float
-    wares: tuple[Ware, ...]
+    wares: tuple[ProductModel, ...]
     crowd: Crowd
     ladder: tuple[float, ...]
     worth: tuple[float, ...]
@@ -52,7 +52,7 @@
     silent_lag_ms: tuple[float, float]            # until the list knows of a node that went without a word
     finish_ms: float = 4_000.0
 
-    def house(self, number: int, address: tuple, lists: tuple, seed: int) -> str:
+    def director_file(self, number: int, address: tuple, lists: tuple, seed: int) -> str:
         """The file of one director."""
         wares = "\n".join(
             f'   (product "{w.name}" (importance {w.importance:g}) (repeat {w.repeat}) (floor {w.floor}) (seats {w.seats})'
@@ -77,36 +77,36 @@
     return crc32(repr((seed,) + what).encode()) / 2 ** 32
 
 
-def between(seed: int, low: float, high: float, *what) -> float:
+def draw_between(seed: int, low: float, high: float, *what) -> float:
     return low + (high - low) * draw(seed, *what)
 
 
-WARES = (
-    Ware("hearing", 0.30, 3.0, "safe", 4_000, 1_500, (6_000, 20_000)),
-    Ware("survey-clip", 0.25, 1.0, "safe", 3_000, 1_000, (4_000, 14_000), scale=0.7),
-    Ware("permit-notice", 0.20, 2.0, "paid", 4_000, 1_000, (4_000, 14_000), floor=1),
-    Ware("oral-history", 0.15, 1.0, "keyed", 3_500, 1_500, (6_000, 20_000), key_ms=5_000),
-    Ware("reading-room", 0.10, 1.0, "safe", 3_000, 1_500, (6_000, 16_000), seats=3),
+DEFAULT_PRODUCTS = (
+    ProductModel("hearing", 0.30, 3.0, "safe", 4_000, 1_500, (6_000, 20_000)),
+    ProductModel("survey-clip", 0.25, 1.0, "safe", 3_000, 1_000, (4_000, 14_000), scale=0.7),
+    ProductModel("permit-notice", 0.20, 2.0, "paid", 4_000, 1_000, (4_000, 14_000), floor=1),
+    ProductModel("oral-history", 0.15, 1.0, "keyed", 3_500, 1_500, (6_000, 20_000), key_ms=5_000),
+    ProductModel("reading-room", 0.10, 1.0, "safe", 3_000, 1_500, (6_000, 16_000), seats=3),
 )
 
 
-def plant(seed: int, directors: int = 4, nodes: int = 24, rate: float = 24.0, seconds: float = 60.0, load: float = 0.75,
-          racks: int = 4, cells: int = 8, wares: tuple[Ware, ...] = WARES) -> Plant:
+def build_deployment(seed: int, directors: int = 4, nodes: int = 24, rate: float = 24.0, seconds: float = 60.0, load: float = 0.75,
+          racks: int = 4, cells: int = 8, wares: tuple[ProductModel, ...] = DEFAULT_PRODUCTS) -> DeploymentModel:
     """A plant whose links are filled to `load` by plays at the middle rate; the rest is drawn from ranges."""
-    middle = between(seed, 400, 900, "middle")
+    middle = draw_between(seed, 400, 900, "middle")
     ladder = tuple(round(middle * 0.3 * (10 ** (rung / 4)), 1) for rung in range(5))
     mean_length = sum(w.share * sum(w.length_ms) / 2 for w in wares) / 1000
     mean_rate = middle * sum(w.share * w.scale for w in wares)
     link_unit = rate * mean_length * mean_rate / load / nodes
-    streams = (max(LEAST_STREAMS, math.ceil(rate * mean_length / load / nodes * 2.5)),)
-    cold_from, warm = between(seed, 0.4, 0.6, "cold"), between(seed, 5_000, 12_000, "warm")
+    streams = (max(MIN_STREAMS, math.ceil(rate * mean_length / load / nodes * 2.5)),)
+    cold_from, warm = draw_between(seed, 0.4, 0.6, "cold"), draw_between(seed, 5_000, 12_000, "warm")
     facts = tuple(NodeFacts(
-        node=1_000 + index, cell=index % cells, kind=0, weight=1.0, link_kb=link_unit * between(seed, 0.85, 1.15, "link", index),
+        node=1_000 + index, cell=index % cells, kind=0, weight=1.0, link_kb=link_unit * draw_between(seed, 0.85, 1.15, "link", index),
         streams=streams[0], work_ms=(40.0, 120.0), cold_from=cold_from, warm_ms=warm, fall_multiple=2.0, fall_ms=1_000.0,
         guard=1.2, rate_spread=0.15) for index in range(nodes))
     audiences = tuple(Audience(w.name, w.share, w.wait_ms, w.aim_ms, w.length_ms, w.importance, w.repeat == "paid", False) for w in wares)
     crowd = Crowd(rate, seconds, audiences, titles=60, cells=cells, copies=3 if cells > 3 else cells, rungs=len(ladder), small=0.2,
                   impatient=0.03, fickle=0.03, returns=0.88, tries=4, again_ms=(300.0, 2_000.0))
-    return Plant(seed, directors, facts, racks, link_unit * nodes / racks * 0.9, wares, crowd, ladder, (0.25, 0.45, 0.65, 0.85, 1.0),
+    return DeploymentModel(seed, directors, facts, racks, link_unit * nodes / racks * 0.9, wares, crowd, ladder, (0.25, 0.45, 0.65, 0.85, 1.0),
                  cells, link_unit, streams, cold_from, warm, 2.0, 1_000.0, 250.0, 3, (10.0, 0.2, 10_000.0), 700.0,
                  (300.0, 1_500.0), (3_000.0, 6_000.0))
--- a/laddergw/lab/experiment.py
+++ b/laddergw/lab/experiment.py
@@ -58,11 +58,11 @@
 
 def read_file(path: str) -> Experiment:
     """Raises FileRejected with every fault."""
-    from laddergw.lab import daybook
+    from laddergw.lab import scenario_file
     faults = Faults()
     top = FormReader(parse_single_form(read_text(path), os.path.basename(path), "experiment"), faults)
     names = [item.value for item in top.form.rest if hasattr(item, "value")]
-    known = daybook.book()
+    known = scenario_file.named_days()
     days = tuple(map(str, top.words("days") or ()))
     for day in days:
         if day not in known:
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -13,11 +13,11 @@
 from laddergw.lab.apart_processes import PLANNERS, ApartProcesses
 from laddergw.lab.fleet_check import Tally
 from laddergw.lab.fleet_stage import BACK_MS, BOTH_DIE, STOP_MS, STOPS, WANTS_FROM
-from laddergw.lab.line_script import LineFault, schedule
+from laddergw.lab.network_fault_script import LinkFault, schedule
 from laddergw.lab.limits import broken, sound
-from laddergw.lab.lines import Lines
-from laddergw.lab.plant import Plant, between
-from laddergw.lab.script import Trouble
+from laddergw.lab.network_faults import FaultyNetwork
+from laddergw.lab.deployment_model import DeploymentModel, draw_between
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_processes import HOST
 from laddergw.lab.viewers_stand_in import LIMITS
 from laddergw.lab.wanting import BAD_EACH, SOAK_MS, TEXTS, WANT_MS
@@ -37,28 +37,28 @@
 class FleetProcesses(ApartProcesses):
     """See the module."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], kills: int, folder: str | None = None, level: str = "warning",
-                 faults: list[LineFault] | None = None):
-        super().__init__(plant, script, kills, folder, level)
-        self.lines = Lines(self.loop, self.record, plant.seed)
-        self.read_house = director_files.read(plant.house(0, (HOST, 1), (HOST, 1), plant.seed))
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], kills: int, folder: str | None = None, level: str = "warning",
+                 faults: list[LinkFault] | None = None):
+        super().__init__(model, script, kills, folder, level)
+        self.lines = FaultyNetwork(self.loop, self.record, model.seed)
+        self.read_house = director_files.read(model.director_file(0, (HOST, 1), (HOST, 1), model.seed))
         self.switches, self.wants, self.wanting, self.verdict, self.facts = 0, 0, False, ["the judge was never asked"], {}
-        ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(PLANNERS)]
-        self.faults = schedule(plant.seed, *ends, plant.crowd.seconds * 1000) if faults is None else faults
+        ends = [f"d{n}" for n in range(model.directors)], [f"p{n}" for n in range(PLANNERS)]
+        self.faults = schedule(model.seed, *ends, model.crowd.seconds * 1000) if faults is None else faults
         self.write_limits()
 
     def write_limits(self) -> None:
         """By hand, at each edge."""
-        text = sound(self.plant.seed, self.switches % 4, self.read_house).encode()
-        for number in range(self.plant.directors):
+        text = sound(self.model.seed, self.switches % 4, self.read_house).encode()
+        for number in range(self.model.directors):
             replace_file(self.limits(number), text)
 
     def limits(self, number: int) -> str:
         return self.file(f"limits.{number}.terms")
 
-    def house_text(self, number: int) -> str:
+    def director_file_text(self, number: int) -> str:
         """Its planners are reached through lines of ours."""
-        text = super().house_text(number).replace("(bounds", f"(without-planner {'closed' if number % 2 else 'open'})\n (bounds", 1)
+        text = super().director_file_text(number).replace("(bounds", f"(without-planner {'closed' if number % 2 else 'open'})\n (bounds", 1)
         for planner, (host, port) in self.places.items():
             ends = f"d{number}", f"p{planner}"
             line = self.lines.by_ends.get(ends) or self.lines.line(*ends, (HOST, 0), lambda planner=planner: self.places[planner])
@@ -68,21 +68,21 @@
     def director_command(self, file: str, source: str) -> list[str]:
         return super().director_command(file, source) + ["--limits", self.limits(int(source[1:].partition(".")[0]))]
 
-    def let_them_come(self) -> None:
-        super().let_them_come()
-        seconds = self.plant.crowd.seconds * 1000
+    def start_viewers(self) -> None:
+        super().start_viewers()
+        seconds = self.model.crowd.seconds * 1000
         for fault in self.faults:
             self.loop.call_later(fault.at, lambda fault=fault: self.strike(fault))
         for moment in range(BOTH_DIE):
-            at = between(self.plant.seed, 0, seconds, "both", moment)
+            at = draw_between(self.model.seed, 0, seconds, "both", moment)
             for planner in range(PLANNERS):
                 self.loop.call_later(at, lambda planner=planner: self.kill_planner(planner))
         for stop in range(STOPS):
-            self.loop.call_later(between(self.plant.seed, 0, seconds, "stop", stop), lambda stop=stop: self.stop_planner(stop))
+            self.loop.call_later(draw_between(self.model.seed, 0, seconds, "stop", stop), lambda stop=stop: self.stop_planner(stop))
         self.loop.call_later(SWITCH_MS, self.switch)
         self.loop.call_later(WANTS_FROM * seconds, self.want)
 
-    def strike(self, fault: LineFault) -> None:
+    def strike(self, fault: LinkFault) -> None:
         line = self.lines.by_ends.get((fault.source, fault.target))
         if line is not None and not self.ending:
             line.fault(fault.what, fault.value)
@@ -94,7 +94,7 @@
             return
         child.send_signal(signal.SIGSTOP)
         self.record("planner stopped", self.loop.now, number=stop % PLANNERS)
-        self.loop.call_later(between(self.plant.seed, *STOP_MS, "stopped", stop), lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
+        self.loop.call_later(draw_between(self.model.seed, *STOP_MS, "stopped", stop), lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
 
     def switch(self) -> None:
         if not self.ending and not self.wanting:
@@ -109,7 +109,7 @@
             return
         number = self.wants = self.wants + 1
         bad = number % BAD_EACH == 0
-        data = (broken if bad else lambda *given: sound(*given, self.read_house))(self.plant.seed, number if bad else number % TEXTS).encode()
+        data = (broken if bad else lambda *given: sound(*given, self.read_house))(self.model.seed, number if bad else number % TEXTS).encode()
         name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(load(data, "wanted", self.read_house).limits)).hash
         for planner in self.places:
             self.asking(planner, wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS}), lambda found: None)
@@ -125,7 +125,7 @@
         settled = self.loop.now + BACK_MS
         self.wait(lambda: self.loop.now >= settled, BACK_MS + 1_000, "all come back")
         tallies = {}
-        for number in sorted(self.conductor.directors_up):
+        for number in sorted(self.scenario.directors_up):
             said = self.fetch(number, "POST", "/v1/audit", b"{}")
             tallies[json.loads(said)["process"]] = self.tally(self.fetch(number, "GET", "/metrics", b"").decode())
         asked = {planner: found for planner in self.places if (found := self.ask(planner, wire.Ask("verify"))) and found["kept"]}
@@ -137,7 +137,7 @@
         while rollout.get("state") == "going" and self.loop.now < latest:
             rollout = self.ask(leader, wire.Ask("stragglers", "limits"))
         on = {}
-        for number in sorted(self.conductor.directors_up):
+        for number in sorted(self.scenario.directors_up):
             said = json.loads(self.fetch(number, "POST", "/v1/audit", b"{}"))
             on[said["process"]] = next(one["hash"] for one in said["versions"] if one["kind"] == versions.LIMITS)
         rows = [tuple(row) for row in self.ask(leader, wire.Ask("counts"))["counts"]]
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -15,10 +15,10 @@
 from laddergw.lab.apart import PORT, TWO, ApartStage
 from laddergw.lab.fleet_check import Tally
 from laddergw.lab.limits import sound
-from laddergw.lab.line_script import LineFault, schedule
-from laddergw.lab.lines import Lines
-from laddergw.lab.plant import Plant, between
-from laddergw.lab.script import Trouble
+from laddergw.lab.network_fault_script import LinkFault, schedule
+from laddergw.lab.network_faults import FaultyNetwork
+from laddergw.lab.deployment_model import DeploymentModel, draw_between
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.lab.wanting import Wanting
 from laddergw.planner.planner_client import PlannerClient
@@ -75,14 +75,14 @@
 class FleetStage(ApartStage):
     """See the module."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], kills: int = 6, director_class=Tallied, faults: list[LineFault] | None = None):
-        super().__init__(plant, script, TWO, kills, director_class=director_class)
-        self.lines = Lines(self.world.host("relay"), self.record, plant.seed)
-        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], kills: int = 6, director_class=Tallied, faults: list[LinkFault] | None = None):
+        super().__init__(model, script, TWO, kills, director_class=director_class)
+        self.lines = FaultyNetwork(self.world.host("relay"), self.record, model.seed)
+        self.house = director_files.read(model.director_file(0, ("d0", 1), ("list", 1), model.seed))
         self.tallies: dict[str, Tally] = {}
         self.switches = 0
-        ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(TWO)]
-        self.faults = schedule(plant.seed, *ends, plant.crowd.seconds * 1000) if faults is None else faults
+        ends = [f"d{n}" for n in range(model.directors)], [f"p{n}" for n in range(TWO)]
+        self.faults = schedule(model.seed, *ends, model.crowd.seconds * 1000) if faults is None else faults
         self.verdict: list = ["the judge was never asked"]
         self.facts: dict[str, int] = {}
         self.wanting = Wanting(self)
@@ -111,16 +111,16 @@
 
     def run(self) -> list[tuple]:
         start = self.world.now + 3_000
-        self.wanting.begin(start + WANTS_FROM * self.plant.crowd.seconds * 1000)
+        self.wanting.begin(start + WANTS_FROM * self.model.crowd.seconds * 1000)
         for fault in self.faults:
             self.loop.call_at(start + fault.at, lambda fault=fault: self.strike(fault))
         self.loop.call_at(start, self.switch)
         for moment in range(BOTH_DIE):
-            at = start + between(self.plant.seed, 0, self.plant.crowd.seconds * 1000, "both", moment)
+            at = start + draw_between(self.model.seed, 0, self.model.crowd.seconds * 1000, "both", moment)
             for planner in range(self.count):
                 self.loop.call_at(at + planner, lambda planner=planner: self.done or self.kill_planner(planner))
         for stop in range(STOPS):
-            at = start + between(self.plant.seed, 0, self.plant.crowd.seconds * 1000, "stop", stop)
+            at = start + draw_between(self.model.seed, 0, self.model.crowd.seconds * 1000, "stop", stop)
             self.loop.call_at(at, lambda stop=stop: self.stop_planner(stop))
         return super().run()
 
@@ -128,9 +128,9 @@
         host = self.world.hosts[f"p{stop % self.count}"]
         if host.alive and not self.done:
             self.record("planner stopped", self.world.now, number=stop % self.count)
-            host.freeze(between(self.plant.seed, *STOP_MS, "stopped", stop))
+            host.freeze(draw_between(self.model.seed, *STOP_MS, "stopped", stop))
 
-    def strike(self, fault: LineFault) -> None:
+    def strike(self, fault: LinkFault) -> None:
         line = self.lines.by_ends.get((fault.source, fault.target))
         if line is None or self.done:
             return
@@ -146,10 +146,10 @@
         if self.done or self.wanting.on:
             return
         self.switches += 1
-        text = sound(self.plant.seed, self.switches % 4, self.house)     # (of four, so that versions come back)
+        text = sound(self.model.seed, self.switches % 4, self.house)     # (of four, so that versions come back)
         loaded = load(text.encode(), f"version-{self.switches % 4}", self.house)
         for number, director in self.directors.items():
-            host, wait = self.world.hosts[f"d{number}"], between(self.plant.seed, 0, SPREAD_MS, "spread", number, self.switches)
+            host, wait = self.world.hosts[f"d{number}"], draw_between(self.model.seed, 0, SPREAD_MS, "spread", number, self.switches)
             self.loop.call_at(self.world.now + wait, lambda host=host, director=director: host.alive and host.running
                          and host.deliver_at(self.world.now, lambda: director.change_limits(loaded.limits)))
         self.loop.call_at(self.world.now + SWITCH_MS, self.switch)
--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -7,8 +7,8 @@
 
 from laddergw.terms import director_file as director_files
 from laddergw.terms.director_file import DirectorFile
-from laddergw.lab.plant import Plant, between, draw
-from laddergw.lab.script import Trouble
+from laddergw.lab.deployment_model import DeploymentModel, draw_between, draw
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.lab.stage_processes import ProcessStage
 from laddergw.lab.viewers_stand_in import ROUTES
@@ -39,7 +39,7 @@
 def drawn(seed: int, number, names: tuple[str, ...]) -> str:
     """Any text that makes sense at first sight: set-ups of 300 to 1,500 ms, releases long and short, pauses, attempts, routes, budgets."""
     def pick(low: float, high: float, *what) -> int:
-        return round(between(seed, low, high, number, *what))
+        return round(draw_between(seed, low, high, number, *what))
 
     def row(what: str) -> str:
         part = lambda key, text, chance: text if draw(seed, number, what, key) < chance else ""
@@ -53,8 +53,8 @@
             part("tries", f"(viewer-tries {pick(2, 10, what, 'tries')})", 0.2))))
 
     def budget(what: str) -> str:
-        return f"(budget (free {pick(0, 10, what, 'free')}) (share {between(seed, 0, 0.2, number, what, 'share'):.2f}) (window-ms {pick(2_000, 20_000, what, 'window')}))"
-    lines = [f" (cold-pace {between(seed, 0.3, 1.3, number, 'cold'):.2f})" if draw(seed, number, "cold?") < 0.5 else "",
+        return f"(budget (free {pick(0, 10, what, 'free')}) (share {draw_between(seed, 0, 0.2, number, what, 'share'):.2f}) (window-ms {pick(2_000, 20_000, what, 'window')}))"
+    lines = [f" (cold-pace {draw_between(seed, 0.3, 1.3, number, 'cold'):.2f})" if draw(seed, number, "cold?") < 0.5 else "",
              f" (answer-margin-ms {pick(5, 80, 'margin')})" if draw(seed, number, "margin?") < 0.4 else "", f" (defaults {row('defaults')})",
              f' (tenant "basin" {budget("basin")})']
     lines += [f' (product "{name}" {row(name)})' for name in names if draw(seed, number, "product", name) < 0.4]
@@ -77,9 +77,9 @@
 class MemoryLimits(MemoryStage):
     """In memory: each version is loaded at every director at one moment."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], **more):
-        super().__init__(plant, script, **more)
-        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], **more):
+        super().__init__(model, script, **more)
+        self.house = director_files.read(model.director_file(0, ("d0", 1), ("list", 1), model.seed))
         self.numbers = 0
         self.loop.call_later(EVERY_MS, self.switch)
 
@@ -87,7 +87,7 @@
         if self.done:
             return
         self.numbers += 1
-        text, _ = version(self.plant.seed, self.numbers, self.house)
+        text, _ = version(self.model.seed, self.numbers, self.house)
         loaded = load(text.encode(), f"version-{self.numbers}", self.house)
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
@@ -100,18 +100,18 @@
 class ProcessLimits(ProcessStage):
     """As processes: versions are written to a file that all directors watch."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], folder: str | None = None, level: str = "warning"):
-        super().__init__(plant, script, folder, level)
-        self.house = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], folder: str | None = None, level: str = "warning"):
+        super().__init__(model, script, folder, level)
+        self.house = director_files.read(model.director_file(0, ("127.0.0.1", 1), ("127.0.0.1", 1), model.seed))
         self.limits, self.numbers = self.file("limits.terms"), 0
-        self.write(sound(plant.seed, 0, self.house))
+        self.write(sound(model.seed, 0, self.house))
 
     def director_command(self, file: str, source: str) -> list[str]:
         return super().director_command(file, source) + ["--limits", self.limits]
 
-    def let_them_come(self) -> None:
+    def start_viewers(self) -> None:
         """Versions change once all directors run: each has a good one by then."""
-        super().let_them_come()
+        super().start_viewers()
         self.loop.call_later(EVERY_MS, self.switch)
 
     def write(self, text: str) -> None:
@@ -124,8 +124,8 @@
         if self.ending:
             return
         self.numbers += 1
-        text, _ = version(self.plant.seed, self.numbers, self.house)
-        how = draw(self.plant.seed, "how", self.numbers)
+        text, _ = version(self.model.seed, self.numbers, self.house)
+        how = draw(self.model.seed, "how", self.numbers)
         if how < 0.5:
             self.write(text)
         else:
@@ -165,7 +165,7 @@
     return found
 
 
-def stage_for(plant: Plant, script: list[Trouble], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
-    return MemoryLimits(plant, script) if memory else ProcessLimits(plant, script, folder, level)
+def stage_for(model: DeploymentModel, script: list[FaultEvent], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
+    return MemoryLimits(model, script) if memory else ProcessLimits(model, script, folder, level)
 
 
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -9,8 +9,8 @@
 
 from laddergw.terms import director_file as director_files
 from laddergw.lab import limits
-from laddergw.lab.plant import Plant, draw
-from laddergw.lab.script import Trouble
+from laddergw.lab.deployment_model import DeploymentModel, draw
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_memory import PORT, MemoryStage
 from laddergw.lab.stage_processes import ProcessStage
 
@@ -21,25 +21,25 @@
 FAULTS = ('(told-by probe', '(told-by guess)', '(join 7)', '(ladder 300 200)', '(probes yes) (probes no)')
 
 
-def file_of(plant: Plant, text: str, shape: str, turn: int, peers: dict) -> str:
+def file_of(model: DeploymentModel, text: str, shape: str, turn: int, peers: dict) -> str:
     """A director's file in one of the shapes, from its old text."""
     if shape == OLD:
         return text
     lines = "".join(f' (peer {number} "{host}" {port})' for number, (host, port) in sorted(peers.items()))
     text = text.replace("(bounds", f"{lines} (bounds", 1)
-    text = text.replace(f"(racks {plant.racks})", f"(racks {plant.racks + 1})", 1).replace("(reports x0 x1)", f"(reports x0 x1) {NEW_KEYS}", 1)
-    text = text.replace(f'"{plant.wares[0].name}" ', f'"{plant.wares[0].name}" (live yes) ', 1)
-    ladder = " ".join(f"{kb:g}" for kb in plant.ladder)
-    text = text.replace(ladder, " ".join(f"{kb * 1.1:g}" for kb in plant.ladder), 1)
+    text = text.replace(f"(racks {model.racks})", f"(racks {model.racks + 1})", 1).replace("(reports x0 x1)", f"(reports x0 x1) {NEW_KEYS}", 1)
+    text = text.replace(f'"{model.wares[0].name}" ', f'"{model.wares[0].name}" (live yes) ', 1)
+    ladder = " ".join(f"{kb:g}" for kb in model.ladder)
+    text = text.replace(ladder, " ".join(f"{kb * 1.1:g}" for kb in model.ladder), 1)
     if shape == BROKEN:
-        fault = FAULTS[int(draw(plant.seed, "fault", turn) * len(FAULTS))]
+        fault = FAULTS[int(draw(model.seed, "fault", turn) * len(FAULTS))]
         text = text.replace("(told-by probe)", fault, 1)
     return text
 
 
 class Moving:
     """What both stages share: the turn of files. `put(shape, turn)` gives every director its file."""
-    plant: Plant
+    model: DeploymentModel
     numbers = 0
 
     def move(self) -> None:
@@ -47,7 +47,7 @@
             return
         shape, self.numbers = ORDER[self.numbers % len(ORDER)], self.numbers + 1
         if shape != BROKEN:
-            for node in sorted(self.conductor.up):
+            for node in sorted(self.scenario.up):
                 self.fault(node, "untold", True if shape == NEW else None)
         self.put(shape, self.numbers)
         self.record("files put", self.loop.now, shape=shape)
@@ -55,8 +55,8 @@
 
 
 class MemoryMove(Moving, MemoryStage):
-    def __init__(self, plant: Plant, script: list[Trouble], **more):
-        super().__init__(plant, script, **more)
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], **more):
+        super().__init__(model, script, **more)
         self.refused = 0
         self.loop.call_later(EVERY_MS, self.move)
 
@@ -68,8 +68,8 @@
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
-                old = self.plant.house(number, director.house.listen, director.house.lists, director.house.seed)
-                text = file_of(self.plant, old, shape, turn, peers)
+                old = self.model.director_file(number, director.house.listen, director.house.lists, director.house.seed)
+                text = file_of(self.model, old, shape, turn, peers)
                 host.deliver_at(self.world.now, lambda director=director, text=text: self.switch(director, text))
 
     def switch(self, director, text: str) -> None:
@@ -86,17 +86,17 @@
     def over(self) -> bool:
         return self.ending
 
-    def let_them_come(self) -> None:
-        super().let_them_come()
+    def start_viewers(self) -> None:
+        super().start_viewers()
         self.loop.call_later(EVERY_MS, self.move)
 
     def put(self, shape: str, turn: int) -> None:
         ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no handler yet
         for number, child in self.children.items():
             source = f"d{number}.{self.starts[number]}"
-            if child.poll() is None and number in self.conductor.directors_up and source in ready:
+            if child.poll() is None and number in self.scenario.directors_up and source in ready:
                 path = self.file(f"{source}.scm")
-                text = file_of(self.plant, self.house_text(number), shape, turn, self.addresses)
+                text = file_of(self.model, self.director_file_text(number), shape, turn, self.addresses)
                 with open(path + ".new", "w") as stream:
                     stream.write(text)
                 os.replace(path + ".new", path)
@@ -109,5 +109,5 @@
     return {"switches": count("deployment changed"), "probes": count("probed"), "dropped": limits.switched(records)["dropped"]}
 
 
-def stage_for(plant: Plant, script: list[Trouble], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
-    return MemoryMove(plant, script) if memory else ProcessMove(plant, script, folder, level)
+def stage_for(model: DeploymentModel, script: list[FaultEvent], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
+    return MemoryMove(model, script) if memory else ProcessMove(model, script, folder, level)
--- a/laddergw/lab/line_script.py
+++ b/laddergw/lab/network_fault_script.py
@@ -8,8 +8,8 @@
 import os
 from typing import NamedTuple
 
-from laddergw.lab.lines import WAYS
-from laddergw.lab.plant import between, draw
+from laddergw.lab.network_faults import WAYS
+from laddergw.lab.deployment_model import draw_between, draw
 from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
 
 FAULT_MS = (250.0, 1_100.0)        # between drawn faults, over the whole plant
@@ -17,7 +17,7 @@
 WITH_WAY, WITH_VALUE, ALONE = ("cut", "stall"), ("delay", "jitter", "rate", "reset", "late"), ("hole", "half-open", "shut")
 
 
-class LineFault(NamedTuple):
+class LinkFault(NamedTuple):
     """One fault of one line, ms from the start."""
     at: float
     source: str
@@ -27,21 +27,21 @@
     lasts: float
 
 
-def schedule(seed: int, sources: list[str], targets: list[str], ms: float) -> list[LineFault]:
+def schedule(seed: int, sources: list[str], targets: list[str], ms: float) -> list[LinkFault]:
     """Drawn faults of the lines between them, in order of time."""
     found, at, number = [], 0.0, 0
     kinds = (("cut", None), ("cut", "to"), ("cut", "back"), ("hole", None), ("stall", "to"), ("stall", "back"), ("delay", 400.0), ("jitter", 300.0),
              ("rate", 4_000.0), ("reset", 700.0), ("half-open", None), ("shut", None), ("late", 800.0))
     while at < ms:
         number += 1
-        at += between(seed, *FAULT_MS, "gap", number)
+        at += draw_between(seed, *FAULT_MS, "gap", number)
         what, value = kinds[int(draw(seed, "kind", number) * len(kinds))]
         source, target = (ends[int(draw(seed, "end", index, number) * len(ends))] for index, ends in enumerate((sources, targets)))
-        found.append(LineFault(at, source, target, what, value, between(seed, *LASTS_MS, "lasts", number)))
+        found.append(LinkFault(at, source, target, what, value, draw_between(seed, *LASTS_MS, "lasts", number)))
     return found
 
 
-def read(text: str, name: str) -> list[LineFault]:
+def read(text: str, name: str) -> list[LinkFault]:
     """A script, in order of time."""
     faults = Faults()
     top, found = FormReader(parse_single_form(text, name, "lines"), faults), []
@@ -50,20 +50,20 @@
         if what not in WITH_WAY + WITH_VALUE + ALONE:
             one.add_fault(one.form.place, "", f"no such fault; {', '.join(WITH_WAY + WITH_VALUE + ALONE)} are known")
         value = one.word("way", None, allowed=WAYS) if what in WITH_WAY else one.number("value", low=1e-3, high=1e9) if what in WITH_VALUE else None
-        found.append(LineFault(one.number("at"), one.word("from") or "", one.word("to") or "", what, value, one.number("for", low=1.0)))
+        found.append(LinkFault(one.number("at"), one.word("from") or "", one.word("to") or "", what, value, one.number("for", low=1.0)))
         one.reject_unknown_keys()
     top.reject_unknown_keys()
     faults.raise_if_any()
     return sorted(found, key=lambda fault: fault.at)
 
 
-def read_file(path: str) -> list[LineFault]:
+def read_file(path: str) -> list[LinkFault]:
     return read(read_text(path), os.path.basename(path))
 
 
-def write(script: list[LineFault]) -> str:
+def write(script: list[LinkFault]) -> str:
     """The script as text; reading it gives the same."""
-    def line(fault: LineFault) -> str:
+    def line(fault: LinkFault) -> str:
         value = "" if fault.value is None else f" (way {fault.value})" if fault.what in WITH_WAY else f" (value {fault.value!r})"
         return f"  (fault {fault.what} (at {fault.at!r}) (from {fault.source}) (to {fault.target}){value} (for {fault.lasts!r}))"
     return "(lines\n" + "\n".join(map(line, script)) + ")\n"
--- a/laddergw/lab/lines.py
+++ b/laddergw/lab/network_faults.py
@@ -12,14 +12,14 @@
 
 TO, BACK = "to", "back"    # ways: from who dialled, and from who was dialled
 WAYS = (TO, BACK)
-HELD_MOST = 262_144        # bytes of one way that wait here; past it its sender is not read any more
+MAX_QUEUED_BYTES = 262_144        # bytes of one way that wait here; past it its sender is not read any more
 DIAL_MS = 1_000.0
 
 
 class Way:
     """One way of one connection: what came waits until it is due, then goes out."""
 
-    def __init__(self, line: "Line", source: "End"):
+    def __init__(self, line: "FaultyLink", source: "End"):
         self.line, self.source, self.target = line, source, None
         self.waiting: deque[tuple[float, bytes]] = deque()
         self.held, self.free_at, self.timer, self.ended = 0, 0.0, None, False
@@ -46,7 +46,7 @@
         due = max(due, self.waiting[-1][0]) if self.waiting else due     # never out of order
         self.waiting.append((due, data))
         self.held += len(data)
-        if self.held > HELD_MOST:
+        if self.held > MAX_QUEUED_BYTES:
             self.source.stream.pause_reading()
         self.go()
 
@@ -66,7 +66,7 @@
             self.timer = line.loop.call_at(self.waiting[0][0], self.go)
         elif self.ended:
             target.stream.close()
-        if self.held <= HELD_MOST and self.source.stream is not None and not line.stalled[self.source.way]:
+        if self.held <= MAX_QUEUED_BYTES and self.source.stream is not None and not line.stalled[self.source.way]:
             self.source.stream.resume_reading()
 
 
@@ -96,7 +96,7 @@
 class Pair:
     """A connection that came, and the one dialled for it."""
 
-    def __init__(self, line: "Line"):
+    def __init__(self, line: "FaultyLink"):
         self.line, self.silent = line, False     # silent: ends are not told to the other side
         self.ends = {way: End(self, way) for way in WAYS}
         self.ways = {way: Way(line, self.ends[way]) for way in WAYS}
@@ -146,7 +146,7 @@
             self.ends[TO].stream.abort()
 
 
-class Line:
+class FaultyLink:
     """A line from one process to another. `target()`: where the other listens now; `record(what, now, **facts)` is told of each fault."""
 
     def __init__(self, loop, name: str, address: tuple[str, int], target: Callable[[], tuple[str, int]], record: Callable, seed: int = 1):
@@ -222,14 +222,14 @@
         self.each(Pair.abort)
 
 
-class Lines:
+class FaultyNetwork:
     """All lines of a plant, by who dials and who is dialled."""
 
     def __init__(self, loop, record: Callable, seed: int = 1):
         self.loop, self.record, self.seed, self.by_ends = loop, record, seed, {}
 
-    def line(self, source: str, target: str, address: tuple[str, int], where: Callable[[], tuple[str, int]]) -> Line:
-        made = self.by_ends[source, target] = Line(self.loop, f"{source}>{target}", address, where, self.record, self.seed + len(self.by_ends))
+    def line(self, source: str, target: str, address: tuple[str, int], where: Callable[[], tuple[str, int]]) -> FaultyLink:
+        made = self.by_ends[source, target] = FaultyLink(self.loop, f"{source}>{target}", address, where, self.record, self.seed + len(self.by_ends))
         return made
 
     def part(self, *groups: frozenset[str]) -> None:
--- a/laddergw/lab/one_run.py
+++ b/laddergw/lab/one_run.py
@@ -4,15 +4,15 @@
 import sys
 
 from laddergw.director.director import Director
-from laddergw.lab import audit, daybook
+from laddergw.lab import audit, scenario_file
 from laddergw.lab.apart import ApartStage
 from laddergw.terms import loading
 
 
 def play(order: dict) -> dict:
     """The measures of one day in memory, or why there are none."""
-    day = daybook.book()[order["day"]]
-    the_plant = daybook.plant_of(day, order["seed"], **order["changes"])
+    day = scenario_file.named_days()[order["day"]]
+    the_plant = scenario_file.deployment_of(day, order["seed"], **order["changes"])
     under = Director
     if order["limits"]:
         with open(order["limits"], "rb") as stream:
@@ -25,7 +25,7 @@
                     raise ValueError(loaded.texts()[0])
                 super().__init__(loop, house, limits=loaded.limits, **more)
         under = Under
-    records = ApartStage(the_plant, daybook.script_of(day, the_plant), order["planners"], director_class=under).run()
+    records = ApartStage(the_plant, scenario_file.script_of(day, the_plant), order["planners"], director_class=under).run()
     judged = audit.audit(the_plant, records)
     first = sorted(judged.first_ms)
     return {"service": judged.service["all"], "worth": audit.worth(the_plant, records), "first_ms": first[len(first) // 2] if first else 0.0, "tries": judged.tries, "plays": judged.plays,
--- a/laddergw/lab/player_stand_in.py
+++ b/laddergw/lab/player_stand_in.py
@@ -26,7 +26,7 @@
 TRIES = 120                # of one segment: a player that has nothing to show goes on asking for half a minute, then gives up
 
 
-class Wire:
+class ConnectionPools:
     """Pools by address, shared by all players."""
 
     def __init__(self, loop):
@@ -45,7 +45,7 @@
 class Player:
     """One session from its request to the last segment shown. `record(what, t, **facts)`; `over(player)` at its end."""
 
-    def __init__(self, wire: Wire, directors: dict[int, tuple], frame: dict, judge: Judge, record: Callable, over: Callable,
+    def __init__(self, wire: ConnectionPools, directors: dict[int, tuple], frame: dict, judge: Judge, record: Callable, over: Callable,
                  pause: float | None = None):
         self.wire, self.loop, self.edge, self.frame, self.judge = wire, wire.loop, ("", 0), frame, judge
         self.record, self.over = record, over
--- a/laddergw/lab/daybook.py
+++ b/laddergw/lab/scenario_file.py
@@ -14,8 +14,8 @@
 import os
 from typing import Any, Callable, NamedTuple
 
-from laddergw.lab.plant import Plant, between, draw, plant
-from laddergw.lab.script import NODE_FAULTS, Trouble, fault, pick, restart, rolling_deploy
+from laddergw.lab.deployment_model import DeploymentModel, draw_between, draw, build_deployment
+from laddergw.lab.script import NODE_FAULTS, FaultEvent, temporary_fault, draw_nodes, restart_directors, rolling_deploy
 from laddergw.terms.reading import Faults, FormReader
 from laddergw.terms.sexpr import Fault, Form, Place, FileRejected, parse
 
@@ -29,7 +29,7 @@
     high: float
 
     def drawn(self, seed: int, *what) -> float:
-        return between(seed, self.low, self.high, *what)
+        return draw_between(seed, self.low, self.high, *what)
 
 
 class Event(NamedTuple):
@@ -45,7 +45,7 @@
     """A day as it is written. `plant` and `crowd`: what differs from the usual."""
     name: str
     says: str
-    plant: dict[str, Any]
+    model: dict[str, Any]
     crowd: dict[str, Any]
     events: tuple[Event, ...]
     place: Place
@@ -73,7 +73,7 @@
     return found
 
 
-def book() -> dict[str, Day]:
+def named_days() -> dict[str, Day]:
     """The named days."""
     with open(BOOK) as stream:
         return read(stream.read(), "daybook.scm")
@@ -144,11 +144,11 @@
 
 # A day as it is played
 
-def plant_of(day: Day, seed: int, **changes) -> Plant:
+def deployment_of(day: Day, seed: int, **changes) -> DeploymentModel:
     """The day's plant for a seed; `changes` win over what the day says."""
-    told = day.plant | {key: value for key, value in changes.items() if value is not None}
+    told = day.model | {key: value for key, value in changes.items() if value is not None}
     whole = {key: int(value) if key in ("nodes", "directors", "racks", "cells") else value for key, value in told.items()}
-    made = plant(seed, **whole)
+    made = build_deployment(seed, **whole)
     crowd, given = made.crowd, day.crowd
     crowd = crowd._replace(**{key: given[key] for key in CROWD_KEYS if key in given})
     if "shape" in given:
@@ -160,61 +160,61 @@
     return made._replace(crowd=crowd)
 
 
-def script_of(day: Day, p: Plant) -> list[Trouble]:
+def script_of(day: Day, p: DeploymentModel) -> list[FaultEvent]:
     """The day's troubles for a plant, in order of time."""
-    found: list[Trouble] = []
+    found: list[FaultEvent] = []
     for index, event in enumerate(day.events):
         found += MADE[event.kind](p, event, index)
     return sorted(found)
 
 
-def ms(p: Plant, event: Event, index: int, key: str = "at", *what) -> float:
+def ms(p: DeploymentModel, event: Event, index: int, key: str = "at", *what) -> float:
     figure = event.at if key == "at" else event.more[key]
     return 1_000 * figure.drawn(p.seed, "day", index, key, *what)
 
 
-def nodes_of(p: Plant, event: Event, index: int) -> list[int]:
-    return pick(p, event.more["part"].drawn(p.seed, "part", index), "day", index, event.kind)
+def nodes_of(p: DeploymentModel, event: Event, index: int) -> list[int]:
+    return draw_nodes(p, event.more["part"].drawn(p.seed, "part", index), "day", index, event.kind)
 
 
-def directors_of(p: Plant, event: Event, index: int) -> list[int]:
+def directors_of(p: DeploymentModel, event: Event, index: int) -> list[int]:
     ranked = sorted(range(p.directors), key=lambda number: draw(p.seed, "day director", index, number))
     return ranked[:max(1, round(event.more["part"].drawn(p.seed, "part", index) * p.directors))]
 
 
-def fell(p: Plant, event: Event, index: int, kind: str) -> list[Trouble]:
+def fell(p: DeploymentModel, event: Event, index: int, kind: str) -> list[FaultEvent]:
     at, found = ms(p, event, index), []
     for node in nodes_of(p, event, index):
-        found.append(Trouble(at, kind, node))
+        found.append(FaultEvent(at, kind, node))
         if "back" in event.more:
-            found.append(Trouble(at + ms(p, event, index, "back", node), "return", node))
+            found.append(FaultEvent(at + ms(p, event, index, "back", node), "return", node))
     return found
 
 
-def faulty(p: Plant, event: Event, index: int) -> list[Trouble]:
+def faulty(p: DeploymentModel, event: Event, index: int) -> list[FaultEvent]:
     at, nodes = ms(p, event, index), nodes_of(p, event, index)
     if event.what == "still":
-        return [Trouble(at, "still", node, ms(p, event, index, "for", node)) for node in nodes]
+        return [FaultEvent(at, "still", node, ms(p, event, index, "for", node)) for node in nodes]
     value = event.more["value"].drawn(p.seed, "value", index) if "value" in event.more else VALUES[event.what]
     assert event.what in NODE_FAULTS
-    return fault(nodes, event.what, at, ms(p, event, index, "for"), value)
+    return temporary_fault(nodes, event.what, at, ms(p, event, index, "for"), value)
 
 
-def stopped(p: Plant, event: Event, index: int) -> list[Trouble]:
+def stopped(p: DeploymentModel, event: Event, index: int) -> list[FaultEvent]:
     at = ms(p, event, index)
-    return [t for number in directors_of(p, event, index) for t in (Trouble(at, "term", number), Trouble(at + p.finish_ms + 1_500, "start", number))]
+    return [t for number in directors_of(p, event, index) for t in (FaultEvent(at, "term", number), FaultEvent(at + p.finish_ms + 1_500, "start", number))]
 
 
-def lagging(p: Plant, event: Event, index: int) -> list[Trouble]:
+def lagging(p: DeploymentModel, event: Event, index: int) -> list[FaultEvent]:
     at = ms(p, event, index)
-    found = [Trouble(at, "list-lag", 0, event.more["ms"].drawn(p.seed, "lag", index))]
-    return found + ([Trouble(at + ms(p, event, index, "for"), "list-lag", 0, 0.0)] if "for" in event.more else [])
+    found = [FaultEvent(at, "list-lag", 0, event.more["ms"].drawn(p.seed, "lag", index))]
+    return found + ([FaultEvent(at + ms(p, event, index, "for"), "list-lag", 0, 0.0)] if "for" in event.more else [])
 
 
-MADE: dict[str, Callable[[Plant, Event, int], list[Trouble]]] = {
+MADE: dict[str, Callable[[DeploymentModel, Event, int], list[FaultEvent]]] = {
     "deploy": lambda p, e, k: rolling_deploy(p, ms(p, e, k), ms(p, e, k, "within"), e.more["part"].drawn(p.seed, "part", k)),
     "nodes-fault": faulty, "nodes-die": lambda p, e, k: fell(p, e, k, "die"), "nodes-vanish": lambda p, e, k: fell(p, e, k, "vanish"),
-    "directors-killed": lambda p, e, k: restart(directors_of(p, e, k), ms(p, e, k), ms(p, e, k, "away")),
-    "directors-frozen": lambda p, e, k: [Trouble(ms(p, e, k), "freeze", number, ms(p, e, k, "for", number)) for number in directors_of(p, e, k)],
+    "directors-killed": lambda p, e, k: restart_directors(directors_of(p, e, k), ms(p, e, k), ms(p, e, k, "away")),
+    "directors-frozen": lambda p, e, k: [FaultEvent(ms(p, e, k), "freeze", number, ms(p, e, k, "for", number)) for number in directors_of(p, e, k)],
     "directors-stopped": stopped,
-    "list-out": lambda p, e, k: [Trouble(ms(p, e, k), "list-out"), Trouble(ms(p, e, k) + ms(p, e, k, "for"), "list-back")], "list-lag": lagging}
+    "list-out": lambda p, e, k: [FaultEvent(ms(p, e, k), "list-out"), FaultEvent(ms(p, e, k) + ms(p, e, k, "for"), "list-back")], "list-lag": lagging}
--- a/laddergw/lab/conductor.py
+++ b/laddergw/lab/scenario_player.py
@@ -1,8 +1,8 @@
 """Plays a script on a stage: keeps what is true of the fleet, tells the list, and calls the stage at each trouble's time."""
 from typing import Any, Callable, Protocol
 
-from laddergw.lab.plant import Plant, between
-from laddergw.lab.script import NODE_FAULTS, Trouble
+from laddergw.lab.deployment_model import DeploymentModel, draw_between
+from laddergw.lab.script import NODE_FAULTS, FaultEvent
 
 LONG_AGO = None            # start of a node that runs since before the rehearsal
 SUCCESSOR = 100_000        # ids of replacements count from here
@@ -22,12 +22,12 @@
     def stop_director(self, number: int) -> None: ...
 
 
-class Conductor:
+class ScenarioPlayer:
     """See the module. Troubles that hit what is not there any more are counted in `missed`, not dropped silently."""
 
-    def __init__(self, plant: Plant, stage: Stage, script: list[Trouble], record: Callable):
-        self.plant, self.stage, self.script, self.record = plant, stage, script, record
-        self.facts = {facts.node: facts for facts in plant.nodes}
+    def __init__(self, model: DeploymentModel, stage: Stage, script: list[FaultEvent], record: Callable):
+        self.model, self.stage, self.script, self.record = model, stage, script, record
+        self.facts = {facts.node: facts for facts in model.nodes}
         self.heir = {node: node for node in self.facts}      # who stands for a node of the plant by now
         self.incarnations: dict[int, int] = {}
         self.addresses: dict[int, tuple] = {}
@@ -35,8 +35,8 @@
         self.directors_up: set[int] = set()
         self.numbers, self.missed, self.played = SUCCESSOR, 0, 0
 
-    def raise_fleet(self) -> None:
-        for facts in self.plant.nodes:
+    def start_fleet(self) -> None:
+        for facts in self.model.nodes:
             self.start(facts, False)
 
     def start(self, facts, cold: bool, port: int = 0) -> None:
@@ -49,7 +49,7 @@
             self.up.add(node)
             self.tell(node, "ready", started)
         self.facts[node] = facts
-        self.stage.start_node(facts, incarnation, cold, facts.cell % self.plant.racks, port, ready)
+        self.stage.start_node(facts, incarnation, cold, facts.cell % self.model.racks, port, ready)
 
     def tell(self, node: int, state: str, started=LONG_AGO) -> None:
         facts = self.facts[node]
@@ -57,12 +57,12 @@
             "node": node, "cell": facts.cell, "weight": facts.weight, "state": state, "incarnation": self.incarnations[node],
             "kind": facts.kind, "zone": 0, "address": list(self.addresses[node]), "started": started})
 
-    def begin(self) -> None:
+    def schedule_events(self) -> None:
         start = self.stage.loop.now
         for trouble in self.script:
-            self.stage.loop.call_at(start + trouble.at, lambda trouble=trouble: self.strike(trouble))
+            self.stage.loop.call_at(start + trouble.at, lambda trouble=trouble: self.apply_event(trouble))
 
-    def strike(self, trouble: Trouble) -> None:
+    def apply_event(self, trouble: FaultEvent) -> None:
         self.record("trouble", self.stage.loop.now, kind=trouble.kind, who=trouble.who, value=trouble.value)
         self.played += 1
         if trouble.kind in ("kill", "start", "freeze", "term"):
@@ -95,9 +95,9 @@
         """A node that died is off the list soon; one that went without a word much later."""
         self.up.discard(node)
         if how == "vanish":
-            low, high = self.plant.silent_lag_ms
+            low, high = self.model.silent_lag_ms
             incarnation = self.incarnations[node]
-            self.stage.loop.call_later(between(self.plant.seed, low, high, "silent", node),
+            self.stage.loop.call_later(draw_between(self.model.seed, low, high, "silent", node),
                                   lambda: self.incarnations[node] == incarnation and self.tell(node, "gone"))
         else:
             self.tell(node, "gone")
@@ -124,7 +124,7 @@
         self.heir[place] = self.numbers
         self.start(facts, True)
 
-    def on_director(self, trouble: Trouble) -> None:
+    def on_director(self, trouble: FaultEvent) -> None:
         number = trouble.who
         if (trouble.kind == "start") == (number in self.directors_up):
             return self.miss()
--- a/laddergw/lab/shrink.py
+++ b/laddergw/lab/shrink.py
@@ -1,18 +1,18 @@
 """Shrinks a failing day to the troubles that matter: halves, then smaller parts, are left out as long as the day still fails (delta debugging). Pure but for `fails`."""
 from typing import Callable, NamedTuple
 
-from laddergw.lab.script import Trouble
+from laddergw.lab.script import FaultEvent
 
 PAIRS = {"start": ("kill", "term"), "list-back": ("list-out",)}    # what makes sense only behind another
 
 
 class Shrunk(NamedTuple):
     """What is left, and how many days were played for it."""
-    script: list[Trouble]
+    script: list[FaultEvent]
     played: int
 
 
-def sensible(script: list[Trouble]) -> list[Trouble]:
+def prune(script: list[FaultEvent]) -> list[FaultEvent]:
     """Without what no longer follows from anything: a director's start without its end, a list that comes back without having gone."""
     seen, found = set(), []
     for trouble in script:
@@ -23,14 +23,14 @@
     return found
 
 
-def shrink(script: list, fails: Callable[[list], bool], most: int = 200, sensible: Callable[[list], list] = sensible) -> Shrunk:
-    """The least script found that still fails; the whole one where it does not. At most so many days are played. `sensible` leaves out what
+def shrink(script: list, fails: Callable[[list], bool], most: int = 200, prune: Callable[[list], list] = prune) -> Shrunk:
+    """The least script found that still fails; the whole one where it does not. At most so many days are played. `prune` leaves out what
     no longer follows from anything: of troubles by default, of other scripts as told."""
     played, parts = 0, 2
     while len(script) >= 2 and played < most:
         size, smaller = -(-len(script) // parts), None
         for start in range(0, len(script), size):
-            tried = sensible(script[:start] + script[start + size:])
+            tried = prune(script[:start] + script[start + size:])
             if len(tried) == len(script):
                 continue
             played += 1
--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -3,10 +3,10 @@
 
 from laddergw.director.director import Director
 from laddergw.terms.director_file import read
-from laddergw.lab.conductor import Conductor
+from laddergw.lab.scenario_player import ScenarioPlayer
 from laddergw.lab.list_stand_in import ListStandIn
 from laddergw.lab.node_stand_in import NodeStandIn, Rack
-from laddergw.lab.plant import Plant
+from laddergw.lab.deployment_model import DeploymentModel
 from laddergw.lab.tap import tap
 from laddergw.lab.viewers_stand_in import Viewers
 from laddergw.loop.memory import MemoryNetwork
@@ -19,33 +19,33 @@
 class MemoryStage:
     """See the module; `director_class` lets a test put a broken director on the stage."""
 
-    def __init__(self, plant: Plant, script: list, director_class=Director):
-        self.plant, self.director_class = plant, director_class
-        self.world = MemoryNetwork(plant.seed)
+    def __init__(self, model: DeploymentModel, script: list, director_class=Director):
+        self.model, self.director_class = model, director_class
+        self.world = MemoryNetwork(model.seed)
         self.records: list[tuple] = []
         self.loop = self.world.host("stage")
-        self.racks = [Rack(plant.rack_kb) for _ in range(plant.racks)]
+        self.racks = [Rack(model.rack_kb) for _ in range(model.racks)]
         self.nodes: dict[int, NodeStandIn] = {}
         self.directors: dict[int, Director] = {}
-        self.starts = {number: 0 for number in range(plant.directors)}
+        self.starts = {number: 0 for number in range(model.directors)}
         self.done = False
-        self.list = ListStandIn(self.world.host("list"), ("list", 8200), plant.list_lag_ms, plant.seed, self.record)
-        self.conductor = Conductor(plant, self, script, self.record)
+        self.list = ListStandIn(self.world.host("list"), ("list", 8200), model.list_lag_ms, model.seed, self.record)
+        self.scenario = ScenarioPlayer(model, self, script, self.record)
 
     def record(self, what: str, now: float, **facts) -> None:
         self.records.append((now, what, facts))
 
     def run(self) -> list[tuple]:
         """Plays all of it; the records, in order of time."""
-        self.conductor.raise_fleet()
-        for number in range(self.plant.directors):
-            self.conductor.directors_up.add(number)
+        self.scenario.start_fleet()
+        for number in range(self.model.directors):
+            self.scenario.directors_up.add(number)
             self.start_director(number)
         self.world.run(self.world.now + SETTLE_MS)
-        addresses = {number: (f"d{number}", PORT) for number in range(self.plant.directors)}
-        self.conductor.begin()
-        viewers = Viewers(self.world.host("viewers"), self.plant.crowd, addresses, self.plant.seed, self.record, self.finished)
-        end = self.world.now + self.plant.crowd.seconds * 1000 + TAIL_MS
+        addresses = {number: (f"d{number}", PORT) for number in range(self.model.directors)}
+        self.scenario.schedule_events()
+        viewers = Viewers(self.world.host("viewers"), self.model.crowd, addresses, self.model.seed, self.record, self.finished)
+        end = self.world.now + self.model.crowd.seconds * 1000 + TAIL_MS
         while not self.done and self.world.now < end:
             self.world.run(self.world.now + 500.0)
         self.record("stage ended", self.world.now, done=self.done, under_way=viewers.under_way)
@@ -58,7 +58,7 @@
     def start_node(self, facts, incarnation: int, cold: bool, rack: int, port: int, ready: Callable) -> None:
         name = f"n{facts.node}.{incarnation}"
         host = self.world.host(name)
-        node = self.nodes[facts.node] = NodeStandIn(host, facts, self.racks[rack], (name, 0), incarnation, self.plant.seed,
+        node = self.nodes[facts.node] = NodeStandIn(host, facts, self.racks[rack], (name, 0), incarnation, self.model.seed,
                                                     self.record, cold)
         ready(node.address)
 
@@ -84,7 +84,7 @@
         self.starts[number] += 1
         source = f"d{number}.{self.starts[number]}"
         host = self.world.host(f"d{number}")
-        house = read(self.plant.house(number, (f"d{number}", PORT), self.list.address, self.plant.seed * 1000 + number * 10
+        house = read(self.model.director_file(number, (f"d{number}", PORT), self.list.address, self.model.seed * 1000 + number * 10
                                       + self.starts[number]), source)
         self.directors[number] = self.director_class(host, house, wall=lambda: self.world.now, tap=tap(source, self.record))
         self.record("director up", self.world.now, number=number, source=source)
--- a/laddergw/lab/stage_processes.py
+++ b/laddergw/lab/stage_processes.py
@@ -7,9 +7,9 @@
 import tempfile
 from typing import Callable
 
-from laddergw.lab.conductor import Conductor
+from laddergw.lab.scenario_player import ScenarioPlayer
 from laddergw.lab.list_stand_in import ListStandIn
-from laddergw.lab.plant import Plant
+from laddergw.lab.deployment_model import DeploymentModel
 from laddergw.loop.sockets import DescriptorWatch, SocketLoop
 
 SETTLE_MS = 1_500.0        # the fleet is up and told before the first viewer comes
@@ -18,7 +18,7 @@
 HOST = "127.0.0.1"
 
 
-class CouldNotRun(Exception):
+class RehearsalError(Exception):
     """The rehearsal itself failed; the text says at what."""
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self, loop: SocketLoop, arguments: list[str], heard: Callable[[dict], None], ended: Callable[[int], None], log):
         self.loop, self.heard, self.rest = loop, heard, b""
-        self.child = loop.spawn([sys.executable, "-m", "laddergw.lab.hosts", *arguments], ended,
+        self.child = loop.spawn([sys.executable, "-m", "laddergw.lab.stand_in_process", *arguments], ended,
                                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log)
         os.set_blocking(self.child.stdout.fileno(), False)
         self.watch = DescriptorWatch(loop, self.child.stdout, self.read)
@@ -62,8 +62,8 @@
     audience = "viewers"
     settle_ms = SETTLE_MS
 
-    def __init__(self, plant: Plant, script: list, folder: str | None = None, level: str = "warning"):
-        self.plant, self.level = plant, level
+    def __init__(self, model: DeploymentModel, script: list, folder: str | None = None, level: str = "warning"):
+        self.model, self.level = model, level
         self.folder = folder or tempfile.mkdtemp(prefix="laddergw-")
         os.makedirs(self.folder, exist_ok=True)
         for name in os.listdir(self.folder):     # of an earlier run: its records would be taken for this one's
@@ -71,20 +71,20 @@
                 os.remove(os.path.join(self.folder, name))
         self.loop, self.records, self.problems = SocketLoop(), [], []
         self.errors = open(os.path.join(self.folder, "errors.log"), "ab")
-        self.list = ListStandIn(self.loop, (HOST, 0), plant.list_lag_ms, plant.seed, self.record)
+        self.list = ListStandIn(self.loop, (HOST, 0), model.list_lag_ms, model.seed, self.record)
         self.ready: dict[tuple, Callable] = {}
         self.place: dict[int, int] = {}          # node -> rack
-        self.racks = [Helper(self.loop, ["nodes", self.file(f"rack{rack}.jsonl"), str(plant.rack_kb), str(plant.seed)],
+        self.racks = [Helper(self.loop, ["nodes", self.file(f"rack{rack}.jsonl"), str(model.rack_kb), str(model.seed)],
                              self.heard, lambda status, rack=rack: self.helper_ended(f"rack {rack}", status), self.errors)
-                      for rack in range(plant.racks)]
-        self.viewers = Helper(self.loop, [self.audience, self.file("viewers.jsonl"), str(plant.seed)], self.heard,
+                      for rack in range(model.racks)]
+        self.viewers = Helper(self.loop, [self.audience, self.file("viewers.jsonl"), str(model.seed)], self.heard,
                               lambda status: self.helper_ended("viewers", status), self.errors)
         self.children: dict[int, subprocess.Popen] = {}
         self.addresses: dict[int, tuple] = {}
-        self.starts = {number: 0 for number in range(plant.directors)}
+        self.starts = {number: 0 for number in range(model.directors)}
         self.sources: list[str] = []
         self.done = self.ending = False
-        self.conductor = Conductor(plant, self, script, self.record)
+        self.scenario = ScenarioPlayer(model, self, script, self.record)
 
     def file(self, name: str) -> str:
         return os.path.join(self.folder, name)
@@ -107,43 +107,43 @@
         while not until():
             self.loop.turn()
             if self.problems:
-                raise CouldNotRun("; ".join(self.problems))
+                raise RehearsalError("; ".join(self.problems))
             if self.loop.now > end:
-                raise CouldNotRun(f"{what}: not within {ms:.0f} ms")
+                raise RehearsalError(f"{what}: not within {ms:.0f} ms")
 
     def run(self) -> list[tuple]:
         """Plays all of it on the wall clock; the records, in order of time. Raises CouldNotRun."""
         try:
-            self.conductor.raise_fleet()
-            self.wait(lambda: len(self.conductor.up) == len(self.plant.nodes), START_MS, "nodes start")
-            for number in range(self.plant.directors):
-                self.conductor.directors_up.add(number)
+            self.scenario.start_fleet()
+            self.wait(lambda: len(self.scenario.up) == len(self.model.nodes), START_MS, "nodes start")
+            for number in range(self.model.directors):
+                self.scenario.directors_up.add(number)
                 self.start_director(number)
-            self.wait(lambda: len(self.addresses) == self.plant.directors, START_MS, "directors start")
+            self.wait(lambda: len(self.addresses) == self.model.directors, START_MS, "directors start")
             settled = self.loop.now + self.settle_ms
             self.wait(lambda: self.loop.now >= settled, self.settle_ms + 1_000, "settling")
-            self.conductor.begin()
-            self.let_them_come()
-            end = self.loop.now + self.plant.crowd.seconds * 1000 + self.tail_ms
+            self.scenario.schedule_events()
+            self.start_viewers()
+            end = self.loop.now + self.model.crowd.seconds * 1000 + self.tail_ms
             while not self.done and self.loop.now < end and not self.problems:
                 self.loop.turn()
             self.record("stage ended", self.loop.now, done=self.done, lag_ms=self.loop.max_lag_ms)
             if self.problems:
-                raise CouldNotRun("; ".join(self.problems))
+                raise RehearsalError("; ".join(self.problems))
             self.ending = True
             self.before_end()
         finally:
             self.end()
         return self.collect()
 
-    def let_them_come(self) -> None:
-        crowd = self.plant.crowd
+    def start_viewers(self) -> None:
+        crowd = self.model.crowd
         self.viewers.tell(crowd=crowd._replace(audiences=())._asdict(), audiences=[a._asdict() for a in crowd.audiences],
                           directors=self.addresses)
 
     def collect(self) -> list[tuple]:
         """All processes' records; a line cut off by a kill is left out."""
-        names = [f"rack{rack}.jsonl" for rack in range(self.plant.racks)] + ["viewers.jsonl"] + [f"{s}.jsonl" for s in self.sources]
+        names = [f"rack{rack}.jsonl" for rack in range(self.model.racks)] + ["viewers.jsonl"] + [f"{s}.jsonl" for s in self.sources]
         for name in names:
             if not os.path.exists(self.file(name)):
                 continue
@@ -198,7 +198,7 @@
         source = f"d{number}.{self.starts[number]}"
         self.sources.append(source)
         with open(self.file(f"{source}.scm"), "w") as stream:
-            stream.write(self.house_text(number))
+            stream.write(self.director_file_text(number))
         child = self.loop.spawn(
             self.director_command(stream.name, source), lambda status: self.director_ended(number, source, child, status),
             stdout=subprocess.PIPE, stderr=self.errors)
@@ -220,9 +220,9 @@
                 self.record("director up", self.loop.now, number=number, source=source)
         watch = DescriptorWatch(self.loop, child.stdout, said)
 
-    def house_text(self, number: int) -> str:
+    def director_file_text(self, number: int) -> str:
         """The file of a director's next process."""
-        return self.plant.house(number, self.addresses.get(number, (HOST, 0)), self.list.address, self.plant.seed * 1000 + number * 10 + self.starts[number])
+        return self.model.director_file(number, self.addresses.get(number, (HOST, 0)), self.list.address, self.model.seed * 1000 + number * 10 + self.starts[number])
 
     def director_command(self, file: str, source: str) -> list[str]:
         return [sys.executable, "-m", "laddergw.cli", "director", file, "--log", self.level, "--tap", self.file(f"{source}.jsonl"),
@@ -233,7 +233,7 @@
 
     def director_ended(self, number: int, source: str, child, status: int) -> None:
         self.record("director down", self.loop.now, number=number, source=source, how=f"status {status}")
-        if number in self.conductor.directors_up and not self.ending and self.children.get(number) is child:
+        if number in self.scenario.directors_up and not self.ending and self.children.get(number) is child:
             self.problems.append(f"director {source} ended with {status}")
 
     def kill_director(self, number: int) -> None:
--- a/laddergw/lab/hosts.py
+++ b/laddergw/lab/stand_in_process.py
@@ -74,9 +74,9 @@
 def host_players(path: str) -> None:
     """All players of sessions in one process; says when the last session is over."""
     from laddergw.lab.continuity_audit import Judge
-    from laddergw.lab.player_stand_in import Player, Wire
+    from laddergw.lab.player_stand_in import Player, ConnectionPools
     loop = SocketLoop()
-    tap, wire = TapFile(loop, path), Wire(loop)
+    tap, wire = TapFile(loop, path), ConnectionPools(loop)
 
     def serve(command: dict) -> None:
         directors = {int(number): tuple(address) for number, address in command["directors"].items()}
--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -9,9 +9,9 @@
 from laddergw.lab.continuity_audit import Judge
 from laddergw.lab.media_stand_in import ITEM_KB, ITEM_MS
 from laddergw.lab.node_stand_in import ITEMS_MS
-from laddergw.lab.plant import WARES, Plant, between, draw, plant
-from laddergw.lab.player_stand_in import Player, Wire
-from laddergw.lab.script import Trouble, fault, pick, restart, rolling_deploy
+from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, DeploymentModel, draw_between, draw, build_deployment
+from laddergw.lab.player_stand_in import Player, ConnectionPools
+from laddergw.lab.script import FaultEvent, temporary_fault, draw_nodes, restart_directors, rolling_deploy
 from laddergw.lab.stage_memory import PORT, SETTLE_MS, MemoryStage
 from laddergw.programme import rules
 
@@ -33,28 +33,28 @@
  (rule "often" (items "news" "short") (every-ms 24000) (gap-ms 8000) (otherwise later)))"""
 
 
-def script(p: Plant) -> list[Trouble]:
+def script(p: DeploymentModel) -> list[FaultEvent]:
     """Drains and successors all through, sources that die, stand still or fail; of the edges one is killed, one told to stop, one stands still."""
     unit = p.crowd.seconds * 1000 / 120
     found = rolling_deploy(p, 15_000 * unit / 1000, 70_000 * unit / 1000, 0.5)
-    for node in pick(p, 0.12, "die"):
-        at = between(p.seed, 30_000, 90_000, "die", node) * unit / 1000
-        found += [Trouble(at, "die", node), Trouble(at + 9_000, "return", node)]
-    found += [Trouble(between(p.seed, 20_000, 80_000, "still", node) * unit / 1000, "still", node, 4_000.0) for node in pick(p, 0.1, "still")]
-    found += fault(pick(p, 0.15, "errors"), "errors", 40_000 * unit / 1000, 15_000, 0.5)
-    found += fault(pick(p, 0.1, "stall"), "stall", 60_000 * unit / 1000, 12_000, 1.0)
+    for node in draw_nodes(p, 0.12, "die"):
+        at = draw_between(p.seed, 30_000, 90_000, "die", node) * unit / 1000
+        found += [FaultEvent(at, "die", node), FaultEvent(at + 9_000, "return", node)]
+    found += [FaultEvent(draw_between(p.seed, 20_000, 80_000, "still", node) * unit / 1000, "still", node, 4_000.0) for node in draw_nodes(p, 0.1, "still")]
+    found += temporary_fault(draw_nodes(p, 0.15, "errors"), "errors", 40_000 * unit / 1000, 15_000, 0.5)
+    found += temporary_fault(draw_nodes(p, 0.1, "stall"), "stall", 60_000 * unit / 1000, 12_000, 1.0)
     directors = sorted(range(p.directors), key=lambda number: draw(p.seed, "edge", number))
-    at = lambda seconds: (seconds * 1000 + between(p.seed, 0, 3_000, "edge at", seconds)) * unit / 1000
-    found += restart(directors[:1], at(45), 3_000.0)
-    found += [Trouble(at(80), "term", directors[1]), Trouble(at(80) + p.finish_ms + 3_000, "start", directors[1])]
-    found += [Trouble(at(100), "freeze", directors[2 % p.directors], 2_000.0)]
+    at = lambda seconds: (seconds * 1000 + draw_between(p.seed, 0, 3_000, "edge at", seconds)) * unit / 1000
+    found += restart_directors(directors[:1], at(45), 3_000.0)
+    found += [FaultEvent(at(80), "term", directors[1]), FaultEvent(at(80) + p.finish_ms + 3_000, "start", directors[1])]
+    found += [FaultEvent(at(100), "freeze", directors[2 % p.directors], 2_000.0)]
     return sorted(found)
 
 
 class StitchedStage(MemoryStage):
     """See the module."""
 
-    def __init__(self, the_plant: Plant, the_script: list[Trouble], sessions: int):
+    def __init__(self, the_plant: DeploymentModel, the_script: list[FaultEvent], sessions: int):
         programme = rules.read(programme_text([node.node for node in the_plant.nodes]))
 
         class Fronts(EdgeFront):
@@ -65,32 +65,32 @@
         self.addresses = {number: (f"d{number}", PORT) for number in range(the_plant.directors)}
 
     def run(self) -> list[tuple]:
-        self.conductor.raise_fleet()
-        for number in range(self.plant.directors):
-            self.conductor.directors_up.add(number)
+        self.scenario.start_fleet()
+        for number in range(self.model.directors):
+            self.scenario.directors_up.add(number)
             self.start_director(number)
-        self.world.run(self.world.now + SETTLE_MS + self.plant.warm_ms)
+        self.world.run(self.world.now + SETTLE_MS + self.model.warm_ms)
         host = self.world.host("players")
-        wire, start = Wire(host), self.world.now
-        self.conductor.begin()
+        wire, start = ConnectionPools(host), self.world.now
+        self.scenario.schedule_events()
         for number in range(self.sessions):
-            host.call_at(start + session_at(self.plant, number, self.sessions), lambda number=number: self.begin(wire, number))
-        end = start + self.plant.crowd.seconds * 1000 + TAIL_MS
-        while self.world.now < end and (self.open or self.world.now < start + self.plant.crowd.seconds * 1000 + 1_000):
+            host.call_at(start + session_at(self.model, number, self.sessions), lambda number=number: self.begin(wire, number))
+        end = start + self.model.crowd.seconds * 1000 + TAIL_MS
+        while self.world.now < end and (self.open or self.world.now < start + self.model.crowd.seconds * 1000 + 1_000):
             self.world.run(self.world.now + 1_000)
         self.record("stage ended", self.world.now, done=not self.open)
         self.records.sort(key=lambda record: record[0])
         return self.records
 
-    def begin(self, wire: Wire, number: int) -> None:
+    def begin(self, wire: ConnectionPools, number: int) -> None:
         self.open += 1
-        self.players.append(Player(wire, self.addresses, session_frame(self.plant, number), Judge(), self.record, self.over, 900.0))
+        self.players.append(Player(wire, self.addresses, session_frame(self.model, number), Judge(), self.record, self.over, 900.0))
 
     def over(self, player: Player) -> None:
         self.open -= 1
 
 
-def session_frame(p: Plant, number: int) -> dict:
+def session_frame(p: DeploymentModel, number: int) -> dict:
     """What the player of a session asks for; drawn by the seed and its number."""
     chance, ware = draw(p.seed, "ware", number), p.wares[-1]
     for one in p.wares:
@@ -103,18 +103,18 @@
             "wait_ms": ware.wait_ms, "length_ms": 90_000.0, "route": ROUTES[number % len(ROUTES)] + str(title)}
 
 
-def session_at(p: Plant, number: int, sessions: int) -> float:
+def session_at(p: DeploymentModel, number: int, sessions: int) -> float:
     """When it comes, ms from the start."""
     return p.crowd.seconds * 1000 * (number + draw(p.seed, "at", number)) / sessions
 
 
-def stitched_plant(seed: int, sessions: int, seconds: float) -> Plant:
+def stitched_plant(seed: int, sessions: int, seconds: float) -> DeploymentModel:
     """Long plays: a title lasts one to three minutes, so links are sized for that."""
-    wares = tuple(ware._replace(length_ms=(60_000, 120_000), seats=0) for ware in WARES)
-    return plant(seed, directors=4, nodes=24, rate=sessions / seconds, seconds=seconds, load=0.6, wares=wares)
+    wares = tuple(ware._replace(length_ms=(60_000, 120_000), seats=0) for ware in DEFAULT_PRODUCTS)
+    return build_deployment(seed, directors=4, nodes=24, rate=sessions / seconds, seconds=seconds, load=0.6, wares=wares)
 
 
-def item_share(plant: Plant, records: list[tuple]) -> float:
+def item_share(model: DeploymentModel, records: list[tuple]) -> float:
     """The most that items of plays elsewhere took of a node's link within ITEMS_MS, all edges together."""
     windows: dict[int, deque] = {}
     most = 0
@@ -125,7 +125,7 @@
             while window[0] < at - ITEMS_MS:
                 window.popleft()
             most = max(most, len(window))
-    return most * ITEM_KB * ITEM_MS / ITEMS_MS / plant.link_unit
+    return most * ITEM_KB * ITEM_MS / ITEMS_MS / model.link_unit
 
 
 def totals(records: list[tuple]) -> dict[str, float]:
--- a/laddergw/lab/storm.py
+++ b/laddergw/lab/storm.py
@@ -8,8 +8,8 @@
 
 from laddergw.director.director import Director
 from laddergw.lab import audit
-from laddergw.lab.plant import Plant, plant
-from laddergw.lab.script import Trouble, fault
+from laddergw.lab.deployment_model import DeploymentModel, build_deployment
+from laddergw.lab.script import FaultEvent, temporary_fault
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.terms import limits as files
 from laddergw.terms.loading import default_terms
@@ -32,12 +32,12 @@
     back_ms: float                     # past the end of the stand-still; inf: not within the run
     further: int
     tries: int
-    judged: audit.Judged
+    judged: audit.AuditResult
 
 
-def storm_plant(seed: int, rate: float, seconds: float, rationed: bool) -> Plant:
+def storm_plant(seed: int, rate: float, seconds: float, rationed: bool) -> DeploymentModel:
     """Impatient viewers that all come again, at once."""
-    found = plant(seed, directors=1, nodes=8, rate=rate, seconds=seconds, load=0.85)
+    found = build_deployment(seed, directors=1, nodes=8, rate=rate, seconds=seconds, load=0.85)
     crowd = found.crowd._replace(returns=1.0, tries=30, again_ms=(0.0, 50.0), impatient=0.0, fickle=0.0)
     return found._replace(crowd=crowd, budget=found.budget if rationed else None)
 
@@ -51,13 +51,13 @@
         def __init__(self, loop, house, **more):
             super().__init__(loop, house, limits=files.read(f"(limits (adaptive {adaptive}))", house.names, default_terms(house)), **more)
     nodes = [node.node for node in the_plant.nodes]
-    script = [Trouble(STILL_AT_MS, "still", node, STILL_MS) for node in nodes] if kind == "still" else fault(nodes, "late", STILL_AT_MS, STILL_MS, LATE_MS)
+    script = [FaultEvent(STILL_AT_MS, "still", node, STILL_MS) for node in nodes] if kind == "still" else temporary_fault(nodes, "late", STILL_AT_MS, STILL_MS, LATE_MS)
     stage = MemoryStage(the_plant, script, Under)
     records = stage.run()
     return measured(way, the_plant, records)
 
 
-def measured(way: str, the_plant: Plant, records: list[tuple]) -> Storm:
+def measured(way: str, the_plant: DeploymentModel, records: list[tuple]) -> Storm:
     judged = audit.audit(the_plant, records)
     tries = audit.viewer_tries(audit.Records(records))
     start = min(t["at"] for t in tries.values())
@@ -69,7 +69,7 @@
     return Storm(way, windows, before, during, recovery(windows, before, end), further, len(tries), judged)
 
 
-def by_window(the_plant: Plant, tries: dict, start: float) -> dict[float, float]:
+def by_window(the_plant: DeploymentModel, tries: dict, start: float) -> dict[float, float]:
     """Service of the plays that were first asked for in each window."""
     wares = {ware.name: ware for ware in the_plant.wares}
     first, won = {}, set()
--- a/laddergw/lab/papers.py
+++ b/laddergw/lab/test_certificates.py
@@ -9,7 +9,7 @@
 from cryptography.x509.oid import NameOID
 
 
-class Authority:
+class CertificateAuthority:
     """Signs certificates into a folder: NAME.pem and NAME.key; its own is authority.pem."""
 
     def __init__(self, folder: str, name: str = "authority"):
--- a/laddergw/lab/wanting.py
+++ b/laddergw/lab/wanting.py
@@ -50,7 +50,7 @@
         stage.loop.call_at(stage.world.now + WANT_MS, self.want)
         number = self.wants + 1
         bad = number % BAD_EACH == 0
-        data = (broken(stage.plant.seed, number) if bad else sound(stage.plant.seed, number % TEXTS, stage.house)).encode()
+        data = (broken(stage.model.seed, number) if bad else sound(stage.model.seed, number % TEXTS, stage.house)).encode()
         loaded = load(data, "wanted", stage.house)
         name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         for row in self.ask("floors").get("floors", ()):
--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -5,7 +5,7 @@
 import unittest
 
 from laddergw.director.limits_file import InProcessCheck, LimitsFile
-from laddergw.lab.lines import Line
+from laddergw.lab.network_faults import FaultyLink
 from laddergw.planner import wire
 from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
@@ -27,7 +27,7 @@
         self.start_planner()
         self.lines, self.sides, self.files = {}, {}, {}
         for number in self.town.directors:
-            line = Line(self.town.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.town.record)
+            line = FaultyLink(self.town.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.town.record)
             self.lines[number] = line
             self.join(number)
         self.town.run(1_500)
--- a/tests/fleet_commands.py
+++ b/tests/fleet_commands.py
@@ -3,7 +3,7 @@
 import sys
 
 from laddergw.lab.fleet_processes import FleetProcesses
-from laddergw.lab.stage_processes import CouldNotRun
+from laddergw.lab.stage_processes import RehearsalError
 
 COMMAND_MS = 30_000.0      # one command: the interpreter, its imports, a few answers
 
@@ -35,4 +35,4 @@
 
     def assert_before(self, latest: float, what: str) -> None:
         if self.loop.now > latest:
-            raise CouldNotRun(f"{what}: not within {COMMAND_MS:.0f} ms")
+            raise RehearsalError(f"{what}: not within {COMMAND_MS:.0f} ms")
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -10,8 +10,8 @@
 from laddergw.lab import audit
 from laddergw.lab.apart_processes import PLANNERS
 from laddergw.lab.budget_processes import STORM_PART, WHOLE, BudgetProcesses
-from laddergw.lab.plant import WARES, plant
-from laddergw.lab.script import Trouble, fault
+from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, build_deployment
+from laddergw.lab.script import FaultEvent, temporary_fault
 
 
 STORM_FROM_MS = 2_000
@@ -23,8 +23,8 @@
     """In the middle of a storm, once two edges at least have spent, the planner that grants is stopped, an edge is cut off from both planners
     with what it holds, and another is killed as it spends. All come back, the storm goes on, and then nobody comes any more."""
 
-    def let_them_come(self) -> None:
-        super().let_them_come()
+    def start_viewers(self) -> None:
+        super().start_viewers()
         self.look()
 
     def look(self) -> None:
@@ -37,8 +37,8 @@
             self.lines.by_ends["d0", f"p{number}"].fault("cut")
             self.loop.call_later(STOP_MS + AWAY_MS, lambda number=number: self.lines.by_ends["d0", f"p{number}"].fault("heal"))
         self.loop.call_later(STOP_MS, lambda: self.planners[0].send_signal(signal.SIGCONT))
-        self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
-        self.loop.call_later(KILL_MS + AWAY_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
+        self.loop.call_later(KILL_MS, lambda: self.scenario.apply_event(FaultEvent(0, "kill", 2)))
+        self.loop.call_later(KILL_MS + AWAY_MS, lambda: self.scenario.apply_event(FaultEvent(0, "start", 2)))
         self.loop.call_later(STOP_MS + LATER_MS, lambda: self.viewers.tell(do="enough"))
 
     def spends(self, source: str) -> int:
@@ -52,8 +52,8 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-budgets-")
         self.addCleanup(shutil.rmtree, folder, True)
-        the_plant = plant(2, directors=3, nodes=6, rate=10, seconds=SECONDS, wares=tuple(ware._replace(length_ms=(2_000, 4_000)) for ware in WARES))
-        storm = fault([node.node for node in the_plant.nodes], "errors", STORM_FROM_MS, SECONDS * 1000, STORM_PART)
+        the_plant = build_deployment(2, directors=3, nodes=6, rate=10, seconds=SECONDS, wares=tuple(ware._replace(length_ms=(2_000, 4_000)) for ware in DEFAULT_PRODUCTS))
+        storm = temporary_fault([node.node for node in the_plant.nodes], "errors", STORM_FROM_MS, SECONDS * 1000, STORM_PART)
         stage = Stopped(the_plant, storm, 0, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
--- a/tests/test_daybook.py
+++ b/tests/test_daybook.py
@@ -2,8 +2,8 @@
 import logging
 import unittest
 
-from laddergw.lab import audit, daybook, shrink
-from laddergw.lab.script import KINDS, Trouble
+from laddergw.lab import audit, scenario_file, shrink
+from laddergw.lab.script import KINDS, FaultEvent
 from laddergw.lab.stage_memory import MemoryStage
 from laddergw.terms.sexpr import FileRejected
 
@@ -19,53 +19,53 @@
     def test_faults_with_their_places(self):
         for told, text in BAD.items():
             with self.subTest(told), self.assertRaises(FileRejected) as caught:
-                daybook.read(text, "d.scm")
+                scenario_file.read(text, "d.scm")
             self.assertIn(told, str(caught.exception))
             self.assertTrue(all(fault.place.line == 1 for fault in caught.exception.faults))
 
     def test_the_named_days(self):
-        book = daybook.book()
+        book = scenario_file.named_days()
         self.assertGreaterEqual(len(book), 25)
         for day in book.values():
             self.assertGreater(len(day.says), 20)
             for seed in 1, 2:
-                the_plant = daybook.plant_of(day, seed)
-                script = daybook.script_of(day, the_plant)
-                self.assertEqual(script, daybook.script_of(day, the_plant))
+                the_plant = scenario_file.deployment_of(day, seed)
+                script = scenario_file.script_of(day, the_plant)
+                self.assertEqual(script, scenario_file.script_of(day, the_plant))
                 self.assertTrue(all(trouble.kind in KINDS and 0 <= trouble.at <= 1_000 * the_plant.crowd.seconds + 20_000 for trouble in script))
-                self.assertEqual(script, shrink.sensible(script))
-        self.assertNotEqual(*(daybook.script_of(book["everything"], daybook.plant_of(book["everything"], seed)) for seed in (1, 2)))
+                self.assertEqual(script, shrink.prune(script))
+        self.assertNotEqual(*(scenario_file.script_of(book["everything"], scenario_file.deployment_of(book["everything"], seed)) for seed in (1, 2)))
 
     def test_a_day_as_it_is_played(self):
-        day = daybook.read('(day "d" (says "a") (rate 9) (seconds 8) (nodes 6) (directors 2) (crowd (shape 0 1 4 2 8 1) (burst 2 3 4) (hot 1 2 0.5 3) (impatient 0.5))'
+        day = scenario_file.read('(day "d" (says "a") (rate 9) (seconds 8) (nodes 6) (directors 2) (crowd (shape 0 1 4 2 8 1) (burst 2 3 4) (hot 1 2 0.5 3) (impatient 0.5))'
                            '(nodes-die (at 2 3) (back 1) (part 0.3)) (list-lag (at 1) (ms 400) (for 3)) (directors-frozen (at 4) (for 2) (part 0.5)))')["d"]
-        the_plant = daybook.plant_of(day, 4, directors=3)
+        the_plant = scenario_file.deployment_of(day, 4, directors=3)
         self.assertEqual((the_plant.directors, len(the_plant.nodes), the_plant.crowd.rate, the_plant.crowd.bursts, the_plant.crowd.hot, the_plant.crowd.impatient),
                          (3, 6, 9, ((2, 3, 4),), ((1, 2, 0.5, 3),), 0.5))
-        script = daybook.script_of(day, the_plant)
+        script = scenario_file.script_of(day, the_plant)
         self.assertEqual([trouble.kind for trouble in script], ["list-lag", "die", "die", "return", "return", "freeze", "freeze", "list-lag"])
         self.assertTrue(all(2_000 <= trouble.at <= 3_000 for trouble in script if trouble.kind == "die"))
 
     def test_small_days_break_no_rule(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        book = daybook.book()
+        book = scenario_file.named_days()
         for name in ("all-stand-still", "directors-freeze", "everything"):
-            the_plant = daybook.plant_of(book[name], 3, nodes=8, directors=2, rate=6)
-            judged = audit.audit(the_plant, MemoryStage(the_plant, daybook.script_of(book[name], the_plant)).run())
+            the_plant = scenario_file.deployment_of(book[name], 3, nodes=8, directors=2, rate=6)
+            judged = audit.audit(the_plant, MemoryStage(the_plant, scenario_file.script_of(book[name], the_plant)).run())
             self.assertEqual((judged.without, judged.twice, judged.breaks), (0, 0, []), name)
 
 
 class Shrunk(unittest.TestCase):
     def test_what_matters_is_left(self):
-        script = [Trouble(float(at), "die", at) for at in range(60)]
+        script = [FaultEvent(float(at), "die", at) for at in range(60)]
         needs = {7, 31, 52}
         found = shrink.shrink(script, lambda tried: needs <= {trouble.who for trouble in tried})
         self.assertEqual({trouble.who for trouble in found.script}, needs)
         self.assertLess(found.played, 120)
 
     def test_bounded_and_sensible(self):
-        script = [Trouble(1.0, "kill", 0), Trouble(2.0, "start", 0), Trouble(3.0, "list-out"), Trouble(4.0, "list-back"), Trouble(5.0, "die", 1)]
+        script = [FaultEvent(1.0, "kill", 0), FaultEvent(2.0, "start", 0), FaultEvent(3.0, "list-out"), FaultEvent(4.0, "list-back"), FaultEvent(5.0, "die", 1)]
         found = shrink.shrink(script, lambda tried: any(trouble.kind == "start" for trouble in tried))
         self.assertEqual([trouble.kind for trouble in found.script], ["kill", "start"])
         self.assertEqual(shrink.shrink(script * 20, lambda tried: True, most=3).played, 3)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -44,7 +44,7 @@
             with self.subTest(kind):
                 mapped = self.read(day(trouble(kind, size=1_500.0 if kind == "balancer_stall" else 2.0 if kind == "slow" else 0.4)))
                 self.assertFalse([line for line in mapped.said if "not played" in line])
-                self.assertTrue(mapped.script or mapped.plant.crowd.bursts or mapped.plant.crowd.hot)
+                self.assertTrue(mapped.script or mapped.model.crowd.bursts or mapped.model.crowd.hot)
                 self.assertTrue(all(t.kind in KINDS and t.at >= 10_000 for t in mapped.script))
 
     def test_what_has_no_handler_is_said(self):
@@ -55,12 +55,12 @@
     def test_compressed_time_is_said_and_kept(self):
         slow, fast = self.read(day(trouble("hang"))), self.read(day(trouble("hang")), speed=2.0)
         self.assertEqual([t.at / 2 for t in slow.script], [t.at for t in fast.script])
-        self.assertEqual(fast.plant.crowd.rate, 2 * slow.plant.crowd.rate)
-        self.assertEqual(fast.plant.wares[0].wait_ms, slow.plant.wares[0].wait_ms)
+        self.assertEqual(fast.model.crowd.rate, 2 * slow.model.crowd.rate)
+        self.assertEqual(fast.model.wares[0].wait_ms, slow.model.wares[0].wait_ms)
         self.assertTrue(any("compressed 2 times" in line for line in fast.said))
 
     def test_the_plant_is_the_days(self):
-        plant = self.read(day()).plant
+        plant = self.read(day()).model
         self.assertEqual((plant.directors, len(plant.nodes), plant.racks, plant.budget), (3, 9, 3, (5.0, 0.1, 10_000.0)))
         self.assertEqual([(w.repeat, w.floor, w.seats) for w in plant.wares], [("safe", 0, 0), ("paid", 1, 2)])
 
@@ -68,9 +68,9 @@
         broken = day()
         del broken["fam"]
         for content in "{", "[]", "{}", json.dumps(broken):
-            with self.assertRaises(days.Unreadable):
+            with self.assertRaises(days.InvalidDayFile):
                 self.read(content)
-        with self.assertRaises(days.Unreadable):
+        with self.assertRaises(days.InvalidDayFile):
             self.read(day(), speed=0)
 
 
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -13,8 +13,8 @@
 
 from laddergw.lab import audit
 from laddergw.lab.limits import sound
-from laddergw.lab.plant import WARES, plant
-from laddergw.lab.script import Trouble
+from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, build_deployment
+from laddergw.lab.script import FaultEvent
 from laddergw.planner import wire
 from tests.fleet_commands import COMMAND_MS, Commanding
 
@@ -38,24 +38,24 @@
 
     # While plays go on
 
-    def let_them_come(self) -> None:
+    def start_viewers(self) -> None:
         """A second process under the name of one that runs, asked by viewers too; later the disk of the planner is full for a while, and an edge
         is killed and begun again meanwhile."""
         self.start_twin()
         self.wait(lambda: TWIN in self.addresses, COMMAND_MS, "the second process starts")
-        super().let_them_come()
+        super().start_viewers()
         self.loop.call_later(FULL_MS, lambda: self.disk(os.path.getsize(self.file("planner.store"))))
-        self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
-        self.loop.call_later(BACK_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
+        self.loop.call_later(KILL_MS, lambda: self.scenario.apply_event(FaultEvent(0, "kill", 2)))
+        self.loop.call_later(BACK_MS, lambda: self.scenario.apply_event(FaultEvent(0, "start", 2)))
         self.loop.call_later(FREE_MS, lambda: self.disk(resource.RLIM_INFINITY))
 
     def start_twin(self) -> None:
-        real, self.starts[TWIN] = self.house_text, 0
-        self.conductor.directors_up.add(TWIN)
+        real, self.starts[TWIN] = self.director_file_text, 0
+        self.scenario.directors_up.add(TWIN)
         shutil.copy(self.limits(TWINS), self.limits(TWIN))
-        self.house_text = lambda number: real(TWINS).replace('(listen "%s" %d)' % self.addresses[TWINS], '(listen "127.0.0.1" 0)')
+        self.director_file_text = lambda number: real(TWINS).replace('(listen "%s" %d)' % self.addresses[TWINS], '(listen "127.0.0.1" 0)')
         self.start_director(TWIN)
-        self.house_text = real
+        self.director_file_text = real
 
     def disk(self, size: int) -> None:
         """The planner that keeps the journal may write files of so many bytes, and no longer ones: nothing more goes into its store."""
@@ -83,7 +83,7 @@
         target.close()
 
     def text(self, number: int) -> str:
-        return sound(self.plant.seed, number, self.read_house) + f"\n; wanted {number}"
+        return sound(self.model.seed, number, self.read_house) + f"\n; wanted {number}"
 
     def ask_for(self, number: int) -> None:
         with open(self.file(f"wanted{number}.terms"), "w") as stream:
@@ -129,7 +129,7 @@
         self.ask_for(9)
         self.until(lambda: self.rollout().get("state") == "done" and not self.rollout()["behind"], "all are on what is wanted next")
         self.number = self.rollout()["want"]["number"]
-        self.kept = {number: pathlib.Path(self.limits(number)).read_text() == self.text(9) for number in self.conductor.directors_up}
+        self.kept = {number: pathlib.Path(self.limits(number)).read_text() == self.text(9) for number in self.scenario.directors_up}
 
 
 class HardCases(unittest.TestCase):
@@ -138,7 +138,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-hard-")
         self.addCleanup(shutil.rmtree, folder, True)
-        the_plant = plant(5, directors=3, nodes=6, rate=12, seconds=8, wares=tuple(ware._replace(length_ms=(1_000, 3_000)) for ware in WARES))
+        the_plant = build_deployment(5, directors=3, nodes=6, rate=12, seconds=8, wares=tuple(ware._replace(length_ms=(1_000, 3_000)) for ware in DEFAULT_PRODUCTS))
         stage = Hard(the_plant, [], 0, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
--- a/tests/test_fleet_planner.py
+++ b/tests/test_fleet_planner.py
@@ -16,7 +16,7 @@
 from laddergw.fleet.wanted import Rollout
 from laddergw.edge.front import EdgeFront
 from laddergw.lab import fleet_stage
-from laddergw.lab.plant import plant
+from laddergw.lab.deployment_model import build_deployment
 from laddergw.lab.script import bad_day
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.planner import auditing, wire
@@ -188,7 +188,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def play(self, seed=1, seconds=12, kills=5):
-        the_plant = plant(seed, directors=4, nodes=12, rate=12, seconds=seconds)
+        the_plant = build_deployment(seed, directors=4, nodes=12, rate=12, seconds=seconds)
         stage = fleet_stage.FleetStage(the_plant, bad_day(the_plant), kills=kills)
         stage.run()
         return stage
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -9,8 +9,8 @@
 
 from laddergw.lab import audit
 from laddergw.lab.limits import sound
-from laddergw.lab.plant import WARES, plant
-from laddergw.lab.script import Trouble
+from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, build_deployment
+from laddergw.lab.script import FaultEvent
 from laddergw.planner import wire
 from tests.fleet_commands import COMMAND_MS, Commanding
 
@@ -72,7 +72,7 @@
     def take_out(self) -> None:
         """A version that the operator wants, over lines of one edge that are slow and break in the middle of the file, its planner killed as it begins: the other
         goes on, and each edge has it on its disk."""
-        text = sound(self.plant.seed, 9, self.read_house) + "\n; " + "x" * 150_000
+        text = sound(self.model.seed, 9, self.read_house) + "\n; " + "x" * 150_000
         slow = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
         for line in slow:
             line.fault("rate", 100_000.0)
@@ -91,7 +91,7 @@
             return bool(asked) and asked[0]["want"] is not None and asked[0]["state"] == "done" and not asked[0]["behind"]
         self.until(all_on_it, "all are on what is wanted")
         self.command("stragglers")
-        self.kept = [pathlib.Path(self.limits(number)).read_text() == text for number in range(self.plant.directors)]
+        self.kept = [pathlib.Path(self.limits(number)).read_text() == text for number in range(self.model.directors)]
 
     def collect_of(self, source: str) -> list:
         with open(self.file(f"{source}.jsonl"), "rb") as stream:
@@ -104,8 +104,8 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-fleet-")
         self.addCleanup(shutil.rmtree, folder, True)
-        the_plant = plant(3, directors=3, nodes=6, rate=10, seconds=6, wares=tuple(ware._replace(length_ms=(2_000, 6_000)) for ware in WARES))
-        stage = Asking(the_plant, [Trouble(2_000, "freeze", 1, 2_500.0), Trouble(3_000, "kill", 2), Trouble(4_000, "start", 2)], 2, folder)
+        the_plant = build_deployment(3, directors=3, nodes=6, rate=10, seconds=6, wares=tuple(ware._replace(length_ms=(2_000, 6_000)) for ware in DEFAULT_PRODUCTS))
+        stage = Asking(the_plant, [FaultEvent(2_000, "freeze", 1, 2_500.0), FaultEvent(3_000, "kill", 2), FaultEvent(4_000, "start", 2)], 2, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
         self.assertEqual((judged.without, judged.twice, judged.breaks, stage.verdict), (0, 0, [], []))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -6,7 +6,7 @@
 from laddergw.edge.front import EdgeFront
 from laddergw.http.client import Pool
 from laddergw.lab.continuity_audit import Judge
-from laddergw.lab.player_stand_in import Player, Wire
+from laddergw.lab.player_stand_in import Player, ConnectionPools
 from laddergw.programme import rules
 from laddergw.terms.limits import read as read_limits
 from laddergw.terms.loading import default_terms
@@ -29,7 +29,7 @@
             def __init__(self, *args, **more):
                 super().__init__(*args, programme=programme, **more)
         self.town = Cluster(nodes=3, director_class=WithRules)
-        self.wire, self.records, self.players = Wire(self.town.viewer), [], []
+        self.wire, self.records, self.players = ConnectionPools(self.town.viewer), [], []
 
     def record(self, what, now, **facts):
         self.records.append((now, what, facts))
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,8 +1,8 @@
 """Lines with faults: the same on sockets and in memory, each fault seen from both ends."""
 import unittest
 
-from laddergw.lab import line_script, shrink
-from laddergw.lab.lines import HELD_MOST, Line, Lines
+from laddergw.lab import network_fault_script, shrink
+from laddergw.lab.network_faults import MAX_QUEUED_BYTES, FaultyLink, FaultyNetwork
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.loop.sockets import SocketLoop
 from laddergw.terms.sexpr import FileRejected
@@ -22,7 +22,7 @@
             case.addCleanup(self.client.close)
             where = [("127.0.0.1", 0)] * 2
         listener = self.server.listen(where[1], lambda stream: self.held.append(Peer(echo=True)) or self.held[-1])
-        self.line = Line(self.relay, "a>b", where[0], lambda: listener.address, lambda what, now, **facts: self.told.append((facts["fault"], facts["value"])))
+        self.line = FaultyLink(self.relay, "a>b", where[0], lambda: listener.address, lambda what, now, **facts: self.told.append((facts["fault"], facts["value"])))
         self.peer = self.dial()
 
     def dial(self):
@@ -102,12 +102,12 @@
     def test_a_peer_that_stops_reading_is_pushed_back_on(self):
         def act(world):
             world.line.fault("stall", "to")
-            world.peer.stream.write(b"y" * 40 * HELD_MOST)
+            world.peer.stream.write(b"y" * 40 * MAX_QUEUED_BYTES)
             world.settle(100)
             self.assertGreater(world.peer.stream.queued, 0)
             self.assertEqual(world.held[0].data, b"")
             world.line.fault("heal")
-            self.assertTrue(world.until(lambda: len(world.peer.data) == 40 * HELD_MOST, 10_000))
+            self.assertTrue(world.until(lambda: len(world.peer.data) == 40 * MAX_QUEUED_BYTES, 10_000))
         self.both(act)
 
     def test_delay_and_rate(self):
@@ -162,7 +162,7 @@
 
     def test_groups(self):
         world, told = MemoryNetwork(5), []
-        lines = Lines(world.host("relay"), lambda what, now, **facts: told.append(facts["line"]))
+        lines = FaultyNetwork(world.host("relay"), lambda what, now, **facts: told.append(facts["line"]))
         for number, (source, target) in enumerate((("d0", "p0"), ("d0", "p1"), ("d1", "p0"), ("p1", "p0"))):
             lines.line(source, target, ("relay", 100 + number), lambda: ("x", 1))
         lines.part(frozenset(("d0", "p0")), frozenset(("d1", "p1")))
@@ -174,23 +174,23 @@
 
 class Scripts(unittest.TestCase):
     def test_what_is_written_is_what_was_read(self):
-        drawn = line_script.schedule(7, ["d0", "d1"], ["p0"], 20_000)
+        drawn = network_fault_script.schedule(7, ["d0", "d1"], ["p0"], 20_000)
         self.assertGreater(len({fault.what for fault in drawn}), 6)
-        self.assertEqual(line_script.read(line_script.write(drawn), "drawn"), drawn)
-        self.assertEqual(drawn, line_script.schedule(7, ["d0", "d1"], ["p0"], 20_000))
+        self.assertEqual(network_fault_script.read(network_fault_script.write(drawn), "drawn"), drawn)
+        self.assertEqual(drawn, network_fault_script.schedule(7, ["d0", "d1"], ["p0"], 20_000))
 
     def test_a_script_with_faults_is_refused_with_all_of_them(self):
         text = "(lines (fault rust (at 1) (from d0) (to p0) (for 5)) (fault cut (at -1) (from d0) (way up) (for 5) (hue 3)))"
         with self.assertRaises(FileRejected) as refused:
-            line_script.read(text, "script")
+            network_fault_script.read(text, "script")
         told = "\n".join(map(str, refused.exception.faults))
         for key in "rust", "at", "to", "way", "hue":
             self.assertIn(key, told)
 
     def test_shrinking(self):
-        drawn = line_script.schedule(7, ["d0", "d1"], ["p0", "p1"], 30_000)
+        drawn = network_fault_script.schedule(7, ["d0", "d1"], ["p0", "p1"], 30_000)
         needs = {drawn[3], drawn[-2]}
-        found = shrink.shrink(drawn, lambda tried: needs <= set(tried), sensible=list)
+        found = shrink.shrink(drawn, lambda tried: needs <= set(tried), prune=list)
         self.assertEqual(set(found.script), needs)
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from laddergw.lab import apart, audit
-from laddergw.lab.plant import plant
+from laddergw.lab.deployment_model import build_deployment
 from laddergw.lab.script import bad_day
 from laddergw.planner import plan as plans, rules_check, wire
 from laddergw.planner.digests import EDGE_SILENCE_MS, Digest, FleetView
@@ -232,7 +232,7 @@
         return judged
 
     def test_planners_killed_again_and_again(self):
-        the_plant = plant(5, directors=3, nodes=10, rate=12, seconds=10)
+        the_plant = build_deployment(5, directors=3, nodes=10, rate=12, seconds=10)
         stage = apart.ApartStage(the_plant, bad_day(the_plant), apart.TWO, kills=8)
         self.run_and_audit(stage, the_plant)
         events = [what for _, what, _ in stage.events]
@@ -242,7 +242,7 @@
         self.assertGreater(min(epochs), 2)
 
     def test_a_planner_that_reports_double_loads_is_not_trusted(self):
-        the_plant = plant(6, directors=2, nodes=8, rate=12, seconds=15)
+        the_plant = build_deployment(6, directors=2, nodes=8, rate=12, seconds=15)
         stage = apart.ApartStage(the_plant, [], apart.ONE, lie=apart.double)
         self.run_and_audit(stage, the_plant)
         self.assertTrue(all(side.trust.change_count % 2 == 1 and not side.trust.believed for side in stage.sides.values()))
@@ -251,7 +251,7 @@
         self.assertEqual([side.trust.change_count for side in honest.sides.values()], [0, 0])
 
     def test_forged_plans_and_peers_that_send_invalid_frames(self):
-        the_plant = plant(7, directors=1, nodes=4, rate=4, seconds=4)
+        the_plant = build_deployment(7, directors=1, nodes=4, rate=4, seconds=4)
         stage = apart.ApartStage(the_plant, [], apart.ONE)
         seen = []
 
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -4,7 +4,7 @@
 
 from laddergw.lab import script
 from laddergw.lab.audit import audit
-from laddergw.lab.plant import plant
+from laddergw.lab.deployment_model import build_deployment
 from laddergw.lab.stage_memory import MemoryStage
 from tests import broken
 
@@ -12,7 +12,7 @@
 
 
 def small(seed, **changes):
-    return plant(seed, directors=3, nodes=12, rate=16.0, seconds=SECONDS, **changes)
+    return build_deployment(seed, directors=3, nodes=12, rate=16.0, seconds=SECONDS, **changes)
 
 
 def perform(the_plant, the_script, director=None):
@@ -62,14 +62,14 @@
         self.caught(broken.Twice, "answers", lambda p: [])
 
     def test_two_allocations_out(self):
-        self.caught(broken.Hasty, "once", lambda p: [script.Trouble(3_000, "late", node.node, 1_500.0) for node in p.nodes])
+        self.caught(broken.Hasty, "once", lambda p: [script.FaultEvent(3_000, "late", node.node, 1_500.0) for node in p.nodes])
 
     def test_set_ups_after_a_drain_was_told(self):
-        self.caught(broken.Deaf, "drains", lambda p: [script.Trouble(1_000, "replace", node.node, 8_000.0) for node in p.nodes[:6]])
+        self.caught(broken.Deaf, "drains", lambda p: [script.FaultEvent(1_000, "replace", node.node, 8_000.0) for node in p.nodes[:6]])
 
     def test_a_cold_node_pushed_over(self):
         nodes = tuple(facts._replace(streams=10) for facts in small(5).nodes)
-        self.caught(broken.Eager, "cold", lambda p: [script.Trouble(2_000, "replace", node.node, 500.0) for node in p.nodes[:2]],
+        self.caught(broken.Eager, "cold", lambda p: [script.FaultEvent(2_000, "replace", node.node, 500.0) for node in p.nodes[:2]],
                     plan={"nodes": nodes, "streams": (10,)})
 
     def test_rungs_under_the_floor(self):
@@ -81,7 +81,7 @@
 
     def test_too_many_further_allocations(self):
         self.caught(broken.Spendthrift, "budget",
-                    lambda p: [script.Trouble(2_000, "errors", node.node, 0.9) for node in p.nodes],
+                    lambda p: [script.FaultEvent(2_000, "errors", node.node, 0.9) for node in p.nodes],
                     plan={"budget": (1.0, 0.05, 10_000.0)})
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -9,7 +9,7 @@
 from laddergw.director.director_messages import STALE_MS, DirectorMessages
 from laddergw.lab import move, script
 from laddergw.lab.audit import audit
-from laddergw.lab.plant import plant
+from laddergw.lab.deployment_model import build_deployment
 from laddergw.loop.memory import MemoryNetwork
 from tests.in_memory_cluster import FILE, Cluster
 
@@ -40,14 +40,14 @@
         return records
 
     def test_under_load_in_memory_and_back(self):
-        the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
+        the_plant = build_deployment(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
         stage = move.MemoryMove(the_plant, script.bad_day(the_plant))
         self.judged(stage, the_plant)
         self.assertGreater(stage.refused, 0)
 
     def test_under_load_on_loopback_and_back(self):
         """The files are written anew and the processes get SIGHUP; the audit reads what passed on the sockets."""
-        the_plant = plant(2, directors=2, nodes=8, rate=10.0, seconds=SECONDS)
+        the_plant = build_deployment(2, directors=2, nodes=8, rate=10.0, seconds=SECONDS)
         self.judged(move.ProcessMove(the_plant, []), the_plant)
 
     def test_the_audit_sees_a_switch_that_drops_plays(self):
@@ -57,7 +57,7 @@
                 super().change_director_file(house)
                 for ply in list(self.attempts.values()):
                     self.remove_from_node(ply, LOST)
-        the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
+        the_plant = build_deployment(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
         records = move.MemoryMove(the_plant, [], director_class=Dropping).run()
         self.assertGreater(move.switched(records)["dropped"], 0)
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from laddergw.lab.papers import Authority
+from laddergw.lab.test_certificates import CertificateAuthority
 from laddergw.loop.memory import MemoryNetwork
 from laddergw.loop.sockets import SocketLoop
 from laddergw.loop.tls import TlsStream, client_context, common_name, server_context, wrap_accept
@@ -43,7 +43,7 @@
     def setUp(self):
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder)
-        self.authority = Authority(self.folder)
+        self.authority = CertificateAuthority(self.folder)
         self.server_context = server_context(*self.authority.issue("planner"))
 
     def exchange(self, loop, run_until, context, name="127.0.0.1", first=b"", address=("127.0.0.1", 0)):
@@ -80,7 +80,7 @@
         self.assertEqual((client.data, server.name), (b"hello" * 10_000, "edge-1"))
 
     def test_refused_certificates(self):
-        stranger = Authority(self.folder, "stranger")
+        stranger = CertificateAuthority(self.folder, "stranger")
         without_certificate = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         without_certificate.load_verify_locations(self.authority.file)
         cases = {"expired": client_context(*self.authority.issue("old", since_days=-9, until_days=-1)),
