--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -69,15 +69,15 @@
         if what in ("die", "vanish"):
             (stand_in.loop.kill if what == "die" else stand_in.loop.vanish)()
 
-    def list_change(self, entry: dict) -> None:
+    def publish_list_entry(self, entry: dict) -> None:
         self.list.loop.now = self.world.now
         self.list.change(entry)
 
-    def list_reach(self, out: bool) -> None:
+    def set_list_unreachable(self, out: bool) -> None:
         self.list.loop.now = self.world.now
         self.list.reach(out)
 
-    def list_lag(self, ms: float) -> None:
+    def set_list_lag(self, ms: float) -> None:
         self.list.extra_lag = ms
 
     def start_director(self, number: int) -> None:
--- a/laddergw/lab/stage_processes.py
+++ b/laddergw/lab/stage_processes.py
@@ -184,13 +184,13 @@
     def fault(self, node: int, what: str, value) -> None:
         self.racks[self.place[node]].tell(do="fault", node=node, what=what, value=value)
 
-    def list_change(self, entry: dict) -> None:
+    def publish_list_entry(self, entry: dict) -> None:
         self.list.change(entry)
 
-    def list_reach(self, out: bool) -> None:
+    def set_list_unreachable(self, out: bool) -> None:
         self.list.reach(out)
 
-    def list_lag(self, ms: float) -> None:
+    def set_list_lag(self, ms: float) -> None:
         self.list.extra_lag = ms
 
     def start_director(self, number: int) -> None:
