--- a/benchmarks/rollout_at_size.py
+++ b/benchmarks/rollout_at_size.py
@@ -69,7 +69,7 @@
         self.lines, self.directors, self.sides = FaultyNetwork(world.host("relay"), lambda *given, **facts: None, seed), [], []
         for number in range(directors):
             light = Light(world, house, number, nodes)
-            line = self.lines.line(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
+            line = self.lines.add_link(f"d{number}", "p0", ("relay", 9_000 + number), lambda: ("p0", 8300))
             side = PlannerClient(light, (line.address,), (("lab", b"key of the planners"),))
             path = os.path.join(folder, f"limits.{number}")
             with open(path, "wb") as stream:
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -61,7 +61,7 @@
         text = super().director_file_text(number).replace("(bounds", f"(without-planner {'closed' if number % 2 else 'open'})\n (bounds", 1)
         for planner, (host, port) in self.places.items():
             ends = f"d{number}", f"p{planner}"
-            line = self.lines.by_ends.get(ends) or self.lines.line(*ends, (HOST, 0), lambda planner=planner: self.places[planner])
+            line = self.lines.by_ends.get(ends) or self.lines.add_link(*ends, (HOST, 0), lambda planner=planner: self.places[planner])
             text = text.replace(f'(planner "{host}" {port})', f'(planner "{line.address[0]}" {line.address[1]})')
         return text
 
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -94,7 +94,7 @@
         director.tally.began, director.tally.stays_open = self.world.now, not number % 2
         for planner in range(self.count):
             ends = f"d{number}", f"p{planner}"
-            line = self.lines.by_ends.get(ends) or self.lines.line(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
+            line = self.lines.by_ends.get(ends) or self.lines.add_link(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
             places.append(line.address)
         side = self.sides[number] = PlannerClient(director, tuple(places), self.keys())
         if not old(number):
--- a/laddergw/lab/network_fault_script.py
+++ b/laddergw/lab/network_fault_script.py
@@ -8,7 +8,7 @@
 import os
 from typing import NamedTuple
 
-from laddergw.lab.network_faults import WAYS
+from laddergw.lab.network_faults import DIRECTIONS
 from laddergw.lab.deployment_model import draw_between, draw
 from laddergw.terms.reading import Faults, FormReader, parse_single_form, read_text
 
@@ -49,7 +49,7 @@
         what = one.name
         if what not in WITH_WAY + WITH_VALUE + ALONE:
             one.add_fault(one.form.place, "", f"no such fault; {', '.join(WITH_WAY + WITH_VALUE + ALONE)} are known")
-        value = one.word("way", None, allowed=WAYS) if what in WITH_WAY else one.number("value", low=1e-3, high=1e9) if what in WITH_VALUE else None
+        value = one.word("way", None, allowed=DIRECTIONS) if what in WITH_WAY else one.number("value", low=1e-3, high=1e9) if what in WITH_VALUE else None
         found.append(LinkFault(one.number("at"), one.word("from") or "", one.word("to") or "", what, value, one.number("for", low=1.0)))
         one.reject_unknown_keys()
     top.reject_unknown_keys()
--- a/laddergw/lab/shrink.py
+++ b/laddergw/lab/shrink.py
@@ -1,48 +1,51 @@
-"""Shrinks a failing day to the troubles that matter: halves, then smaller parts, are left out as long as the day still fails (delta debugging). Pure but for `fails`."""
+"""Shrinks a failing script to the events that matter (delta debugging): leaves out halves, then smaller parts, as long as it still fails.
+
+Has no side effects except those of `fails`.
+"""
 from typing import Callable, NamedTuple
 
 from laddergw.lab.script import FaultEvent
 
-PAIRS = {"start": ("kill", "term"), "list-back": ("list-out",)}    # what makes sense only behind another
+REQUIRED_BEFORE = {"start": ("kill", "term"), "list-back": ("list-out",)}    # kinds that make sense only after another
 
 
-class Shrunk(NamedTuple):
-    """What is left, and how many days were played for it."""
+class ShrinkResult(NamedTuple):
+    """The shortened script, and how many scripts were played to find it."""
     script: list[FaultEvent]
     played: int
 
 
 def prune(script: list[FaultEvent]) -> list[FaultEvent]:
-    """Without what no longer follows from anything: a director's start without its end, a list that comes back without having gone."""
-    seen, found = set(), []
-    for trouble in script:
-        if trouble.kind in PAIRS and not any((kind, trouble.who) in seen for kind in PAIRS[trouble.kind]):
+    """The script without events whose cause is missing: a director's start without its end, a list's return without its outage."""
+    applied, kept = set(), []
+    for event in script:
+        if event.kind in REQUIRED_BEFORE and not any((kind, event.who) in applied for kind in REQUIRED_BEFORE[event.kind]):
             continue
-        seen.add((trouble.kind, trouble.who))
-        found.append(trouble)
-    return found
+        applied.add((event.kind, event.who))
+        kept.append(event)
+    return kept
 
 
-def shrink(script: list, fails: Callable[[list], bool], most: int = 200, prune: Callable[[list], list] = prune) -> Shrunk:
-    """The least script found that still fails; the whole one where it does not. At most so many days are played. `prune` leaves out what
-    no longer follows from anything: of troubles by default, of other scripts as told."""
-    played, parts = 0, 2
-    while len(script) >= 2 and played < most:
-        size, smaller = -(-len(script) // parts), None
+def shrink(script: list, fails: Callable[[list], bool], max_runs: int = 200, prune: Callable[[list], list] = prune) -> ShrinkResult:
+    """The shortest script found that still fails; the whole script if it does not. Plays at most `max_runs` scripts. `prune` leaves out
+    events whose cause is missing; the default one knows fault events, other scripts bring their own."""
+    runs, part_count = 0, 2
+    while len(script) >= 2 and runs < max_runs:
+        size, smaller = -(-len(script) // part_count), None
         for start in range(0, len(script), size):
-            tried = prune(script[:start] + script[start + size:])
-            if len(tried) == len(script):
+            candidate = prune(script[:start] + script[start + size:])
+            if len(candidate) == len(script):
                 continue
-            played += 1
-            if fails(tried):
-                smaller = tried
+            runs += 1
+            if fails(candidate):
+                smaller = candidate
                 break
-            if played >= most:
+            if runs >= max_runs:
                 break
         if smaller is not None:
-            script, parts = smaller, max(2, parts - 1)
+            script, part_count = smaller, max(2, part_count - 1)
         elif size == 1:
             break
         else:
-            parts = min(len(script), parts * 2)
-    return Shrunk(script, played)
+            part_count = min(len(script), part_count * 2)
+    return ShrinkResult(script, runs)
--- a/tests/test_daybook.py
+++ b/tests/test_daybook.py
@@ -68,7 +68,7 @@
         script = [FaultEvent(1.0, "kill", 0), FaultEvent(2.0, "start", 0), FaultEvent(3.0, "list-out"), FaultEvent(4.0, "list-back"), FaultEvent(5.0, "die", 1)]
         found = shrink.shrink(script, lambda tried: any(trouble.kind == "start" for trouble in tried))
         self.assertEqual([trouble.kind for trouble in found.script], ["kill", "start"])
-        self.assertEqual(shrink.shrink(script * 20, lambda tried: True, most=3).played, 3)
+        self.assertEqual(shrink.shrink(script * 20, lambda tried: True, max_runs=3).played, 3)
 
 
 if __name__ == "__main__":
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -29,7 +29,7 @@
         peer, before = Peer(), len(self.held)
         self.client.dial(self.line.address, peer, 1_000)
         self.until(lambda: peer.stream is not None)
-        if not (self.line.hole or self.line.shut or self.line.late_ms):
+        if not (self.line.black_hole or self.line.refusing or self.line.late_ms):
             self.until(lambda: len(self.held) > before)
         return peer
 
@@ -66,7 +66,7 @@
             self.assertEqual(world.peer.data, data)
             world.peer.stream.close()
             self.assertTrue(world.until(lambda: world.held[0].ends))
-            self.assertEqual((world.held[0].ends, world.line.pairs), ([None], {}))
+            self.assertEqual((world.held[0].ends, world.line.connections), ([None], {}))
         self.both(act)
 
     def test_cut_one_way_and_both(self):
@@ -164,11 +164,11 @@
         world, told = MemoryNetwork(5), []
         lines = FaultyNetwork(world.host("relay"), lambda what, now, **facts: told.append(facts["line"]))
         for number, (source, target) in enumerate((("d0", "p0"), ("d0", "p1"), ("d1", "p0"), ("p1", "p0"))):
-            lines.line(source, target, ("relay", 100 + number), lambda: ("x", 1))
-        lines.part(frozenset(("d0", "p0")), frozenset(("d1", "p1")))
+            lines.add_link(source, target, ("relay", 100 + number), lambda: ("x", 1))
+        lines.partition(frozenset(("d0", "p0")), frozenset(("d1", "p1")))
         self.assertEqual(told, ["d0>p1", "d1>p0", "p1>p0"])
         told.clear()
-        lines.part(frozenset(("d0", "p0")), frozenset(("d1",)))         # p1 is in neither and sees all
+        lines.partition(frozenset(("d0", "p0")), frozenset(("d1",)))         # p1 is in neither and sees all
         self.assertEqual(told, ["d1>p0"])
 
 
