--- a/laddergw/cli/rehearse_soak.py
+++ b/laddergw/cli/rehearse_soak.py
@@ -162,9 +162,7 @@
             for number in range(PLAYS_PER_SMALLER_PLAN)
         )
 
-    found = shrink(
-        list(result.plan.faults), fails, MAX_SMALLER_PLANS, prune=lambda faults: faults
-    )
+    found = shrink(list(result.plan.faults), fails, MAX_SMALLER_PLANS, prune=lambda faults: faults)
     path.write_bytes(
         plans.to_json(msgspec.structs.replace(result.plan, faults=tuple(found.script)))
     )
