--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -11,13 +11,13 @@
 from laddergw.lab.viewers_stand_in import Viewers
 from laddergw.loop.memory import MemoryNetwork
 
-SETTLE_MS = 1_500.0        # the fleet is up and told before the first viewer comes
-TAIL_MS = 40_000.0         # at most so long for the last plays after the last arrival
+SETTLE_MS = 1_500.0        # for the fleet to be up and listed before the first viewer
+TAIL_MS = 40_000.0         # maximum time for the last plays after the last arrival
 PORT = 8100
 
 
 class MemoryStage:
-    """See the module; `director_class` lets a test put a broken director on the stage."""
+    """Stage in memory. `director_class` lets a test use a broken director."""
 
     def __init__(self, model: DeploymentModel, script: list, director_class=Director):
         self.model, self.director_class = model, director_class
@@ -33,10 +33,11 @@
         self.scenario = ScenarioPlayer(model, self, script, self.record)
 
     def record(self, what: str, now: float, **facts) -> None:
+        """Keeps a record of something that happened."""
         self.records.append((now, what, facts))
 
     def run(self) -> list[tuple]:
-        """Plays all of it; the records, in order of time."""
+        """Runs the whole rehearsal; returns the records in order of time."""
         self.scenario.start_fleet()
         for number in range(self.model.directors):
             self.scenario.directors_up.add(number)
@@ -53,6 +54,7 @@
         return self.records
 
     def finished(self) -> None:
+        """Called when the last play is over."""
         self.done = True
 
     def start_node(self, facts, incarnation: int, cold: bool, rack: int, port: int, ready: Callable) -> None:
@@ -63,6 +65,7 @@
         ready(node.address)
 
     def fault(self, node: int, what: str, value) -> None:
+        """Sets a fault at a node; one that ends the node ends its host, too."""
         stand_in = self.nodes[node]
         stand_in.loop.now = max(stand_in.loop.now, self.world.now)
         stand_in.fault(what, value)
@@ -70,36 +73,44 @@
             (stand_in.loop.kill if what == "die" else stand_in.loop.vanish)()
 
     def publish_list_entry(self, entry: dict) -> None:
+        """Sets a node's entry in the fleet list."""
         self.list.loop.now = self.world.now
         self.list.change(entry)
 
-    def set_list_unreachable(self, out: bool) -> None:
+    def set_list_unreachable(self, unreachable: bool) -> None:
+        """Takes the list service out of reach, or back."""
         self.list.loop.now = self.world.now
-        self.list.reach(out)
+        self.list.set_unreachable(unreachable)
 
     def set_list_lag(self, ms: float) -> None:
+        """Sets the extra delay of list changes."""
         self.list.extra_lag = ms
 
     def start_director(self, number: int) -> None:
+        """Starts the next process of a director."""
         self.starts[number] += 1
         source = f"d{number}.{self.starts[number]}"
         host = self.world.host(f"d{number}")
-        house = read(self.model.director_file(number, (f"d{number}", PORT), self.list.address, self.model.seed * 1000 + number * 10
-                                      + self.starts[number]), source)
-        self.directors[number] = self.director_class(host, house, wall=lambda: self.world.now, tap=tap(source, self.record))
+        settings = read(self.model.director_file(number, (f"d{number}", PORT), self.list.address, self.model.seed * 1000 + number * 10
+                                                 + self.starts[number]), source)
+        self.directors[number] = self.director_class(host, settings, wall=lambda: self.world.now, tap=tap(source, self.record))
         self.record("director up", self.world.now, number=number, source=source)
 
-    def down(self, number: int, how: str) -> None:
+    def record_down(self, number: int, how: str) -> None:
+        """Records the end of a director's process."""
         self.record("director down", self.world.now, number=number, source=f"d{number}.{self.starts[number]}", how=how)
 
     def kill_director(self, number: int) -> None:
+        """Ends a director at once."""
         self.world.hosts[f"d{number}"].kill()
-        self.down(number, "killed")
+        self.record_down(number, "killed")
 
     def freeze_director(self, number: int, ms: float) -> None:
+        """Stops a director's execution for a time."""
         self.world.hosts[f"d{number}"].freeze(ms)
 
     def stop_director(self, number: int) -> None:
+        """Shuts a director down, and ends its host once it has finished."""
         director, host = self.directors[number], self.world.hosts[f"d{number}"]
         host.deliver_at(self.world.now, director.stop)
 
@@ -107,5 +118,5 @@
             if host.running:
                 return self.loop.call_at(self.world.now + 50, ended)
             host.kill()
-            self.down(number, "stopped")
+            self.record_down(number, "stopped")
         self.loop.call_at(self.world.now + 50, ended)
--- a/laddergw/lab/stitched_processes.py
+++ b/laddergw/lab/stitched_processes.py
@@ -23,5 +23,5 @@
                 "--tap", self.file(f"{source}.jsonl"), "--source", source]
 
     def start_viewers(self) -> None:
-        self.viewers.tell(directors=self.addresses, sessions=[
+        self.viewers.send_command(directors=self.addresses, sessions=[
             [session_at(self.model, number, self.sessions), session_frame(self.model, number)] for number in range(self.sessions)])
--- a/tests/fleet_commands.py
+++ b/tests/fleet_commands.py
@@ -36,6 +36,6 @@
             self.wait(lambda: self.loop.now >= next_poll, 1_000, what)
 
     def assert_before(self, deadline: float, what: str) -> None:
-        """Raises CouldNotRun after a deadline."""
+        """Raises RehearsalError after a deadline."""
         if self.loop.now > deadline:
             raise RehearsalError(f"{what}: not within {COMMAND_TIMEOUT_MS:.0f} ms")
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -41,7 +41,7 @@
         self.loop.call_later(STOP_MS, lambda: self.planners[0].send_signal(signal.SIGCONT))
         self.loop.call_later(KILL_MS, lambda: self.scenario.apply_event(FaultEvent(0, "kill", 2)))
         self.loop.call_later(KILL_MS + DOWN_MS, lambda: self.scenario.apply_event(FaultEvent(0, "start", 2)))
-        self.loop.call_later(STOP_MS + END_DELAY_MS, lambda: self.viewers.tell(do="enough"))
+        self.loop.call_later(STOP_MS + END_DELAY_MS, lambda: self.viewers.send_command(do="enough"))
 
     def spends(self, source: str) -> int:
         """Returns how many spends are in a process's tap."""
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -183,10 +183,10 @@
 
     def test_fleet_list_unreachable_and_back(self):
         cluster = Cluster()
-        cluster.list.reach(True)
+        cluster.list.set_unreachable(True)
         cluster.run(3_000)
         self.assertEqual((request := cluster.ask()) and cluster.run(200) or request.answer, "playing")
-        cluster.list.reach(False)
+        cluster.list.set_unreachable(False)
         cluster.run(2_000)
         self.assertIsNotNone(cluster.directors[0].fleet.stream)
 
