--- a/laddergw/lab/viewers_stand_in.py
+++ b/laddergw/lab/viewers_stand_in.py
@@ -196,8 +196,8 @@
             Viewer(self, self.numbers).ask()
         self.loop.call_at(self.next_at, self.arrive)
 
-    def enough(self) -> None:
-        """Nobody comes from now on; who is there plays to the end."""
+    def stop_arrivals(self) -> None:
+        """Stops new arrivals; plays under way continue to their end."""
         self.plan = self.plan._replace(seconds=(self.loop.now - self.started) / 1000)
 
     def over(self, viewer: Viewer) -> None:
