--- a/benchmarks/budgets_use.py
+++ b/benchmarks/budgets_use.py
@@ -2,7 +2,7 @@
 
     PYTHONPATH=. .venv/bin/python benchmarks/budgets_use.py [seeds]
 
-The program's own GrantHolder and GrantIssuer over messages in memory (lab/budgets_play.py), the second half of 160 s. Beside them, on the same wants: one window over all
+The program's own GrantHolder and GrantIssuer over messages in memory (lab/budget_simulation.py), the second half of 160 s. Beside them, on the same wants: one window over all
 spends, exact (what a planner that sees all at once would let through); equal shares that stay; and today's own counts, where each director holds the whole (what it lets through is over the whole).
 """
 import sys
@@ -11,8 +11,8 @@
 
 from laddergw.fleet.grants import Grant, GrantHolder
 from laddergw.fleet.grant_issuer import Budget, GrantIssuer
-from laddergw.lab.budget_parts import STORE, Kind
-from laddergw.lab.budgets_play import Play
+from laddergw.lab.budget_model import STORE, SimulationSettings
+from laddergw.lab.budget_simulation import BudgetSimulation
 from laddergw.machines.retry_budget import BudgetTerms, RetryBudgets
 
 HALF = 0.5
@@ -30,37 +30,37 @@
     return had
 
 
-class Watched(Play):
+class Watched(BudgetSimulation):
     """Notes who wanted when."""
 
     def __init__(self, *given, **named):
         super().__init__(*given, **named)
         self.by: list[tuple[float, int, bool]] = []
 
-    def want(self) -> None:
-        before, draws = len(self.had), self.draws
-        super().want()
-        if len(self.had) > before:
+    def request_spend(self) -> None:
+        before, draws = len(self.requests), self.draws
+        super().request_spend()
+        if len(self.requests) > before:
             kept, self.draws = self.draws, draws + 1          # (the draw of who it was, again)
             favourite = int(self.now // 10_000) % self.kind.directors if self.kind.shifts else 0
             number = favourite if self.draw() < self.kind.skew else int(self.draw() * self.kind.directors)
             self.draws = kept
-            self.by.append((self.now, number, self.had[-1][1]))
+            self.by.append((self.now, number, self.requests[-1][1]))
 
 
-def cut_half(play: Play) -> None:
+def cut_half(play: BudgetSimulation) -> None:
     """Half of the directors reach no planner for the last quarter of the play."""
     def cut() -> None:
         for number in range(play.kind.directors // 2):
             for place in range(len(play.planners)):
                 play.cut[number, place] = play.now + 1e9, "both"
-    play.put(play.kind.seconds * 750, cut)
+    play.schedule(play.kind.seconds * 750, cut)
 
 
-def measure(name: str, kind: Kind, seeds: int, trouble=None) -> None:
+def measure(name: str, kind: SimulationSettings, seeds: int, trouble=None) -> None:
     rows = []
     for seed in range(1, seeds + 1):
-        play = Watched(seed, kind, trouble=trouble)
+        play = Watched(seed, kind, fault_script=trouble)
         begun = play.now
         found = play.run()
         share = 0.75 if trouble else HALF
@@ -77,13 +77,13 @@
     """From a director's death to the use of its share by others."""
     found = []
     for seed in range(1, seeds + 1):
-        play = Play(seed, Kind(directors=12, whole=60, window_ms=2_000.0, seconds=140, spends=60, troubles=0, skew=0.8))
+        play = BudgetSimulation(seed, SimulationSettings(directors=12, whole=60, window_ms=2_000.0, seconds=140, spends=60, troubles=0, skew=0.8))
         death = 100_000.0
 
-        def kill(play: Play) -> None:
-            play.put(death, lambda: setattr(play.directors[0], "alive", False))
-            play.put(death, lambda: setattr(play, "kind", play.kind._replace(skew=0.0)))
-        play.trouble = kill
+        def kill(play: BudgetSimulation) -> None:
+            play.schedule(death, lambda: setattr(play.directors[0], "alive", False))
+            play.schedule(death, lambda: setattr(play, "kind", play.kind._replace(skew=0.0)))
+        play.fault_script = kill
         play.run()
         rate = lambda begin: sum(1 for at in play.spends if begin <= at - 100_000.0 < begin + 1_000)
         found.append(next(second for second in range(int(death), 140_000, 250) if rate(second) >= 0.8 * 60 / 2) - death)
@@ -125,7 +125,7 @@
 
 if __name__ == "__main__":
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 3
-    usual = Kind(directors=12, whole=240, window_ms=10_000.0, seconds=200, spends=48, troubles=0)
+    usual = SimulationSettings(directors=12, whole=240, window_ms=10_000.0, seconds=200, spends=48, troubles=0)
     for load, spends in (("wanted twice over", 48), ("0.8 of it wanted", 19.2)):
         print(f"240 in 10 s, 12 directors, {load}:")
         kind = usual._replace(spends=spends)
--- a/benchmarks/planner_delay.py
+++ b/benchmarks/planner_delay.py
@@ -6,7 +6,7 @@
 import sys
 import urllib.request
 
-from laddergw.lab.apart_processes import ApartProcesses
+from laddergw.lab.planner_outage_processes import PlannerOutageProcesses
 from laddergw.lab.plant import plant
 from laddergw.lab.stage_processes import ProcessStage
 
@@ -29,7 +29,7 @@
 def main() -> None:
     seconds, rounds = (int(sys.argv[k]) if len(sys.argv) > k else default for k, default in ((1, 30), (2, 2)))
     for round_number in range(rounds):
-        for name, stage_class, extra_arguments in (("without", ProcessStage, ()), ("with", ApartProcesses, (0,))):
+        for name, stage_class, extra_arguments in (("without", ProcessStage, ()), ("with", PlannerOutageProcesses, (0,))):
             stage = read_delays_before_end(stage_class)(plant(1 + round_number, directors=8, nodes=64, rate=24.0, seconds=seconds), [], *extra_arguments)
             stage.run()
             means = [sum(delays) / len(stage.delays) for delays in zip(*stage.delays)]
--- a/benchmarks/planner_worth.py
+++ b/benchmarks/planner_worth.py
@@ -7,9 +7,9 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from laddergw.lab import apart, audit, plant, script
+from laddergw.lab import audit, plant, planner_outage, script
 
-PLANNER_CASES = {"without": (0, None), "with": (1, None), "lies": (1, apart.double)} # number of planners, what changes their plans
+PLANNER_CASES = {"without": (0, None), "with": (1, None), "lies": (1, planner_outage.double_loads)} # number of planners, what changes their plans
 SECONDS, RATE, NODES, LOAD = 30.0, 24.0, 24, 1.5
 
 
@@ -19,10 +19,10 @@
     edges, case, seed = job
     the_plant = plant.plant(seed, directors=edges, nodes=NODES, rate=RATE, seconds=SECONDS, load=LOAD)
     planners, plan_override = PLANNER_CASES[case]
-    stage = apart.ApartStage(the_plant, script.rolling_deploy(the_plant, 12_000, 20_000, 0.3), planners, 0, plan_override)
+    stage = planner_outage.PlannerOutageStage(the_plant, script.rolling_deploy(the_plant, 12_000, 20_000, 0.3), planners, 0, plan_override)
     records = stage.run()
     judged = audit.audit(the_plant, records)
-    return judged.service["all"], audit.worth(the_plant, records), len(judged.breaks) + judged.without, sum(side.trust.change_count for side in stage.sides.values())
+    return judged.service["all"], audit.worth(the_plant, records), len(judged.breaks) + judged.without, sum(side.trust.change_count for side in stage.planner_clients.values())
 
 
 def main() -> None:
--- a/laddergw/cli/rehearsing.py
+++ b/laddergw/cli/rehearsing.py
@@ -84,7 +84,7 @@
     """Sessions with notices through drains, moves in mid-insertion and dying sources; timing faults count as broken."""
     from laddergw.lab import stitched as lab
     began, the_plant = time.monotonic(), lab.stitched_plant(seed, sessions, seconds)
-    the_script = lab.script(the_plant)
+    the_script = lab.fault_script(the_plant)
     from laddergw.lab.stitched_processes import StitchedProcesses
     stage = lab.StitchedStage(the_plant, the_script, sessions) if memory else \
         StitchedProcesses(the_plant, the_script, sessions, str(keep) if keep else None, log)
@@ -104,8 +104,8 @@
     began, the_script = time.monotonic(), script.bad_day(the_plant)
     stage = lab.stage_for(the_plant, the_script, memory, str(keep) if keep else None, log)
     records = played(stage)
-    found = lab.switched(records)
-    said = [f"{stage.numbers} versions; " + ", ".join(f"{name} {value}" for name, value in found.items())]
+    found = lab.count_switches(records)
+    said = [f"{stage.version_count} versions; " + ", ".join(f"{name} {value}" for name, value in found.items())]
     typer.echo(said[0])
     conclude(the_plant, the_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began, seed, said, report, bool(found["dropped"]))
 
@@ -113,12 +113,12 @@
 def apart(seed: int, the_plant, report: Path | None, memory: bool, keep: Path | None, log: str, kills: int) -> None:
     """Edges and planners, the planners killed and started again all through a bad day."""
     from laddergw.lab import script
-    from laddergw.lab.apart import TWO, ApartStage
-    from laddergw.lab.apart_processes import ApartProcesses
+    from laddergw.lab.planner_outage import TWO_PLANNERS, PlannerOutageStage
+    from laddergw.lab.planner_outage_processes import PlannerOutageProcesses
     began, the_script = time.monotonic(), script.bad_day(the_plant)
-    stage = ApartStage(the_plant, the_script, TWO, kills) if memory else ApartProcesses(the_plant, the_script, kills, str(keep) if keep else None, log)
+    stage = PlannerOutageStage(the_plant, the_script, TWO_PLANNERS, kills) if memory else PlannerOutageProcesses(the_plant, the_script, kills, str(keep) if keep else None, log)
     records = played(stage)
-    said = [stage.told()]
+    said = [stage.summary()]
     typer.echo(said[0])
     conclude(the_plant, the_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began, seed, said, report)
 
--- a/laddergw/lab/budget_parts.py
+++ b/laddergw/lab/budget_model.py
@@ -10,7 +10,7 @@
 PACE = 500e-6              # clocks run so far apart
 
 
-class Kind(NamedTuple):
+class SimulationSettings(NamedTuple):
     """What a play is made of. Rates are a second, over all."""
     directors: int = 6
     whole: int = 24
@@ -25,7 +25,7 @@
     shifts: bool = False             # who wants much changes every ten seconds
 
 
-class Rules(NamedTuple):
+class Implementations(NamedTuple):
     """What plays; a test hands in mistakes."""
     holding: type = GrantHolder
     issuer: type = GrantIssuer
@@ -43,17 +43,17 @@
 
 
 class Director:
-    def __init__(self, number: int, life: int, rules: Rules, kind: Kind, clock: Clock):
+    def __init__(self, number: int, life: int, rules: Implementations, kind: SimulationSettings, clock: Clock):
         self.name, self.clock, self.number, self.epoch = f"d{number}-{life}", clock, 0, 0
         self.holding = rules.holding(STORE)
         self.holding.configure({"b": kind.window_ms})
-        self.still_until, self.alive, self.inbox = 0.0, True, []
+        self.frozen_until, self.alive, self.inbox = 0.0, True, []
 
 
 class Planner:
     def __init__(self, clock: Clock):
         self.clock, self.epoch, self.issuer = clock, 0, None
-        self.still_until, self.alive, self.inbox, self.outbox = 0.0, True, [], []
+        self.frozen_until, self.alive, self.inbox, self.outbox = 0.0, True, [], []
 
 
 class Outcome(NamedTuple):
@@ -67,7 +67,7 @@
     late_wanted: int
 
 
-def most_within(times: list[float], window_ms: float) -> tuple[int, float]:
+def max_within_window(times: list[float], window_ms: float) -> tuple[int, float]:
     """The most of these that lie within any window of that length, and where that begins."""
     times = sorted(times)
     return max(((bisect_left(times, begin + window_ms) - place, begin) for place, begin in enumerate(times)), default=(0, 0.0))
--- a/laddergw/lab/budgets_play.py
+++ b/laddergw/lab/budget_simulation.py
@@ -10,12 +10,12 @@
 
 from laddergw.fleet.grants import Grant, Row
 from laddergw.fleet.grant_issuer import Budget
-from laddergw.lab.budget_parts import ASK_MS, HOLDS, PACE, STORE, Clock, Director, Kind, Outcome, Planner, Rules, most_within
+from laddergw.lab.budget_model import ASK_MS, HOLDS, PACE, STORE, Clock, Director, SimulationSettings, Outcome, Planner, Implementations, max_within_window
 
-class Play:
+class BudgetSimulation:
     """See the module."""
 
-    def __init__(self, seed: int, kind: Kind = Kind(), rules: Rules = Rules(), trouble: Callable | None = None):
+    def __init__(self, seed: int, kind: SimulationSettings = SimulationSettings(), rules: Implementations = Implementations(), fault_script: Callable | None = None):
         self.seed, self.kind, self.rules, self.draws = seed, kind, rules, 0
         self.queue: list[tuple] = []
         self.order = self.lives = 0
@@ -23,11 +23,11 @@
         self.store_epoch, self.backup = 0, 0
         self.whole = kind.whole
         self.cut: dict[tuple[int, int], tuple[float, str]] = {}          # line -> until, which way
-        self.directors = [self.begin(number) for number in range(kind.directors)]
+        self.directors = [self.start_director(number) for number in range(kind.directors)]
         self.planners = [Planner(self.clock()) for _ in range(kind.planners)]
         self.spends: list[float] = []
-        self.had: list[tuple[float, bool]] = []
-        self.trouble = trouble
+        self.requests: list[tuple[float, bool]] = []
+        self.fault_script = fault_script
 
     def draw(self) -> float:
         """By seed and count; mixed, since neighbours' checksums are alike."""
@@ -40,17 +40,17 @@
     def clock(self) -> Clock:
         return Clock(self.between(-PACE, PACE), self.between(0.0, 3_600_000.0))
 
-    def begin(self, number: int) -> Director:
+    def start_director(self, number: int) -> Director:
         self.lives += 1
         return Director(number, self.lives, self.rules, self.kind, self.clock())
 
-    def put(self, ms: float, call: Callable[[], None]) -> None:
+    def schedule(self, ms: float, call: Callable[[], None]) -> None:
         self.order += 1
         heapq.heappush(self.queue, (self.now + ms, self.order, call))
 
     # Planners
 
-    def take(self, place: int, least: int = 0) -> None:
+    def take_over_store(self, place: int, least: int = 0) -> None:
         """The next epoch of the store: whoever had it is fenced out."""
         planner = self.planners[place]
         if planner.alive:
@@ -65,7 +65,7 @@
             planner.issuer = None
             return
         if row.epoch > planner.epoch:
-            return self.take(place, row.epoch + 1)
+            return self.take_over_store(place, row.epoch + 1)
         if planner.issuer.handle_request(process, number, row, now) and (grant := planner.issuer.grant(process, now)) is not None:
             epoch = planner.epoch
             self.hold(planner, lambda: back(number, epoch, grant))
@@ -73,15 +73,15 @@
     def hold(self, planner: Planner, send: Callable[[], None]) -> None:
         """It may stand still between what it decided and what it sends."""
         if self.draw() < HOLDS * self.kind.troubles * ASK_MS / 1000 / self.kind.directors:
-            planner.still_until = max(planner.still_until, self.now + self.between(500, 15_000))
-            self.put(planner.still_until - self.now, lambda: planner.alive and send())
+            planner.frozen_until = max(planner.frozen_until, self.now + self.between(500, 15_000))
+            self.schedule(planner.frozen_until - self.now, lambda: planner.alive and send())
         else:
             send()
 
     def at_planner(self, place: int, call: Callable[[], None]) -> None:
         planner = self.planners[place]
-        if planner.still_until > self.now:
-            return self.put(planner.still_until - self.now + 0.01, lambda: self.at_planner(place, call))
+        if planner.frozen_until > self.now:
+            return self.schedule(planner.frozen_until - self.now + 0.01, lambda: self.at_planner(place, call))
         return call()
 
     # Directors
@@ -89,8 +89,8 @@
     def tick(self, number: int) -> None:
         """Asks each planner, as digests go out."""
         director = self.directors[number]
-        self.put(ASK_MS, lambda: self.tick(number))
-        if not director.alive or director.still_until > self.now:
+        self.schedule(ASK_MS, lambda: self.tick(number))
+        if not director.alive or director.frozen_until > self.now:
             return
         director.number += 1
         rows = director.holding.build_rows(director.number, director.clock.at(self.now))
@@ -107,49 +107,49 @@
         if (until > self.now and cut in (way, "both")) or self.draw() < self.kind.loss:
             return
         late = self.between(0.2, 5.0) if self.draw() >= self.kind.slow[0] else self.between(10, self.kind.slow[1])
-        self.put(late, deliver)
+        self.schedule(late, deliver)
         if self.draw() < 0.01:
-            self.put(late + self.between(0, 4_000), deliver)
+            self.schedule(late + self.between(0, 4_000), deliver)
 
     def at_director(self, director: Director, number: int, epoch: int, grant: Grant) -> None:
         if not director.alive:
             return
-        if director.still_until > self.now:
-            return self.put(director.still_until - self.now + 0.01, lambda: self.at_director(director, number, epoch, grant))
+        if director.frozen_until > self.now:
+            return self.schedule(director.frozen_until - self.now + 0.01, lambda: self.at_director(director, number, epoch, grant))
         return director.holding.apply_grants(number, epoch, STORE, [grant], director.clock.at(self.now))
 
-    def want(self) -> None:
+    def request_spend(self) -> None:
         """One director wants one."""
         kind = self.kind
-        self.put(self.between(0, 2_000 / kind.spends), self.want)
+        self.schedule(self.between(0, 2_000 / kind.spends), self.request_spend)
         favourite = int(self.now // 10_000) % kind.directors if kind.shifts else 0
         number = favourite if self.draw() < kind.skew else int(self.draw() * kind.directors)
         director = self.directors[number]
-        had = director.alive and director.still_until <= self.now and director.holding.spend("b", director.clock.at(self.now))
-        self.had.append((self.now, had))
+        had = director.alive and director.frozen_until <= self.now and director.holding.spend("b", director.clock.at(self.now))
+        self.requests.append((self.now, had))
         if had:
             self.spends.append(self.now)
 
     # Troubles
 
-    def strike(self) -> None:
-        self.put(self.between(0, 2_000 / max(self.kind.troubles, 1e-9)), self.strike)
+    def inject_fault(self) -> None:
+        self.schedule(self.between(0, 2_000 / max(self.kind.troubles, 1e-9)), self.inject_fault)
         number, place, what = int(self.draw() * self.kind.directors), int(self.draw() * len(self.planners)), int(self.draw() * 9)
         director, planner = self.directors[number], self.planners[place]
         if what == 0:
             director.alive = False
-            self.put(self.between(0, 4_000), lambda: self.restart(number, director))
+            self.schedule(self.between(0, 4_000), lambda: self.restart(number, director))
         elif what == 1:                                       # a new process under the name of one that still runs
-            self.directors[number] = self.begin(number)
+            self.directors[number] = self.start_director(number)
         elif what == 2:
-            director.still_until = self.now + self.between(500, 9_000)
+            director.frozen_until = self.now + self.between(500, 9_000)
         elif what == 3:
-            planner.still_until = self.now + self.between(500, 9_000)
+            planner.frozen_until = self.now + self.between(500, 9_000)
         elif what == 4:
             planner.alive = False
-            self.put(self.between(0, 3_000), lambda: self.planner_back(place))
+            self.schedule(self.between(0, 3_000), lambda: self.planner_back(place))
         elif what == 5:
-            self.take(place)
+            self.take_over_store(place)
         elif what == 6:
             half = int(self.draw() * self.kind.directors)
             way = ("to", "back", "both")[int(self.draw() * 3)]
@@ -165,42 +165,42 @@
         for planner in self.planners:
             planner.alive, planner.issuer = False, None
         self.store_epoch = self.backup
-        self.put(500.0, lambda: [self.planner_back(n) for n in range(len(self.planners))])
+        self.schedule(500.0, lambda: [self.planner_back(n) for n in range(len(self.planners))])
 
     def planner_back(self, place: int) -> None:
         self.planners[place] = Planner(self.clock())
-        self.take(place)
+        self.take_over_store(place)
 
     def restart(self, number: int, old: Director) -> None:
         if self.directors[number] is old:
-            self.directors[number] = self.begin(number)
+            self.directors[number] = self.start_director(number)
 
     def keep_backup(self) -> None:
-        self.put(10_000.0, self.keep_backup)
+        self.schedule(10_000.0, self.keep_backup)
         self.backup = self.store_epoch
 
     # The play
 
     def run(self) -> Outcome:
         end = self.now + self.kind.seconds * 1000
-        self.take(0)
+        self.take_over_store(0)
         for number in range(self.kind.directors):
-            self.put(self.between(0, ASK_MS), lambda number=number: self.tick(number))
-        for call in self.want, self.keep_backup:
-            self.put(1.0, call)
-        if self.trouble is not None:
-            self.trouble(self)
+            self.schedule(self.between(0, ASK_MS), lambda number=number: self.tick(number))
+        for call in self.request_spend, self.keep_backup:
+            self.schedule(1.0, call)
+        if self.fault_script is not None:
+            self.fault_script(self)
         elif self.kind.troubles:
-            self.put(self.between(0, 20_000), self.strike)
+            self.schedule(self.between(0, 20_000), self.inject_fault)
         begun = self.now
         while self.queue and self.queue[0][0] <= end:
             self.now, _, call = heapq.heappop(self.queue)
             call()
-        most, at = most_within(self.spends, self.kind.window_ms)
-        late = [had for when, had in self.had if when - begun >= self.kind.seconds * 500]
-        return Outcome(most, self.kind.whole, at - begun, len(self.spends), len(self.had), sum(late), len(late))
+        most, at = max_within_window(self.spends, self.kind.window_ms)
+        late = [had for when, had in self.requests if when - begun >= self.kind.seconds * 500]
+        return Outcome(most, self.kind.whole, at - begun, len(self.spends), len(self.requests), sum(late), len(late))
 
 
-def outcomes(seeds: Iterator[int], kind: Kind = Kind(), rules: Rules = Rules()) -> Iterator[tuple[int, Outcome]]:
+def run_seeds(seeds: Iterator[int], kind: SimulationSettings = SimulationSettings(), rules: Implementations = Implementations()) -> Iterator[tuple[int, Outcome]]:
     for seed in seeds:
-        yield seed, Play(seed, kind, rules).run()
+        yield seed, BudgetSimulation(seed, kind, rules).run()
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -10,17 +10,17 @@
 from laddergw.fleet import versions
 from laddergw.http.client import Pool
 from laddergw.lab import fleet_check
-from laddergw.lab.apart_processes import PLANNERS, ApartProcesses
+from laddergw.lab.planner_outage_processes import PLANNERS, PlannerOutageProcesses
 from laddergw.lab.fleet_check import Tally
 from laddergw.lab.fleet_stage import BACK_MS, BOTH_DIE, STOP_MS, STOPS, WANTS_FROM
 from laddergw.lab.line_script import LineFault, schedule
-from laddergw.lab.limits import broken, sound
+from laddergw.lab.limits import invalid_text, valid_text
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import Plant, between
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_processes import HOST
 from laddergw.lab.viewers_stand_in import LIMITS
-from laddergw.lab.wanting import BAD_EACH, SOAK_MS, TEXTS, WANT_MS
+from laddergw.lab.rollout_operator import BAD_EACH, SOAK_MS, TEXTS, WANT_MS
 from laddergw.loop.tls import TlsStream, client_context
 from laddergw.planner import wire
 from laddergw.planner.audit_client import limits_text
@@ -34,39 +34,39 @@
 ANSWERS = re.compile(r'laddergw_answers_total\{answer="(\w+)",product="([^"]+)"\} (\d+)')
 
 
-class FleetProcesses(ApartProcesses):
+class FleetProcesses(PlannerOutageProcesses):
     """See the module."""
 
     def __init__(self, plant: Plant, script: list[Trouble], kills: int, folder: str | None = None, level: str = "warning",
                  faults: list[LineFault] | None = None):
         super().__init__(plant, script, kills, folder, level)
         self.lines = Lines(self.loop, self.record, plant.seed)
-        self.read_house = director_files.read(plant.house(0, (HOST, 1), (HOST, 1), plant.seed))
-        self.switches, self.wants, self.wanting, self.verdict, self.facts = 0, 0, False, ["the judge was never asked"], {}
+        self.director_file = director_files.read(plant.house(0, (HOST, 1), (HOST, 1), plant.seed))
+        self.switches, self.wants, self.rollouts_begun, self.verdict, self.facts = 0, 0, False, ["the judge was never asked"], {}
         ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(PLANNERS)]
         self.faults = schedule(plant.seed, *ends, plant.crowd.seconds * 1000) if faults is None else faults
         self.write_limits()
 
     def write_limits(self) -> None:
         """By hand, at each edge."""
-        text = sound(self.plant.seed, self.switches % 4, self.read_house).encode()
+        text = valid_text(self.plant.seed, self.switches % 4, self.director_file).encode()
         for number in range(self.plant.directors):
-            replace_file(self.limits(number), text)
+            replace_file(self.limits_path(number), text)
 
-    def limits(self, number: int) -> str:
+    def limits_path(self, number: int) -> str:
         return self.file(f"limits.{number}.terms")
 
     def house_text(self, number: int) -> str:
         """Its planners are reached through lines of ours."""
         text = super().house_text(number).replace("(bounds", f"(without-planner {'closed' if number % 2 else 'open'})\n (bounds", 1)
-        for planner, (host, port) in self.places.items():
+        for planner, (host, port) in self.planner_addresses.items():
             ends = f"d{number}", f"p{planner}"
-            line = self.lines.by_ends.get(ends) or self.lines.line(*ends, (HOST, 0), lambda planner=planner: self.places[planner])
+            line = self.lines.by_ends.get(ends) or self.lines.line(*ends, (HOST, 0), lambda planner=planner: self.planner_addresses[planner])
             text = text.replace(f'(planner "{host}" {port})', f'(planner "{line.address[0]}" {line.address[1]})')
         return text
 
     def director_command(self, file: str, source: str) -> list[str]:
-        return super().director_command(file, source) + ["--limits", self.limits(int(source[1:].partition(".")[0]))]
+        return super().director_command(file, source) + ["--limits", self.limits_path(int(source[1:].partition(".")[0]))]
 
     def let_them_come(self) -> None:
         super().let_them_come()
@@ -79,8 +79,8 @@
                 self.loop.call_later(at, lambda planner=planner: self.kill_planner(planner))
         for stop in range(STOPS):
             self.loop.call_later(between(self.plant.seed, 0, seconds, "stop", stop), lambda stop=stop: self.stop_planner(stop))
-        self.loop.call_later(SWITCH_MS, self.switch)
-        self.loop.call_later(WANTS_FROM * seconds, self.want)
+        self.loop.call_later(SWITCH_MS, self.switch_limits)
+        self.loop.call_later(WANTS_FROM * seconds, self.request_rollout)
 
     def strike(self, fault: LineFault) -> None:
         line = self.lines.by_ends.get((fault.source, fault.target))
@@ -96,24 +96,24 @@
         self.record("planner stopped", self.loop.now, number=stop % PLANNERS)
         self.loop.call_later(between(self.plant.seed, *STOP_MS, "stopped", stop), lambda: child.poll() is None and child.send_signal(signal.SIGCONT))
 
-    def switch(self) -> None:
-        if not self.ending and not self.wanting:
+    def switch_limits(self) -> None:
+        if not self.ending and not self.rollouts_begun:
             self.switches += 1
             self.write_limits()
-            self.loop.call_later(SWITCH_MS, self.switch)
+            self.loop.call_later(SWITCH_MS, self.switch_limits)
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         """Both are asked; the one that keeps the journal begins, or says that the last one goes on."""
-        self.wanting = True
+        self.rollouts_begun = True
         if self.ending:
             return
         number = self.wants = self.wants + 1
         bad = number % BAD_EACH == 0
-        data = (broken if bad else lambda *given: sound(*given, self.read_house))(self.plant.seed, number if bad else number % TEXTS).encode()
-        name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(load(data, "wanted", self.read_house).limits)).hash
-        for planner in self.places:
-            self.asking(planner, wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS}), lambda found: None)
-        self.loop.call_later(WANT_MS, self.want)
+        data = (invalid_text if bad else lambda *given: valid_text(*given, self.director_file))(self.plant.seed, number if bad else number % TEXTS).encode()
+        name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(load(data, "wanted", self.director_file).limits)).hash
+        for planner in self.planner_addresses:
+            self.query_planner(planner, wire.Ask("want", f"limits {name}", 0.0, data, {"soak_ms": SOAK_MS}), lambda found: None)
+        self.loop.call_later(WANT_MS, self.request_rollout)
 
     # The judge
 
@@ -128,7 +128,7 @@
         for number in sorted(self.conductor.directors_up):
             said = self.fetch(number, "POST", "/v1/audit", b"{}")
             tallies[json.loads(said)["process"]] = self.tally(self.fetch(number, "GET", "/metrics", b"").decode())
-        asked = {planner: found for planner in self.places if (found := self.ask(planner, wire.Ask("verify"))) and found["kept"]}
+        asked = {planner: found for planner in self.planner_addresses if (found := self.ask(planner, wire.Ask("verify"))) and found["kept"]}
         if len(asked) != 1:
             self.verdict = [f"{len(asked)} planners keep the journal"]
             return
@@ -168,11 +168,11 @@
     def ask(self, planner: int, question: wire.Ask) -> dict | None:
         """One question to a planner; None where it is not there."""
         came: list = []
-        self.asking(planner, question, came.append)
+        self.query_planner(planner, question, came.append)
         self.wait(lambda: came, ASK_MS, f"planner {planner} answers")
         return came[0]
 
-    def asking(self, planner: int, question: wire.Ask, done) -> None:
+    def query_planner(self, planner: int, question: wire.Ask, done) -> None:
         """`done` gets the answer, or None."""
         came = []
 
@@ -182,5 +182,5 @@
                 peer.close("answered")
         peer = Peer(self.loop, wire.Hello(wire.VERSION, "d-operator", wire.OPERATOR, 0), told, lambda peer: peer.send(question),
                     lambda peer, why: done(came[0] if came else None))
-        host, port = self.places[planner]
+        host, port = self.planner_addresses[planner]
         self.loop.dial((host, port), TlsStream(peer, client_context(*self.edge_papers), False, host), ASK_MS)
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -12,15 +12,15 @@
 from laddergw.fleet.rights import CLOSED, OPEN
 from laddergw.fleet.action_counts import ADMITTED
 from laddergw.lab import fleet_check
-from laddergw.lab.apart import PORT, TWO, ApartStage
+from laddergw.lab.planner_outage import PORT, TWO_PLANNERS, PlannerOutageStage
 from laddergw.lab.fleet_check import Tally
-from laddergw.lab.limits import sound
+from laddergw.lab.limits import valid_text
 from laddergw.lab.line_script import LineFault, schedule
 from laddergw.lab.lines import Lines
 from laddergw.lab.plant import Plant, between
 from laddergw.lab.script import Trouble
 from laddergw.lab.stage_memory import MemoryStage
-from laddergw.lab.wanting import Wanting
+from laddergw.lab.rollout_operator import RolloutOperator
 from laddergw.planner.planner_client import PlannerClient
 from laddergw.store import ledger as ledgers
 from laddergw.terms import director_file as director_files
@@ -72,20 +72,20 @@
         super().admit(ply)
 
 
-class FleetStage(ApartStage):
+class FleetStage(PlannerOutageStage):
     """See the module."""
 
     def __init__(self, plant: Plant, script: list[Trouble], kills: int = 6, director_class=Tallied, faults: list[LineFault] | None = None):
-        super().__init__(plant, script, TWO, kills, director_class=director_class)
+        super().__init__(plant, script, TWO_PLANNERS, kills, director_class=director_class)
         self.lines = Lines(self.world.host("relay"), self.record, plant.seed)
         self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.tallies: dict[str, Tally] = {}
         self.switches = 0
-        ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(TWO)]
+        ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(TWO_PLANNERS)]
         self.faults = schedule(plant.seed, *ends, plant.crowd.seconds * 1000) if faults is None else faults
         self.verdict: list = ["the judge was never asked"]
         self.facts: dict[str, int] = {}
-        self.wanting = Wanting(self)
+        self.rollout_operator = RolloutOperator(self)
 
     def start_director(self, number: int) -> None:
         MemoryStage.start_director(self, number)
@@ -96,12 +96,12 @@
             ends = f"d{number}", f"p{planner}"
             line = self.lines.by_ends.get(ends) or self.lines.line(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
             places.append(line.address)
-        side = self.sides[number] = PlannerClient(director, tuple(places), self.keys())
+        side = self.planner_clients[number] = PlannerClient(director, tuple(places), self.keys())
         if not old(number):
-            side.audit.accept_files(LimitsFile(director.loop, self.limits_of(number), InProcessCheck(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
+            side.audit.accept_files(LimitsFile(director.loop, self.limits_path(number), InProcessCheck(director.house), director.change_limits, director.limits_refused, EMPTY).bring)
         self.tallies[director.name] = director.tally
 
-    def limits_of(self, number: int) -> str:
+    def limits_path(self, number: int) -> str:
         """The file that a director watches; its disk outlives its processes."""
         path = os.path.join(self.folder, f"limits.{number}")
         if not os.path.exists(path):
@@ -111,10 +111,10 @@
 
     def run(self) -> list[tuple]:
         start = self.world.now + 3_000
-        self.wanting.begin(start + WANTS_FROM * self.plant.crowd.seconds * 1000)
+        self.rollout_operator.begin(start + WANTS_FROM * self.plant.crowd.seconds * 1000)
         for fault in self.faults:
             self.loop.call_at(start + fault.at, lambda fault=fault: self.strike(fault))
-        self.loop.call_at(start, self.switch)
+        self.loop.call_at(start, self.switch_limits)
         for moment in range(BOTH_DIE):
             at = start + between(self.plant.seed, 0, self.plant.crowd.seconds * 1000, "both", moment)
             for planner in range(self.count):
@@ -142,29 +142,29 @@
         line.loop.now = self.world.now
         line.fault("heal")
 
-    def switch(self) -> None:
-        if self.done or self.wanting.on:
+    def switch_limits(self) -> None:
+        if self.done or self.rollout_operator.on:
             return
         self.switches += 1
-        text = sound(self.plant.seed, self.switches % 4, self.house)     # (of four, so that versions come back)
+        text = valid_text(self.plant.seed, self.switches % 4, self.house)     # (of four, so that versions come back)
         loaded = load(text.encode(), f"version-{self.switches % 4}", self.house)
         for number, director in self.directors.items():
             host, wait = self.world.hosts[f"d{number}"], between(self.plant.seed, 0, SPREAD_MS, "spread", number, self.switches)
             self.loop.call_at(self.world.now + wait, lambda host=host, director=director: host.alive and host.running
                          and host.deliver_at(self.world.now, lambda: director.change_limits(loaded.limits)))
-        self.loop.call_at(self.world.now + SWITCH_MS, self.switch)
+        self.loop.call_at(self.world.now + SWITCH_MS, self.switch_limits)
 
     def finished(self) -> None:
         """The last viewer is served: all lines are whole again, and the judge waits until all have come back."""
         if not self.done:
             for line in self.lines.by_ends.values():
                 self.heal(line)
-            self.wanting.over = True
+            self.rollout_operator.over = True
             self.loop.call_at(self.world.now + BACK_MS, lambda: self.judge(self.world.now + BACK_MS))
 
     def judge(self, latest: float) -> None:
         """Once no rollout goes on any more, or it is too late for that."""
-        if self.wanting.ask("stragglers").get("state") == "going" and self.world.now < latest:
+        if self.rollout_operator.ask("stragglers").get("state") == "going" and self.world.now < latest:
             return self.loop.call_at(self.world.now + 500.0, lambda: self.judge(latest))
         self.done = True
         leader = next((p for p in self.planners.values() if p.standby.state == "leads" and p.store is not None), None)
@@ -183,8 +183,8 @@
         hash_of = lambda text: versions.version(versions.LIMITS, text.split("\n") if text else []).hash
         self.verdict = fleet_check.judge(rows, self.tallies, back) + fleet_check.judge_versions(of_version, self.tallies, back, hash_of)
         self.verdict += list(ledgers.verify(leader.store.db).faults)
-        self.verdict += fleet_check.judge_sentences(self.wanting.sentences, self.tallies, hash_of)
-        self.verdict += fleet_check.judge_wanted(self.wanting.at_the_end(leader), {d.name: hash_of(d.tally.limits) for n, d in self.directors.items() if d.name in back and not old(n)})
+        self.verdict += fleet_check.judge_sentences(self.rollout_operator.sentences, self.tallies, hash_of)
+        self.verdict += fleet_check.judge_wanted(self.rollout_operator.at_the_end(leader), {d.name: hash_of(d.tally.limits) for n, d in self.directors.items() if d.name in back and not old(n)})
         self.facts = {"processes": len(self.tallies), "back": len(back), "switches": self.switches, "faults": len(self.faults),
                       "actions": sum(sum(t.counts.values()) for t in self.tallies.values()), "stands": len(book.version_sets),
-                      "wants": self.wanting.wants, "halted": self.wanting.halted, "sentences": len(self.wanting.sentences), "turns kept": max((len(side.audit.action_counts.turns) for side in self.sides.values()), default=0), "records": leader.auditor.ledger.count}
+                      "wants": self.rollout_operator.wants, "halted": self.rollout_operator.halted, "sentences": len(self.rollout_operator.sentences), "turns kept": max((len(side.audit.action_counts.turns) for side in self.planner_clients.values()), default=0), "records": leader.auditor.ledger.count}
--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -20,23 +20,23 @@
 SOUND_TRIES = 200          # drawn until one is accepted
 
 
-def version(seed: int, number: int, house: DirectorFile) -> tuple[str, bool]:
+def draw_version(seed: int, number: int, house: DirectorFile) -> tuple[str, bool]:
     """The text of a version, and whether it is sound."""
     if draw(seed, "broken", number) < BROKEN_PART:
-        return broken(seed, number), False
-    return sound(seed, number, house), True
+        return invalid_text(seed, number), False
+    return valid_text(seed, number, house), True
 
 
-def sound(seed: int, number: int, house: DirectorFile) -> str:
+def valid_text(seed: int, number: int, house: DirectorFile) -> str:
     """The first drawn text that is accepted: the search decides, not the drawing."""
     for turn in range(SOUND_TRIES):
-        text = drawn(seed, (number, turn), house.names)
+        text = draw_text(seed, (number, turn), house.names)
         if load(text.encode(), "drawn", house).limits is not None:
             return text
     raise ValueError(f"no sound text in {SOUND_TRIES} drawn")
 
 
-def drawn(seed: int, number, names: tuple[str, ...]) -> str:
+def draw_text(seed: int, number, names: tuple[str, ...]) -> str:
     """Any text that makes sense at first sight: set-ups of 300 to 1,500 ms, releases long and short, pauses, attempts, routes, budgets."""
     def pick(low: float, high: float, *what) -> int:
         return round(between(seed, low, high, number, *what))
@@ -66,7 +66,7 @@
     return "(limits\n" + "\n".join(filter(None, lines)) + ")\n"
 
 
-def broken(seed: int, number: int) -> str:
+def invalid_text(seed: int, number: int) -> str:
     """A text that must be refused: of its form, its figures, or what it would break."""
     kinds = ("(limits (defaults (time-limit-ms 4000) (set-up-ms 900) (attempts 3) (release-ms 200)))", "(limits (cold-pace 20))",
              "(limits (defaults (time-limit-ms 2000) (set-up-ms 900) (attempts 3)))", "(limits (defaults (set-up-ms 900)", "",
@@ -80,15 +80,15 @@
     def __init__(self, plant: Plant, script: list[Trouble], **more):
         super().__init__(plant, script, **more)
         self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
-        self.numbers = 0
+        self.version_count = 0
         self.loop.call_later(EVERY_MS, self.switch)
 
     def switch(self) -> None:
         if self.done:
             return
-        self.numbers += 1
-        text, _ = version(self.plant.seed, self.numbers, self.house)
-        loaded = load(text.encode(), f"version-{self.numbers}", self.house)
+        self.version_count += 1
+        text, _ = draw_version(self.plant.seed, self.version_count, self.house)
+        loaded = load(text.encode(), f"version-{self.version_count}", self.house)
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
@@ -103,8 +103,8 @@
     def __init__(self, plant: Plant, script: list[Trouble], folder: str | None = None, level: str = "warning"):
         super().__init__(plant, script, folder, level)
         self.house = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
-        self.limits, self.numbers = self.file("limits.terms"), 0
-        self.write(sound(plant.seed, 0, self.house))
+        self.limits, self.version_count = self.file("limits.terms"), 0
+        self.write(valid_text(plant.seed, 0, self.house))
 
     def director_command(self, file: str, source: str) -> list[str]:
         return super().director_command(file, source) + ["--limits", self.limits]
@@ -123,9 +123,9 @@
     def switch(self) -> None:
         if self.ending:
             return
-        self.numbers += 1
-        text, _ = version(self.plant.seed, self.numbers, self.house)
-        how = draw(self.plant.seed, "how", self.numbers)
+        self.version_count += 1
+        text, _ = draw_version(self.plant.seed, self.version_count, self.house)
+        how = draw(self.plant.seed, "how", self.version_count)
         if how < 0.5:
             self.write(text)
         else:
@@ -147,7 +147,7 @@
         self.loop.call_later(HALF_MS, rest)
 
 
-def switched(records: list[tuple]) -> dict[str, int]:
+def count_switches(records: list[tuple]) -> dict[str, int]:
     """What became of the versions, and the plays that a director let go of under way without a cause of its own."""
     found = {"switches": 0, "refused": 0, "most generations at once": 1, "dropped": 0}
     how = {f["allocation"]: f["how"] for _, what, f in records if what == "let go"}
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -40,16 +40,16 @@
 class Moving:
     """What both stages share: the turn of files. `put(shape, turn)` gives every director its file."""
     plant: Plant
-    numbers = 0
+    version_count = 0
 
     def move(self) -> None:
         if self.over():
             return
-        shape, self.numbers = ORDER[self.numbers % len(ORDER)], self.numbers + 1
+        shape, self.version_count = ORDER[self.version_count % len(ORDER)], self.version_count + 1
         if shape != BROKEN:
             for node in sorted(self.conductor.up):
                 self.fault(node, "untold", True if shape == NEW else None)
-        self.put(shape, self.numbers)
+        self.put(shape, self.version_count)
         self.record("files put", self.loop.now, shape=shape)
         self.loop.call_later(EVERY_MS, self.move)
 
@@ -103,10 +103,10 @@
                 child.send_signal(signal.SIGHUP)
 
 
-def switched(records: list[tuple]) -> dict[str, int]:
+def count_switches(records: list[tuple]) -> dict[str, int]:
     """What came of the files: switches at directors, probes and mail that followed, plays let go of without a cause of their own."""
     count = lambda name: sum(what == name for _, what, _ in records)
-    return {"switches": count("deployment changed"), "probes": count("probed"), "dropped": limits.switched(records)["dropped"]}
+    return {"switches": count("deployment changed"), "probes": count("probed"), "dropped": limits.count_switches(records)["dropped"]}
 
 
 def stage_for(plant: Plant, script: list[Trouble], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
--- a/laddergw/lab/one_run.py
+++ b/laddergw/lab/one_run.py
@@ -5,7 +5,7 @@
 
 from laddergw.director.director import Director
 from laddergw.lab import audit, daybook
-from laddergw.lab.apart import ApartStage
+from laddergw.lab.planner_outage import PlannerOutageStage
 from laddergw.terms import loading
 
 
@@ -25,7 +25,7 @@
                     raise ValueError(loaded.texts()[0])
                 super().__init__(loop, house, limits=loaded.limits, **more)
         under = Under
-    records = ApartStage(the_plant, daybook.script_of(day, the_plant), order["planners"], director_class=under).run()
+    records = PlannerOutageStage(the_plant, daybook.script_of(day, the_plant), order["planners"], director_class=under).run()
     judged = audit.audit(the_plant, records)
     first = sorted(judged.first_ms)
     return {"service": judged.service["all"], "worth": audit.worth(the_plant, records), "first_ms": first[len(first) // 2] if first else 0.0, "tries": judged.tries, "plays": judged.plays,
--- a/laddergw/lab/apart.py
+++ b/laddergw/lab/planner_outage.py
@@ -19,24 +19,24 @@
 PORT = 8300
 AWAY_MS = (300.0, 2_500.0) # a planner that was killed is back after this
 SETTLE_MS = 1_200.0        # planners run before the edges come
-NONE, ONE, TWO = 0, 1, 2   # planners
+NO_PLANNER, ONE_PLANNER, TWO_PLANNERS = 0, 1, 2   # planners
 
 
-def double(plan: Plan) -> Plan:
+def double_loads(plan: Plan) -> Plan:
     """A planner that lies by a factor of two."""
     return plan._replace(nodes={node: (2 * kb, plays) for node, (kb, plays) in plan.nodes.items()})
 
 
-class ApartStage(MemoryStage):
-    """See the module. `kills`: of the first planner, spread over the run; `lie`: what is done to each plan."""
+class PlannerOutageStage(MemoryStage):
+    """See the module. `kills`: of the first planner, spread over the run; `plan_override`: what is done to each plan."""
 
-    def __init__(self, plant: Plant, script: list[Trouble], planners: int = TWO, kills: int = 0, lie: Callable[[Plan], Plan] | None = None, director_class=Director):
+    def __init__(self, plant: Plant, script: list[Trouble], planners: int = TWO_PLANNERS, kills: int = 0, plan_override: Callable[[Plan], Plan] | None = None, director_class=Director):
         super().__init__(plant, script, director_class)
-        self.count, self.kills, self.lie = planners, kills, lie
+        self.count, self.kills, self.plan_override = planners, kills, plan_override
         self.folder = tempfile.mkdtemp(prefix="laddergw-apart-")
         self.planners: dict[int, Planner] = {}
-        self.sides: dict[int, PlannerClient] = {}
-        self.names = 0
+        self.planner_clients: dict[int, PlannerClient] = {}
+        self.start_count = 0
         self.events: list[tuple] = []
 
     def run(self) -> list[tuple]:
@@ -52,23 +52,23 @@
         finally:
             shutil.rmtree(self.folder, ignore_errors=True)
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """What planners and edges did."""
         counts = {what: sum(1 for _, event, _ in self.events if event == what) for what in ("plan", "recovered", "leads", "fenced", "store fault")}
-        return f"{self.names} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items()) + \
-            f"; plans used by edges {sum(side.plans_used for side in self.sides.values())}"
+        return f"{self.start_count} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items()) + \
+            f"; plans used by edges {sum(side.plans_used for side in self.planner_clients.values())}"
 
     def keys(self) -> tuple:
         return (("lab", b"rehearsal-key-of-planners"),)
 
     def start_planner(self, number: int, leads: bool) -> None:
-        self.names += 1
+        self.start_count += 1
         host = self.world.host(f"p{number}")
         others = tuple((f"p{other}", PORT) for other in range(self.count) if other != number)
         store = Store(os.path.join(self.folder, "store")) if leads else None
-        planner = self.planners[number] = Planner(host, f"p{number}.{self.names}", (f"p{number}", PORT), store, self.keys(), leads, others, self.plant.seed + self.names,
+        planner = self.planners[number] = Planner(host, f"p{number}.{self.start_count}", (f"p{number}", PORT), store, self.keys(), leads, others, self.plant.seed + self.start_count,
                                                   watch=lambda what, **facts: self.events.append((self.world.now, what, facts)), clock=lambda: host.now)
-        planner.plan_override = self.lie
+        planner.plan_override = self.plan_override
         if not leads:                            # opened when it takes over: until then the store is the leader's
             planner.store_path = os.path.join(self.folder, "store")
 
@@ -81,10 +81,10 @@
         if store is not None:
             store.db.close()                     # as the end of its process does
         self.record("planner down", self.world.now, number=number)
-        away = between(self.plant.seed, *AWAY_MS, "away", number, self.names)
+        away = between(self.plant.seed, *AWAY_MS, "away", number, self.start_count)
         self.loop.call_at(self.world.now + away, lambda: self.start_planner(number, True))
 
     def start_director(self, number: int) -> None:
         super().start_director(number)
         if self.count:
-            self.sides[number] = PlannerClient(self.directors[number], tuple((f"p{planner}", PORT) for planner in range(self.count)), self.keys())
+            self.planner_clients[number] = PlannerClient(self.directors[number], tuple((f"p{planner}", PORT) for planner in range(self.count)), self.keys())
--- a/laddergw/lab/apart_processes.py
+++ b/laddergw/lab/planner_outage_processes.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 
-from laddergw.lab.apart import AWAY_MS
+from laddergw.lab.planner_outage import AWAY_MS
 from laddergw.lab.papers import Authority
 from laddergw.lab.plant import Plant, between
 from laddergw.lab.script import Trouble
@@ -16,12 +16,12 @@
 EVENTS = ("plan", "recovered", "leads", "fenced", "store fault", "peer down")
 
 
-class ApartProcesses(ProcessStage):
+class PlannerOutageProcesses(ProcessStage):
     """See the module."""
 
     def __init__(self, plant: Plant, script: list[Trouble], kills: int, folder: str | None = None, level: str = "warning"):
         super().__init__(plant, script, folder, level)
-        self.kills, self.names = kills, 0
+        self.kills, self.start_count = kills, 0
         for name in os.listdir(self.folder):
             if name.startswith("planner.store"):
                 os.remove(self.file(name))
@@ -30,30 +30,30 @@
         self.edge_papers = authority.issue("d")
         self.planner_more = ""               # of each planner's file
         self.planners: dict[int, subprocess.Popen] = {}
-        self.places: dict[int, tuple[str, int]] = {}
+        self.planner_addresses: dict[int, tuple[str, int]] = {}
         self.logs = open(self.file("planners.log"), "wb")
 
     def run(self) -> list[tuple]:
         for number in range(PLANNERS):
             self.start_planner(number, number == 0)
-            self.wait(lambda number=number: number in self.places, START_MS, "planners start")
+            self.wait(lambda number=number: number in self.planner_addresses, START_MS, "planners start")
         return super().run()
 
     def tls(self, papers: tuple[str, str, str]) -> str:
         return '(tls (certificate "%s") (key "%s") (authority "%s"))' % papers
 
     def house_text(self, number: int) -> str:
-        planners = " ".join(f'(planner "{host}" {port})' for host, port in self.places.values())
+        planners = " ".join(f'(planner "{host}" {port})' for host, port in self.planner_addresses.values())
         return super().house_text(number).replace("(bounds", f"{planners} {self.tls(self.edge_papers)}\n (bounds", 1)
 
     def start_planner(self, number: int, leads: bool) -> None:
-        self.names += 1
-        host, port = self.places.get(number, (HOST, 0))
-        others = " ".join(f'(other "{place[0]}" {place[1]})' for other, place in self.places.items() if other != number)
+        self.start_count += 1
+        host, port = self.planner_addresses.get(number, (HOST, 0))
+        others = " ".join(f'(other "{place[0]}" {place[1]})' for other, place in self.planner_addresses.items() if other != number)
         path = self.file(f"p{number}.planner")
         with open(path, "w") as stream:
             stream.write(f'(planner (name p{number}) (listen "{host}" {port}) (store "{self.file("planner.store")}") (key lab "rehearsal-key-of-{self.plant.seed:08d}") '
-                         f'{"(leads)" if leads else ""} {self.planner_more} {others} {self.tls(self.papers[f"p{number}"])} (seed {self.plant.seed + self.names}))')
+                         f'{"(leads)" if leads else ""} {self.planner_more} {others} {self.tls(self.papers[f"p{number}"])} (seed {self.plant.seed + self.start_count}))')
         child = self.loop.spawn([sys.executable, "-m", "laddergw.cli", "planner", path, "--log", "debug"], lambda status: None, stdout=subprocess.PIPE, stderr=self.logs)
         self.planners[number] = child
 
@@ -62,7 +62,7 @@
             watch.close()
             child.stdout.close()
             if line[:1] == [b"ready"]:
-                self.places[number] = line[1].decode(), int(line[2])
+                self.planner_addresses[number] = line[1].decode(), int(line[2])
         watch = DescriptorWatch(self.loop, child.stdout, said)
 
     def let_them_come(self) -> None:
@@ -77,7 +77,7 @@
             return
         child.send_signal(signal.SIGKILL)
         self.record("planner down", self.loop.now, number=number)
-        away = between(self.plant.seed, *AWAY_MS, "away", number, self.names)
+        away = between(self.plant.seed, *AWAY_MS, "away", number, self.start_count)
         self.loop.call_later(away, lambda: self.ending or self.start_planner(number, True))
 
     def end(self) -> None:
@@ -88,7 +88,7 @@
         super().end()
         self.logs.close()
 
-    def told(self) -> str:
+    def summary(self) -> str:
         counts = dict.fromkeys(EVENTS, 0)
         with open(self.file("planners.log"), "rb") as stream:
             for line in stream:
@@ -98,4 +98,4 @@
                     continue
                 if event in counts:
                     counts[event] += 1
-        return f"{self.names} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items())
+        return f"{self.start_count} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items())
--- a/laddergw/lab/wanting.py
+++ b/laddergw/lab/rollout_operator.py
@@ -4,7 +4,7 @@
 
 from laddergw.fleet import versions
 from laddergw.lab.fleet_check import Sentence
-from laddergw.lab.limits import broken, sound
+from laddergw.lab.limits import invalid_text, valid_text
 from laddergw.planner import wire
 from laddergw.planner.audit_client import limits_text
 from laddergw.terms.loading import load
@@ -16,7 +16,7 @@
 BAD_EACH = 3
 
 
-class Wanting:
+class RolloutOperator:
     """See the module. `stage`: with planners, a house and the world's clock."""
 
     def __init__(self, stage):
@@ -27,7 +27,7 @@
         self.buried: set[str] = set()                # processes that ended, as planners were told
 
     def begin(self, at: float) -> None:
-        self.stage.loop.call_at(at, self.want)
+        self.stage.loop.call_at(at, self.request_rollout)
         self.stage.loop.call_at(at, self.look)
 
     def leader(self):
@@ -42,15 +42,15 @@
         planner.loop.now = max(planner.loop.now, self.stage.world.now)
         return json.loads(planner.auditor.answer_question(wire.Ask(question, name, 0.0, data, figures)))
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         stage = self.stage
         if stage.done or self.over:
             return
         self.on = True
-        stage.loop.call_at(stage.world.now + WANT_MS, self.want)
+        stage.loop.call_at(stage.world.now + WANT_MS, self.request_rollout)
         number = self.wants + 1
         bad = number % BAD_EACH == 0
-        data = (broken(stage.plant.seed, number) if bad else sound(stage.plant.seed, number % TEXTS, stage.house)).encode()
+        data = (invalid_text(stage.plant.seed, number) if bad else valid_text(stage.plant.seed, number % TEXTS, stage.house)).encode()
         loaded = load(data, "wanted", stage.house)
         name = "f" * 16 if bad else versions.version(versions.LIMITS, limits_text(loaded.limits)).hash
         for row in self.ask("floors").get("floors", ()):
--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -33,7 +33,7 @@
  (rule "often" (items "news" "short") (every-ms 24000) (gap-ms 8000) (otherwise later)))"""
 
 
-def script(p: Plant) -> list[Trouble]:
+def fault_script(p: Plant) -> list[Trouble]:
     """Drains and successors all through, sources that die, stand still or fail; of the edges one is killed, one told to stop, one stands still."""
     unit = p.crowd.seconds * 1000 / 120
     found = rolling_deploy(p, 15_000 * unit / 1000, 70_000 * unit / 1000, 0.5)
--- a/tests/broken_budgets.py
+++ b/tests/broken_budgets.py
@@ -3,7 +3,7 @@
 from laddergw.fleet.grants import HeldGrant, GrantHolder
 from laddergw.fleet.grant_issuer import Charge, GrantIssuer, Sent
 from laddergw.fleet.rights import LEASE_MS
-from laddergw.lab.budget_parts import Rules
+from laddergw.lab.budget_model import Implementations
 
 
 def holding(mistake=None, **of_held):
@@ -22,11 +22,11 @@
             if mistake is not None:
                 for name, held in self.held.items():
                     mistake(self, held, before[name], number, epoch, told[0])
-    return Rules(holding=Broken)
+    return Implementations(holding=Broken)
 
 
 def issuer(fenced=True, **of_issuer):
-    return Rules(issuer=type("BrokenIssuer", (GrantIssuer,), of_issuer), fenced=fenced)
+    return Implementations(issuer=type("BrokenIssuer", (GrantIssuer,), of_issuer), fenced=fenced)
 
 
 def charging(**of_charge):
@@ -38,7 +38,7 @@
             charge = self.charges.setdefault(process, Charge())
             charge.__class__ = made
             return super().handle_request(process, number, row, now)
-    return Rules(issuer=Broken)
+    return Implementations(issuer=Broken)
 
 
 def from_the_answer(holding, held, before, number, epoch, grant):
@@ -129,7 +129,7 @@
     "it tells that it spent nothing": tells(used=lambda held, now: 0), "it tells what has ended as if it held": tells(amount=lambda held, now: held.amount),
     "it tells a grant as obeyed that is not": tells(number=lambda held, now: held.rank[1] + 2), "it spends one more": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
     "no waiting after a takeover": issuer(is_settled=lambda self, lease, now: True),
-    "waiting out leases without windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
+    "waiting out leases without windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Implementations(fenced=False),
     "only the latest grant is charged": issuer(handle_request=only_the_latest), "a share moves and its past is forgotten": issuer(handle_request=past_forgotten),
     "more than is left": issuer(grant=grants_over),
     "granted, and not charged": issuer(grant=grants_before_it_charges), "the whole to each": issuer(grant=whole_to_each), "the floor lent twice": issuer(grant=floor_lent_twice),
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -8,8 +8,8 @@
 from collections import Counter
 
 from laddergw.lab import audit
-from laddergw.lab.apart_processes import PLANNERS
-from laddergw.lab.budget_processes import STORM_PART, WHOLE, BudgetProcesses
+from laddergw.lab.planner_outage_processes import PLANNERS
+from laddergw.lab.budget_processes import STORM_ERROR_SHARE, BUDGET_WHOLE, BudgetProcesses
 from laddergw.lab.plant import WARES, plant
 from laddergw.lab.script import Trouble, fault
 
@@ -53,21 +53,21 @@
         folder = tempfile.mkdtemp(prefix="laddergw-budgets-")
         self.addCleanup(shutil.rmtree, folder, True)
         the_plant = plant(2, directors=3, nodes=6, rate=10, seconds=SECONDS, wares=tuple(ware._replace(length_ms=(2_000, 4_000)) for ware in WARES))
-        storm = fault([node.node for node in the_plant.nodes], "errors", STORM_FROM_MS, SECONDS * 1000, STORM_PART)
+        storm = fault([node.node for node in the_plant.nodes], "errors", STORM_FROM_MS, SECONDS * 1000, STORM_ERROR_SHARE)
         stage = Stopped(the_plant, storm, 0, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
         self.assertEqual((judged.without, judged.twice, judged.breaks, stage.verdict), (0, 0, [], []))
-        said, over = stage.judged(records)
+        said, over = stage.judge_budget(records)
         self.assertFalse(over, said)
         drawn = [facts for _, what, facts in records if what == "budget drawn"]
         self.assertGreaterEqual(len(drawn), SPENT, said)
         self.assertGreater(len({facts["source"] for facts in drawn}), 1)
         struck = [(facts["line"], facts["fault"]) for _, what, facts in records if what == "line fault"]
         self.assertLessEqual({(f"d0>p{number}", "cut") for number in range(PLANNERS)}, set(struck))
-        row, = stage.shown["budgets"]
-        self.assertEqual((row["whole"], row["charged"] <= WHOLE, len(row["held"]) >= 3), (WHOLE, True, True), row)
-        self.assertEqual(stage.shown["issuer"], stage.issuer)
+        row, = stage.budget_answer["budgets"]
+        self.assertEqual((row["whole"], row["charged"] <= BUDGET_WHOLE, len(row["held"]) >= 3), (BUDGET_WHOLE, True, True), row)
+        self.assertEqual(stage.budget_answer["issuer"], stage.issuer)
 
 
 if __name__ == "__main__":
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -5,14 +5,14 @@
 from laddergw.fleet.grants import FLOOR_LEASE_MS, Grant, GrantHolder, Row
 from laddergw.fleet.grant_issuer import Budget, GrantIssuer, charge_duration_ms
 from laddergw.fleet.rights import LEASE_MS
-from laddergw.lab.budget_days import long_cut, split, stand_stills
-from laddergw.lab.budget_parts import STORE, Kind, most_within
-from laddergw.lab.budgets_play import Play, outcomes
+from laddergw.lab.budget_scenarios import long_cut, split, stand_stills
+from laddergw.lab.budget_model import STORE, SimulationSettings, max_within_window
+from laddergw.lab.budget_simulation import BudgetSimulation, run_seeds
 from tests.broken_budgets import BROKEN
 
-KINDS = (Kind(troubles=0.1, seconds=200), Kind(directors=4, whole=12, troubles=0.2, seconds=150),
-         Kind(troubles=0.1, seconds=200, whole=10, directors=12, spends=60, skew=0.4, shifts=True), Kind(troubles=0.05, seconds=300, window_ms=1_000.0, loss=0.1))
-STAGED = Kind(directors=8, whole=32, window_ms=2_000.0, seconds=160, spends=160, troubles=0)
+KINDS = (SimulationSettings(troubles=0.1, seconds=200), SimulationSettings(directors=4, whole=12, troubles=0.2, seconds=150),
+         SimulationSettings(troubles=0.1, seconds=200, whole=10, directors=12, spends=60, skew=0.4, shifts=True), SimulationSettings(troubles=0.05, seconds=300, window_ms=1_000.0, loss=0.1))
+STAGED = SimulationSettings(directors=8, whole=32, window_ms=2_000.0, seconds=160, spends=160, troubles=0)
 SEEN_BY = {"two issuers": split, "a floor never ends": long_cut, "the floor's lease is longer than told": long_cut}
 SEEN_ON = {                            # of KINDS, and the first seed that shows it
     "a grant makes its past forgotten": (1, 1), "a smaller grant is not obeyed": (2, 2), "it tells that it spent nothing": (2, 2),
@@ -93,16 +93,16 @@
 class Played(unittest.TestCase):
     def test_no_window_holds_more_than_the_whole(self):
         for kind in KINDS:
-            for seed, found in outcomes(range(1, 2), kind):
+            for seed, found in run_seeds(range(1, 2), kind):
                 self.assertLessEqual(found.most, found.whole, (seed, kind))
                 self.assertGreater(found.spent, 50)
         for trouble in split, long_cut, stand_stills:
-            found = Play(1, STAGED, trouble=trouble).run()
+            found = BudgetSimulation(1, STAGED, fault_script=trouble).run()
             self.assertLessEqual(found.most, found.whole)
             self.assertGreater(found.most, 0.9 * found.whole)            # and nearly all of it is put to use
 
     def test_230_directors(self):
-        found = Play(1, Kind(directors=230, whole=600, window_ms=5_000.0, seconds=20, spends=300, troubles=0.0)).run()
+        found = BudgetSimulation(1, SimulationSettings(directors=230, whole=600, window_ms=5_000.0, seconds=20, spends=300, troubles=0.0)).run()
         self.assertLessEqual(found.most, found.whole)
         self.assertGreater(found.most, 0.4 * found.whole)               # half may be out as floors of before
 
@@ -111,12 +111,12 @@
         for name in sorted(SEEN_BY.keys() | SEEN_ON.keys()):
             with self.subTest(name):
                 rules, (kind, seed) = BROKEN[name], SEEN_ON.get(name, (None, 1))
-                found = Play(seed, STAGED, rules, SEEN_BY[name]).run() if name in SEEN_BY else Play(seed, KINDS[kind], rules).run()
+                found = BudgetSimulation(seed, STAGED, rules, SEEN_BY[name]).run() if name in SEEN_BY else BudgetSimulation(seed, KINDS[kind], rules).run()
                 self.assertGreater(found.most, found.whole)
 
     def test_the_count_of_a_window(self):
-        self.assertEqual(most_within([0.0, 5.0, 9.0, 10.0, 14.0], 10.0), (4, 5.0))
-        self.assertEqual(most_within([], 10.0), (0, 0.0))
+        self.assertEqual(max_within_window([0.0, 5.0, 9.0, 10.0, 14.0], 10.0), (4, 5.0))
+        self.assertEqual(max_within_window([], 10.0), (0, 0.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_budgets_cluster.py
+++ b/tests/test_budgets_cluster.py
@@ -5,7 +5,7 @@
 from laddergw.fleet.grants import FLOOR_LEASE_MS
 from laddergw.fleet.grant_issuer import Budget, charge_duration_ms
 from laddergw.fleet.rights import LEASE_MS
-from laddergw.lab.budget_parts import most_within
+from laddergw.lab.budget_model import max_within_window
 from laddergw.planner import wire
 from laddergw.planner.budgeting import store_identity
 from laddergw.store.planner_store import Store
@@ -58,7 +58,7 @@
             self.town.run(50)
             for number in numbers:
                 had[number] += self.spend(number, 2)
-        self.assertLessEqual(most_within(self.spends, WINDOW_MS)[0], WHOLE)
+        self.assertLessEqual(max_within_window(self.spends, WINDOW_MS)[0], WHOLE)
         return had
 
     def test_need_moves_shares_and_no_window_holds_more(self):
@@ -98,7 +98,7 @@
         self.storm(LEASE_MS + WINDOW_MS)
         begun = len(self.spends)
         self.storm(8_000)
-        self.assertLessEqual(most_within(self.spends[begun:], WINDOW_MS)[0], 3)
+        self.assertLessEqual(max_within_window(self.spends[begun:], WINDOW_MS)[0], 3)
         self.assertGreater(len(self.spends) - begun, 4)                  # three among three: by turns
         self.planner.auditor.budget_grants.configure((Budget(NAME, WHOLE, WINDOW_MS),))
         self.storm(8_000)
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -12,7 +12,7 @@
 import apsw
 
 from laddergw.lab import audit
-from laddergw.lab.limits import sound
+from laddergw.lab.limits import valid_text
 from laddergw.lab.plant import WARES, plant
 from laddergw.lab.script import Trouble
 from laddergw.planner import wire
@@ -30,10 +30,10 @@
         super().__init__(*given, faults=[])           # no line fails by itself
         self.faults_told, self.died = 0, []
 
-    def switch(self) -> None:
+    def switch_limits(self) -> None:
         """The limits stay as they are."""
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         """Nothing but what the cases want."""
 
     # While plays go on
@@ -52,7 +52,7 @@
     def start_twin(self) -> None:
         real, self.starts[TWIN] = self.house_text, 0
         self.conductor.directors_up.add(TWIN)
-        shutil.copy(self.limits(TWINS), self.limits(TWIN))
+        shutil.copy(self.limits_path(TWINS), self.limits_path(TWIN))
         self.house_text = lambda number: real(TWINS).replace('(listen "%s" %d)' % self.addresses[TWINS], '(listen "127.0.0.1" 0)')
         self.start_director(TWIN)
         self.house_text = real
@@ -83,7 +83,7 @@
         target.close()
 
     def text(self, number: int) -> str:
-        return sound(self.plant.seed, number, self.read_house) + f"\n; wanted {number}"
+        return valid_text(self.plant.seed, number, self.director_file) + f"\n; wanted {number}"
 
     def ask_for(self, number: int) -> None:
         with open(self.file(f"wanted{number}.terms"), "w") as stream:
@@ -96,13 +96,13 @@
 
     def one_that_dies_of_it(self) -> None:
         """The edge ends each time that what is wanted has gone into its file, and comes back with the file of before."""
-        number, before, wanted = 2, pathlib.Path(self.limits(2)).read_text(), self.text(7)
+        number, before, wanted = 2, pathlib.Path(self.limits_path(2)).read_text(), self.text(7)
 
         def look() -> None:
-            if pathlib.Path(self.limits(number)).read_text() == wanted:
+            if pathlib.Path(self.limits_path(number)).read_text() == wanted:
                 self.died.append(self.loop.now)
                 self.kill_director(number)
-                for path in self.limits(number), self.limits(number) + ".good":
+                for path in self.limits_path(number), self.limits_path(number) + ".good":
                     pathlib.Path(path).write_text(before)
                 self.start_director(number)
             if not self.looked:
@@ -129,7 +129,7 @@
         self.ask_for(9)
         self.until(lambda: self.rollout().get("state") == "done" and not self.rollout()["behind"], "all are on what is wanted next")
         self.number = self.rollout()["want"]["number"]
-        self.kept = {number: pathlib.Path(self.limits(number)).read_text() == self.text(9) for number in self.conductor.directors_up}
+        self.kept = {number: pathlib.Path(self.limits_path(number)).read_text() == self.text(9) for number in self.conductor.directors_up}
 
 
 class HardCases(unittest.TestCase):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -8,7 +8,7 @@
 import unittest
 
 from laddergw.lab import audit
-from laddergw.lab.limits import sound
+from laddergw.lab.limits import valid_text
 from laddergw.lab.plant import WARES, plant
 from laddergw.lab.script import Trouble
 from laddergw.planner import wire
@@ -18,7 +18,7 @@
 class Asking(Commanding):
     """Asks with the operators' command while all processes run, and once more with both planners gone."""
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         """Nothing but what `take_out` wants."""
 
     def before_end(self) -> None:
@@ -42,7 +42,7 @@
 
     def shut_out(self) -> None:
         """The edge that closes alone stands still while the others go over to new limits and its own are forbidden: it wakes to a closed door."""
-        leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
+        leader = next(planner for planner in self.planner_addresses if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         of = lambda: {process: row["version"] for row in self.ask(leader, wire.Ask("versions"))["versions"] if row["kind"] == "limits" for process in row["directors"]}
         old = next(version for process, version in of().items() if process.startswith("d1-"))
         others = lambda: [version for process, version in of().items() if not process.startswith("d1-")]
@@ -72,14 +72,14 @@
     def take_out(self) -> None:
         """A version that the operator wants, over lines of one edge that are slow and break in the middle of the file, its planner killed as it begins: the other
         goes on, and each edge has it on its disk."""
-        text = sound(self.plant.seed, 9, self.read_house) + "\n; " + "x" * 150_000
+        text = valid_text(self.plant.seed, 9, self.director_file) + "\n; " + "x" * 150_000
         slow = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
         for line in slow:
             line.fault("rate", 100_000.0)
         with open(self.file("wanted.terms"), "w") as stream:
             stream.write(text)
         self.command("want", "--soak", "0.5", "limits", self.file("wanted.terms"))
-        leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
+        leader = next(planner for planner in self.planner_addresses if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         self.planners[leader].kill()
         self.planners[leader].wait()
         self.start_planner(leader, True)
@@ -91,7 +91,7 @@
             return bool(asked) and asked[0]["want"] is not None and asked[0]["state"] == "done" and not asked[0]["behind"]
         self.until(all_on_it, "all are on what is wanted")
         self.command("stragglers")
-        self.kept = [pathlib.Path(self.limits(number)).read_text() == text for number in range(self.plant.directors)]
+        self.kept = [pathlib.Path(self.limits_path(number)).read_text() == text for number in range(self.plant.directors)]
 
     def collect_of(self, source: str) -> list:
         with open(self.file(f"{source}.jsonl"), "rb") as stream:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from laddergw.lab import apart, audit
+from laddergw.lab import audit, planner_outage
 from laddergw.lab.plant import plant
 from laddergw.lab.script import bad_day
 from laddergw.planner import plan as plans, rules_check, wire
@@ -233,30 +233,30 @@
 
     def test_planners_killed_again_and_again(self):
         the_plant = plant(5, directors=3, nodes=10, rate=12, seconds=10)
-        stage = apart.ApartStage(the_plant, bad_day(the_plant), apart.TWO, kills=8)
+        stage = planner_outage.PlannerOutageStage(the_plant, bad_day(the_plant), planner_outage.TWO_PLANNERS, kills=8)
         self.run_and_audit(stage, the_plant)
         events = [what for _, what, _ in stage.events]
         self.assertTrue(events.count("recovered") >= 4 and events.count("plan") > 10, events)
-        self.assertGreater(sum(side.plans_used for side in stage.sides.values()), 20)
-        epochs = [side.followed.highest_rank[0] for side in stage.sides.values()]
+        self.assertGreater(sum(side.plans_used for side in stage.planner_clients.values()), 20)
+        epochs = [side.followed.highest_rank[0] for side in stage.planner_clients.values()]
         self.assertGreater(min(epochs), 2)
 
     def test_a_planner_that_reports_double_loads_is_not_trusted(self):
         the_plant = plant(6, directors=2, nodes=8, rate=12, seconds=15)
-        stage = apart.ApartStage(the_plant, [], apart.ONE, lie=apart.double)
+        stage = planner_outage.PlannerOutageStage(the_plant, [], planner_outage.ONE_PLANNER, plan_override=planner_outage.double_loads)
         self.run_and_audit(stage, the_plant)
-        self.assertTrue(all(side.trust.change_count % 2 == 1 and not side.trust.believed for side in stage.sides.values()))
-        honest = apart.ApartStage(the_plant, [], apart.ONE)
+        self.assertTrue(all(side.trust.change_count % 2 == 1 and not side.trust.believed for side in stage.planner_clients.values()))
+        honest = planner_outage.PlannerOutageStage(the_plant, [], planner_outage.ONE_PLANNER)
         self.run_and_audit(honest, the_plant)
-        self.assertEqual([side.trust.change_count for side in honest.sides.values()], [0, 0])
+        self.assertEqual([side.trust.change_count for side in honest.planner_clients.values()], [0, 0])
 
     def test_forged_plans_and_peers_that_send_invalid_frames(self):
         the_plant = plant(7, directors=1, nodes=4, rate=4, seconds=4)
-        stage = apart.ApartStage(the_plant, [], apart.ONE)
+        stage = planner_outage.PlannerOutageStage(the_plant, [], planner_outage.ONE_PLANNER)
         seen = []
 
         def forge():
-            side = stage.sides[0]
+            side = stage.planner_clients[0]
             before = side.followed.highest_rank
             side.receive_plan(plans.seal(plan(99, 1, nodes={1_000: (1.0, 1)}), (("x", b"no key that it knows of"),)))
             side.receive_plan(b"\x93\xa1k\xc4\x00\xc4\x00")
@@ -275,7 +275,7 @@
 
                 def closed(self, stream, why):
                     seen.append("closed")
-            host.dial(("p0", apart.PORT), Stranger(), 500.0)
+            host.dial(("p0", planner_outage.PORT), Stranger(), 500.0)
         stage.loop.call_later(6_000, forge)
         self.run_and_audit(stage, the_plant)
         self.assertEqual(seen, [(True, 2), "closed"])
