--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -31,7 +31,7 @@
 class Switching(Quiet):
     def judged(self, stage, the_plant):
         records = stage.run()
-        judged, found = audit(the_plant, records), move.switched(records)
+        judged, found = audit(the_plant, records), move.count_switches(records)
         self.assertEqual([f"{b.rule}: {b.what}" for b in judged.breaks], [])
         self.assertEqual((judged.without, judged.twice, found["dropped"]), (0, 0, 0))
         self.assertGreater(judged.outcomes["played"], 0.6 * judged.plays)
@@ -59,7 +59,7 @@
                     self.remove_from_node(ply, LOST)
         the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
         records = move.MemoryMove(the_plant, [], director_class=Dropping).run()
-        self.assertGreater(move.switched(records)["dropped"], 0)
+        self.assertGreater(move.count_switches(records)["dropped"], 0)
 
     def test_plays_keep_their_terms_and_a_refused_file_changes_nothing(self):
         town = Cluster()
