--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -189,4 +189,4 @@
         peer = Peer(self.loop, wire.Hello(wire.VERSION, "d-operator", wire.OPERATOR, 0), receive, lambda peer: peer.send(question),
                     lambda peer, why: done(received[0] if received else None))
         host, port = self.planner_addresses[planner]
-        self.loop.dial((host, port), TlsStream(peer, client_context(*self.edge_papers), False, host), ANSWER_LIMIT_MS)
+        self.loop.dial((host, port), TlsStream(peer, client_context(*self.edge_certificate), False, host), ANSWER_LIMIT_MS)
--- a/laddergw/lab/one_run.py
+++ b/laddergw/lab/one_run.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: an order as JSON on standard input, its measures as JSON on standard output."""
+"""One run of an experiment: reads its settings as JSON from standard input and writes its measures as JSON to standard output."""
 import json
 import logging
 import sys
@@ -9,27 +9,27 @@
 from laddergw.terms import loading
 
 
-def play(order: dict) -> dict:
-    """The measures of one day in memory, or why there are none."""
-    day = daybook.book()[order["day"]]
-    the_plant = daybook.plant_of(day, order["seed"], **order["changes"])
-    under = Director
-    if order["limits"]:
-        with open(order["limits"], "rb") as stream:
+def play(run_settings: dict) -> dict:
+    """Runs one day in memory; returns its measures. Raises ValueError with the reason where the limits file is rejected."""
+    day = daybook.book()[run_settings["day"]]
+    the_plant = daybook.plant_of(day, run_settings["seed"], **run_settings["changes"])
+    director_class = Director
+    if run_settings["limits"]:
+        with open(run_settings["limits"], "rb") as stream:
             data = stream.read()
 
-        class Under(Director):
+        class LimitedDirector(Director):
             def __init__(self, loop, house, **more):
-                loaded = loading.load(data, order["limits"], house)
+                loaded = loading.load(data, run_settings["limits"], house)
                 if loaded.limits is None:
                     raise ValueError(loaded.texts()[0])
                 super().__init__(loop, house, limits=loaded.limits, **more)
-        under = Under
-    records = PlannerOutageStage(the_plant, daybook.script_of(day, the_plant), order["planners"], director_class=under).run()
-    judged = audit.audit(the_plant, records)
-    first = sorted(judged.first_ms)
-    return {"service": judged.service["all"], "worth": audit.worth(the_plant, records), "first_ms": first[len(first) // 2] if first else 0.0, "tries": judged.tries, "plays": judged.plays,
-            "rules": len(judged.breaks) + judged.without, "products": judged.service}
+        director_class = LimitedDirector
+    records = PlannerOutageStage(the_plant, daybook.script_of(day, the_plant), run_settings["planners"], director_class=director_class).run()
+    audited = audit.audit(the_plant, records)
+    first_frame_ms = sorted(audited.first_ms)
+    return {"service": audited.service["all"], "worth": audit.worth(the_plant, records), "first_ms": first_frame_ms[len(first_frame_ms) // 2] if first_frame_ms else 0.0, "tries": audited.tries, "plays": audited.plays,
+            "rules": len(audited.breaks) + audited.without, "products": audited.service}
 
 
 if __name__ == "__main__":
--- a/laddergw/lab/planner_outage.py
+++ b/laddergw/lab/planner_outage.py
@@ -1,6 +1,6 @@
-"""rehearse apart, in memory: edges and planners as programs of their own, planners killed and started again in a burst, one that lies, two at once.
+"""rehearse apart, in memory: edges and planners as separate programs. Planners are killed and restarted in bursts, one sends wrong plans, two run at once.
 
-The planners share one store, a file. A planner that is killed leaves its store as it stands; the next opens it under the next epoch.
+The planners share one store, a file. A killed planner leaves its store as it is; the next one opens it under the next epoch.
 """
 import os
 import shutil
@@ -17,18 +17,18 @@
 from laddergw.store.planner_store import Store
 
 PORT = 8300
-AWAY_MS = (300.0, 2_500.0) # a planner that was killed is back after this
-SETTLE_MS = 1_200.0        # planners run before the edges come
-NO_PLANNER, ONE_PLANNER, TWO_PLANNERS = 0, 1, 2   # planners
+RESTART_DELAY_MS = (300.0, 2_500.0) # a killed planner is restarted after this
+SETTLE_MS = 1_200.0        # planners run for this long before the edges start
+NO_PLANNER, ONE_PLANNER, TWO_PLANNERS = 0, 1, 2
 
 
 def double_loads(plan: Plan) -> Plan:
-    """A planner that lies by a factor of two."""
+    """The plan of a faulty planner: twice the load of every node."""
     return plan._replace(nodes={node: (2 * kb, plays) for node, (kb, plays) in plan.nodes.items()})
 
 
 class PlannerOutageStage(MemoryStage):
-    """See the module. `kills`: of the first planner, spread over the run; `plan_override`: what is done to each plan."""
+    """A rehearsal with planners. `kills`: how many kills, of the planners in turn, spread over the run; `plan_override` replaces each plan."""
 
     def __init__(self, plant: Plant, script: list[Trouble], planners: int = TWO_PLANNERS, kills: int = 0, plan_override: Callable[[Plan], Plan] | None = None, director_class=Director):
         super().__init__(plant, script, director_class)
@@ -53,15 +53,17 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def summary(self) -> str:
-        """What planners and edges did."""
-        counts = {what: sum(1 for _, event, _ in self.events if event == what) for what in ("plan", "recovered", "leads", "fenced", "store fault")}
-        return f"{self.start_count} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items()) + \
-            f"; plans used by edges {sum(side.plans_used for side in self.planner_clients.values())}"
+        """What planners and edges did, in one line."""
+        counts = {name: sum(1 for _, event, _ in self.events if event == name) for name in ("plan", "recovered", "leads", "fenced", "store fault")}
+        return f"{self.start_count} starts of planners; " + ", ".join(f"{name} {count}" for name, count in counts.items()) + \
+            f"; plans used by edges {sum(client.plans_used for client in self.planner_clients.values())}"
 
     def keys(self) -> tuple:
+        """The keys that seal plans."""
         return (("lab", b"rehearsal-key-of-planners"),)
 
     def start_planner(self, number: int, leads: bool) -> None:
+        """Starts a planner's next process; one that does not lead opens the store when it takes over."""
         self.start_count += 1
         host = self.world.host(f"p{number}")
         others = tuple((f"p{other}", PORT) for other in range(self.count) if other != number)
@@ -69,20 +71,21 @@
         planner = self.planners[number] = Planner(host, f"p{number}.{self.start_count}", (f"p{number}", PORT), store, self.keys(), leads, others, self.plant.seed + self.start_count,
                                                   watch=lambda what, **facts: self.events.append((self.world.now, what, facts)), clock=lambda: host.now)
         planner.plan_override = self.plan_override
-        if not leads:                            # opened when it takes over: until then the store is the leader's
+        if not leads:     # until it takes over the store is the leader's
             planner.store_path = os.path.join(self.folder, "store")
 
     def kill_planner(self, number: int) -> None:
+        """Kills a running planner and restarts it after a drawn delay."""
         host = self.world.hosts[f"p{number}"]
         if not host.alive:
             return
         host.kill()
         store = self.planners.pop(number).store
         if store is not None:
-            store.db.close()                     # as the end of its process does
+            store.db.close()     # as the end of its process does
         self.record("planner down", self.world.now, number=number)
-        away = between(self.plant.seed, *AWAY_MS, "away", number, self.start_count)
-        self.loop.call_at(self.world.now + away, lambda: self.start_planner(number, True))
+        delay = between(self.plant.seed, *RESTART_DELAY_MS, "away", number, self.start_count)
+        self.loop.call_at(self.world.now + delay, lambda: self.start_planner(number, True))
 
     def start_director(self, number: int) -> None:
         super().start_director(number)
--- a/laddergw/lab/planner_outage_processes.py
+++ b/laddergw/lab/planner_outage_processes.py
@@ -1,11 +1,11 @@
-"""rehearse apart on loopback: edges, planners, racks and viewers as processes, edges and planners over TLS; planners are killed by signal."""
+"""rehearse apart on loopback: edges, planners, racks and viewers as processes. Edges and planners use TLS; planners are killed by signal."""
 import json
 import os
 import signal
 import subprocess
 import sys
 
-from laddergw.lab.planner_outage import AWAY_MS
+from laddergw.lab.planner_outage import RESTART_DELAY_MS
 from laddergw.lab.papers import Authority
 from laddergw.lab.plant import Plant, between
 from laddergw.lab.script import Trouble
@@ -13,11 +13,11 @@
 from laddergw.loop.sockets import DescriptorWatch
 
 PLANNERS = 2
-EVENTS = ("plan", "recovered", "leads", "fenced", "store fault", "peer down")
+COUNTED_EVENTS = ("plan", "recovered", "leads", "fenced", "store fault", "peer down")
 
 
 class PlannerOutageProcesses(ProcessStage):
-    """See the module."""
+    """A rehearsal of processes with planners. `kills`: how many kills, of the planners in turn, spread over the run."""
 
     def __init__(self, plant: Plant, script: list[Trouble], kills: int, folder: str | None = None, level: str = "warning"):
         super().__init__(plant, script, folder, level)
@@ -26,12 +26,12 @@
             if name.startswith("planner.store"):
                 os.remove(self.file(name))
         authority = Authority(self.folder)
-        self.papers = {f"p{number}": authority.issue(f"p{number}") for number in range(PLANNERS)}
-        self.edge_papers = authority.issue("d")
-        self.planner_more = ""               # of each planner's file
+        self.planner_certificates = {f"p{number}": authority.issue(f"p{number}") for number in range(PLANNERS)}
+        self.edge_certificate = authority.issue("d")
+        self.extra_planner_settings = ""     # further forms of each planner's file
         self.planners: dict[int, subprocess.Popen] = {}
         self.planner_addresses: dict[int, tuple[str, int]] = {}
-        self.logs = open(self.file("planners.log"), "wb")
+        self.planner_log = open(self.file("planners.log"), "wb")
 
     def run(self) -> list[tuple]:
         for number in range(PLANNERS):
@@ -39,31 +39,33 @@
             self.wait(lambda number=number: number in self.planner_addresses, START_MS, "planners start")
         return super().run()
 
-    def tls(self, papers: tuple[str, str, str]) -> str:
-        return '(tls (certificate "%s") (key "%s") (authority "%s"))' % papers
+    def tls(self, certificate: tuple[str, str, str]) -> str:
+        """The form of a file that names its certificate, key and authority."""
+        return '(tls (certificate "%s") (key "%s") (authority "%s"))' % certificate
 
     def house_text(self, number: int) -> str:
         planners = " ".join(f'(planner "{host}" {port})' for host, port in self.planner_addresses.values())
-        return super().house_text(number).replace("(bounds", f"{planners} {self.tls(self.edge_papers)}\n (bounds", 1)
+        return super().house_text(number).replace("(bounds", f"{planners} {self.tls(self.edge_certificate)}\n (bounds", 1)
 
     def start_planner(self, number: int, leads: bool) -> None:
+        """Writes a planner's file and starts its next process; its address is known once it says that it is ready."""
         self.start_count += 1
         host, port = self.planner_addresses.get(number, (HOST, 0))
-        others = " ".join(f'(other "{place[0]}" {place[1]})' for other, place in self.planner_addresses.items() if other != number)
-        path = self.file(f"p{number}.planner")
-        with open(path, "w") as stream:
+        others = " ".join(f'(other "{address[0]}" {address[1]})' for other, address in self.planner_addresses.items() if other != number)
+        file = self.file(f"p{number}.planner")
+        with open(file, "w") as stream:
             stream.write(f'(planner (name p{number}) (listen "{host}" {port}) (store "{self.file("planner.store")}") (key lab "rehearsal-key-of-{self.plant.seed:08d}") '
-                         f'{"(leads)" if leads else ""} {self.planner_more} {others} {self.tls(self.papers[f"p{number}"])} (seed {self.plant.seed + self.start_count}))')
-        child = self.loop.spawn([sys.executable, "-m", "laddergw.cli", "planner", path, "--log", "debug"], lambda status: None, stdout=subprocess.PIPE, stderr=self.logs)
+                         f'{"(leads)" if leads else ""} {self.extra_planner_settings} {others} {self.tls(self.planner_certificates[f"p{number}"])} (seed {self.plant.seed + self.start_count}))')
+        child = self.loop.spawn([sys.executable, "-m", "laddergw.cli", "planner", file, "--log", "debug"], lambda status: None, stdout=subprocess.PIPE, stderr=self.planner_log)
         self.planners[number] = child
 
-        def said() -> None:
+        def read_ready_line() -> None:
             line = os.read(child.stdout.fileno(), 4_096).split()
             watch.close()
             child.stdout.close()
             if line[:1] == [b"ready"]:
                 self.planner_addresses[number] = line[1].decode(), int(line[2])
-        watch = DescriptorWatch(self.loop, child.stdout, said)
+        watch = DescriptorWatch(self.loop, child.stdout, read_ready_line)
 
     def let_them_come(self) -> None:
         super().let_them_come()
@@ -72,13 +74,14 @@
             self.loop.call_later(at, lambda kill=kill: self.kill_planner(kill % PLANNERS))
 
     def kill_planner(self, number: int) -> None:
-        child = None if self.ending else self.planners.pop(number, None)     # (at the end all that are known here are ended)
+        """Kills a running planner and restarts it after a drawn delay."""
+        child = None if self.ending else self.planners.pop(number, None)     # at the end, end() kills all that are still known here
         if child is None:
             return
         child.send_signal(signal.SIGKILL)
         self.record("planner down", self.loop.now, number=number)
-        away = between(self.plant.seed, *AWAY_MS, "away", number, self.start_count)
-        self.loop.call_later(away, lambda: self.ending or self.start_planner(number, True))
+        delay = between(self.plant.seed, *RESTART_DELAY_MS, "away", number, self.start_count)
+        self.loop.call_later(delay, lambda: self.ending or self.start_planner(number, True))
 
     def end(self) -> None:
         for child in self.planners.values():
@@ -86,10 +89,11 @@
                 child.kill()
                 child.wait()
         super().end()
-        self.logs.close()
+        self.planner_log.close()
 
     def summary(self) -> str:
-        counts = dict.fromkeys(EVENTS, 0)
+        """What planners logged, in one line."""
+        counts = dict.fromkeys(COUNTED_EVENTS, 0)
         with open(self.file("planners.log"), "rb") as stream:
             for line in stream:
                 try:
@@ -98,4 +102,4 @@
                     continue
                 if event in counts:
                     counts[event] += 1
-        return f"{self.start_count} starts of planners; " + ", ".join(f"{what} {count}" for what, count in counts.items())
+        return f"{self.start_count} starts of planners; " + ", ".join(f"{name} {count}" for name, count in counts.items())
