--- a/laddergw/lab/budget_model.py
+++ b/laddergw/lab/budget_model.py
@@ -1,17 +1,21 @@
-"""What a play of fleet budgets is made of, and the count of spends within a window, which knows nothing of grants."""
+"""The parts of a simulation of fleet budgets, and the count of spends within a window, which knows nothing of grants."""
 from bisect import bisect_left
 from typing import NamedTuple
 
 from laddergw.fleet.grants import GrantHolder
 from laddergw.fleet.grant_issuer import GrantIssuer
 
-ASK_MS, STORE = 250.0, "the-store"
-HOLDS = 0.1                # a planner stands still between deciding and sending, for each trouble
-PACE = 500e-6              # clocks run so far apart
+REQUEST_INTERVAL_MS, STORE = 250.0, "the-store"
+# How often a planner stalls between a decision and sending it, relative to the rate of faults.
+PLANNER_STALL_RATE = 0.1
+MAX_CLOCK_DRIFT = 500e-6     # how far a clock's rate may differ from true time, as a fraction
 
 
 class SimulationSettings(NamedTuple):
-    """What a play is made of. Rates are a second, over all."""
+    """Settings of a simulation. Rates are per second, over all directors.
+
+    `whole`: the budget's spends in a window, over the fleet; `spends`: how many are requested; `troubles`: how many faults strike.
+    """
     directors: int = 6
     whole: int = 24
     window_ms: float = 2_000.0
@@ -20,54 +24,57 @@
     troubles: float = 1.5
     planners: int = 2
     loss: float = 0.02
-    slow: tuple[float, float] = (0.05, 8_000.0)     # part of the messages that take up to so long
-    skew: float = 0.0                # part of the spends that one director wants
-    shifts: bool = False             # who wants much changes every ten seconds
+    slow: tuple[float, float] = (0.05, 8_000.0)     # share of messages that are slow, and the longest delay, ms
+    skew: float = 0.0     # share of the spends that one director requests
+    shifts: bool = False     # that director changes every ten seconds
 
 
 class Implementations(NamedTuple):
-    """What plays; a test hands in mistakes."""
+    """The classes under test; a test passes ones with mistakes. `fenced`: a planner that lost the store stops granting."""
     holding: type = GrantHolder
     issuer: type = GrantIssuer
     fenced: bool = True
 
 
 class Clock:
-    """A process's monotonic clock, by the true time."""
+    """A process's monotonic clock, which drifts from true time and starts elsewhere."""
 
-    def __init__(self, pace: float, ahead: float):
-        self.pace, self.ahead = 1 + pace, ahead
+    def __init__(self, drift: float, offset: float):
+        self.rate, self.offset = 1 + drift, offset
 
     def at(self, now: float) -> float:
-        return now * self.pace + self.ahead
+        """What this clock shows at the true time `now`, ms."""
+        return now * self.rate + self.offset
 
 
 class Director:
-    def __init__(self, number: int, life: int, rules: Implementations, kind: SimulationSettings, clock: Clock):
-        self.name, self.clock, self.number, self.epoch = f"d{number}-{life}", clock, 0, 0
+    """One process of a director: its grants, and whether it is alive or frozen."""
+    def __init__(self, number: int, start_number: int, rules: Implementations, kind: SimulationSettings, clock: Clock):
+        self.name, self.clock, self.number, self.epoch = f"d{number}-{start_number}", clock, 0, 0
         self.holding = rules.holding(STORE)
         self.holding.configure({"b": kind.window_ms})
         self.frozen_until, self.alive, self.inbox = 0.0, True, []
 
 
 class Planner:
+    """One process of a planner: its issuer once it has taken over the store, and whether it is alive or frozen."""
     def __init__(self, clock: Clock):
         self.clock, self.epoch, self.issuer = clock, 0, None
         self.frozen_until, self.alive, self.inbox, self.outbox = 0.0, True, [], []
 
 
 class Outcome(NamedTuple):
-    """`most`: the most that any window held, and when that began; `spent`, `wanted`: over the play."""
+    """`most`: the most spends within any window, which began `at`; `spent`, `wanted`: spends made and requested over the whole run."""
     most: int
     whole: int
     at: float
     spent: int
     wanted: int
-    late: int                        # spends in the last half, wanted and had: how much is put to use after all has begun
-    late_wanted: int
+    late: int     # spends made in the last half, to see how much of the budget is used once start-up is over
+    late_wanted: int                 # and requested
 
 
 def max_within_window(times: list[float], window_ms: float) -> tuple[int, float]:
-    """The most of these that lie within any window of that length, and where that begins."""
+    """The largest number of these times within any window of that length, and where that window begins."""
     times = sorted(times)
-    return max(((bisect_left(times, begin + window_ms) - place, begin) for place, begin in enumerate(times)), default=(0, 0.0))
+    return max(((bisect_left(times, start + window_ms) - index, start) for index, start in enumerate(times)), default=(0, 0.0))
--- a/laddergw/lab/budget_scenarios.py
+++ b/laddergw/lab/budget_scenarios.py
@@ -1,28 +1,28 @@
-"""Troubles of a play of fleet budgets that are staged and not drawn: each shows what chance seldom does."""
+"""Scripted faults for simulations of fleet budgets: each stages what drawn faults seldom do."""
 from laddergw.lab.budget_simulation import BudgetSimulation
 
 
-def split(play: BudgetSimulation) -> None:
-    """At 80 s the second planner takes the store; each half of the directors reaches one of the two alone."""
-    def strike() -> None:
-        play.take_over_store(1)
-        for number in range(play.kind.directors):
-            play.cut[number, 1 if number < play.kind.directors // 2 else 0] = play.now + 1e9, "both"
-    play.schedule(80_000.0, strike)
+def split(simulation: BudgetSimulation) -> None:
+    """At 80 s the second planner takes over the store, and each half of the directors reaches only one of the two planners."""
+    def start_fault() -> None:
+        simulation.take_over_store(1)
+        for number in range(simulation.kind.directors):
+            simulation.cut[number, 1 if number < simulation.kind.directors // 2 else 0] = simulation.now + 1e9, "both"
+    simulation.schedule(80_000.0, start_fault)
 
 
-def stand_stills(play: BudgetSimulation) -> None:
-    """From 30 s on each director stands still in turn, for longer than a lease and a window, and wakes to what was granted before."""
-    def strike(number: int) -> None:
-        play.directors[number].frozen_until = play.now + 12_000.0
-        play.schedule(5_000.0, lambda: strike((number + 1) % play.kind.directors))
-    play.schedule(30_000.0, lambda: strike(0))
+def stand_stills(simulation: BudgetSimulation) -> None:
+    """From 30 s on each director in turn freezes for longer than a lease and a window, and wakes with what it was granted before."""
+    def start_fault(number: int) -> None:
+        simulation.directors[number].frozen_until = simulation.now + 12_000.0
+        simulation.schedule(5_000.0, lambda: start_fault((number + 1) % simulation.kind.directors))
+    simulation.schedule(30_000.0, lambda: start_fault(0))
 
 
-def long_cut(play: BudgetSimulation) -> None:
-    """At 80 s all but two directors are cut off for longer than any lease."""
-    def strike() -> None:
-        for number in range(2, play.kind.directors):
-            for place in range(len(play.planners)):
-                play.cut[number, place] = play.now + 1e9, "both"
-    play.schedule(80_000.0, strike)
+def long_cut(simulation: BudgetSimulation) -> None:
+    """At 80 s all but two directors are cut off from the planners for longer than any lease."""
+    def start_fault() -> None:
+        for number in range(2, simulation.kind.directors):
+            for planner_index in range(len(simulation.planners)):
+                simulation.cut[number, planner_index] = simulation.now + 1e9, "both"
+    simulation.schedule(80_000.0, start_fault)
