--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -1,7 +1,7 @@
-"""rehearse limits: the operators' file switched every two seconds, sound and broken versions in turn, while nodes fail and viewers play.
+"""rehearse limits: the operators' file changes every two seconds, between valid and invalid versions, while nodes fail and viewers play.
 
-Versions are drawn by seed and number. In memory each is loaded at the directors at once; as processes it is written to the file that they watch: in one move,
-in two halves a moment apart, or with a folder in its place in between.
+Versions are drawn by seed and number. In memory each is loaded at the directors directly; with processes it is written to the file that they watch: atomically,
+in two halves with a pause between them, or with a folder in the file's place during that pause.
 """
 import os
 
@@ -14,30 +14,30 @@
 from laddergw.lab.viewers_stand_in import ROUTES
 from laddergw.terms.loading import load
 
-EVERY_MS = 2_000.0         # between versions
-HALF_MS = 120.0            # between the halves of a version written in two
-BROKEN_PART = 0.4          # of the versions
-SOUND_TRIES = 200          # drawn until one is accepted
+SWITCH_INTERVAL_MS = 2_000.0
+HALF_FILE_DELAY_MS = 120.0     # between the halves of a version
+INVALID_SHARE = 0.4     # of the versions
+MAX_DRAWS = 200     # texts drawn until one is accepted
 
 
-def draw_version(seed: int, number: int, house: DirectorFile) -> tuple[str, bool]:
-    """The text of a version, and whether it is sound."""
-    if draw(seed, "broken", number) < BROKEN_PART:
+def draw_version(seed: int, number: int, director_file: DirectorFile) -> tuple[str, bool]:
+    """The text of a version, and whether it is valid."""
+    if draw(seed, "broken", number) < INVALID_SHARE:
         return invalid_text(seed, number), False
-    return valid_text(seed, number, house), True
+    return valid_text(seed, number, director_file), True
 
 
-def valid_text(seed: int, number: int, house: DirectorFile) -> str:
-    """The first drawn text that is accepted: the search decides, not the drawing."""
-    for turn in range(SOUND_TRIES):
-        text = draw_text(seed, (number, turn), house.names)
-        if load(text.encode(), "drawn", house).limits is not None:
+def valid_text(seed: int, number: int, director_file: DirectorFile) -> str:
+    """The first drawn text that the program's own checks accept. Raises ValueError after MAX_DRAWS rejected ones."""
+    for attempt in range(MAX_DRAWS):
+        text = draw_text(seed, (number, attempt), director_file.names)
+        if load(text.encode(), "drawn", director_file).limits is not None:
             return text
-    raise ValueError(f"no sound text in {SOUND_TRIES} drawn")
+    raise ValueError(f"no valid text among {MAX_DRAWS} drawn")
 
 
 def draw_text(seed: int, number, names: tuple[str, ...]) -> str:
-    """Any text that makes sense at first sight: set-ups of 300 to 1,500 ms, releases long and short, pauses, attempts, routes, budgets."""
+    """A text with plausible values, which may still be rejected: set-ups of 300 to 1,500 ms, long and short releases, pauses, attempts, routes, budgets."""
     def pick(low: float, high: float, *what) -> int:
         return round(between(seed, low, high, number, *what))
 
@@ -67,105 +67,108 @@
 
 
 def invalid_text(seed: int, number: int) -> str:
-    """A text that must be refused: of its form, its figures, or what it would break."""
+    """A text that must be rejected for its syntax, its values, or a rule that it would violate."""
     kinds = ("(limits (defaults (time-limit-ms 4000) (set-up-ms 900) (attempts 3) (release-ms 200)))", "(limits (cold-pace 20))",
              "(limits (defaults (time-limit-ms 2000) (set-up-ms 900) (attempts 3)))", "(limits (defaults (set-up-ms 900)", "",
              "(limits (answer-margin-ms 2) (defaults (time-limit-ms 4000)))", "(limits (product nothing))", "(limits (budget (free 1000000)))")
     return kinds[int(draw(seed, "kind", number) * len(kinds))]
 
 
-class MemoryLimits(MemoryStage):
-    """In memory: each version is loaded at every director at one moment."""
+class MemoryLimitsStage(MemoryStage):
+    """In memory: each version is loaded at every director at the same time."""
 
     def __init__(self, plant: Plant, script: list[Trouble], **more):
         super().__init__(plant, script, **more)
-        self.house = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
+        self.director_file = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.version_count = 0
-        self.loop.call_later(EVERY_MS, self.switch)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch)
 
     def switch(self) -> None:
+        """Loads the next version at all directors."""
         if self.done:
             return
         self.version_count += 1
-        text, _ = draw_version(self.plant.seed, self.version_count, self.house)
-        loaded = load(text.encode(), f"version-{self.version_count}", self.house)
+        text, _ = draw_version(self.plant.seed, self.version_count, self.director_file)
+        loaded = load(text.encode(), f"version-{self.version_count}", self.director_file)
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
                 host.deliver_at(self.world.now, lambda director=director: director.change_limits(loaded.limits) if loaded.limits is not None
                           else director.limits_refused(loaded.texts()))
-        self.loop.call_later(EVERY_MS, self.switch)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch)
 
 
-class ProcessLimits(ProcessStage):
-    """As processes: versions are written to a file that all directors watch."""
+class ProcessLimitsStage(ProcessStage):
+    """With processes: versions are written to a file that all directors watch."""
 
     def __init__(self, plant: Plant, script: list[Trouble], folder: str | None = None, level: str = "warning"):
         super().__init__(plant, script, folder, level)
-        self.house = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
-        self.limits, self.version_count = self.file("limits.terms"), 0
-        self.write(valid_text(plant.seed, 0, self.house))
+        self.director_file = director_files.read(plant.house(0, ("127.0.0.1", 1), ("127.0.0.1", 1), plant.seed))
+        self.limits_file, self.version_count = self.file("limits.terms"), 0
+        self.write(valid_text(plant.seed, 0, self.director_file))
 
     def director_command(self, file: str, source: str) -> list[str]:
-        return super().director_command(file, source) + ["--limits", self.limits]
+        return super().director_command(file, source) + ["--limits", self.limits_file]
 
     def let_them_come(self) -> None:
-        """Versions change once all directors run: each has a good one by then."""
+        """Versions change only once all directors run, so that each has loaded a valid one."""
         super().let_them_come()
-        self.loop.call_later(EVERY_MS, self.switch)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch)
 
     def write(self, text: str) -> None:
-        """In one move."""
-        with open(self.limits + ".new", "w") as stream:
+        """Replaces the limits file atomically."""
+        with open(self.limits_file + ".new", "w") as stream:
             stream.write(text)
-        os.replace(self.limits + ".new", self.limits)
+        os.replace(self.limits_file + ".new", self.limits_file)
 
     def switch(self) -> None:
+        """Writes the next version to the watched file."""
         if self.ending:
             return
         self.version_count += 1
-        text, _ = draw_version(self.plant.seed, self.version_count, self.house)
-        how = draw(self.plant.seed, "how", self.version_count)
-        if how < 0.5:
+        text, _ = draw_version(self.plant.seed, self.version_count, self.director_file)
+        method = draw(self.plant.seed, "how", self.version_count)
+        if method < 0.5:
             self.write(text)
         else:
-            self.in_halves(text, how > 0.75)
-        self.loop.call_later(EVERY_MS, self.switch)
+            self.write_in_halves(text, method > 0.75)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch)
 
-    def in_halves(self, text: str, folder: bool) -> None:
-        """First half, a folder in between where told so, then all of it."""
-        with open(self.limits, "w") as stream:
+    def write_in_halves(self, text: str, with_folder: bool) -> None:
+        """Writes the first half, then the whole text; with a folder in the file's place in between if `with_folder`."""
+        with open(self.limits_file, "w") as stream:
             stream.write(text[:len(text) // 2])
-        if folder:
-            os.remove(self.limits)
-            os.mkdir(self.limits)
+        if with_folder:
+            os.remove(self.limits_file)
+            os.mkdir(self.limits_file)
 
-        def rest() -> None:
-            if folder:
-                os.rmdir(self.limits)
+        def write_rest() -> None:
+            if with_folder:
+                os.rmdir(self.limits_file)
             self.write(text)
-        self.loop.call_later(HALF_MS, rest)
+        self.loop.call_later(HALF_FILE_DELAY_MS, write_rest)
 
 
 def count_switches(records: list[tuple]) -> dict[str, int]:
-    """What became of the versions, and the plays that a director let go of under way without a cause of its own."""
-    found = {"switches": 0, "refused": 0, "most generations at once": 1, "dropped": 0}
-    how = {f["allocation"]: f["how"] for _, what, f in records if what == "let go"}
-    of_play: dict[str, str] = {}
-    for _, what, f in sorted(records, key=lambda record: record[0]):
+    """How versions were received, and how many running plays a director dropped without a cause of their own."""
+    counts = {"switches": 0, "refused": 0, "most generations at once": 1, "dropped": 0}
+    release_reasons = {facts["allocation"]: facts["how"] for _, what, facts in records if what == "let go"}
+    allocation_of_play: dict[str, str] = {}
+    for _, what, facts in sorted(records, key=lambda record: record[0]):
         if what == "limits changed":
-            found["switches"] += 1
-            found["most generations at once"] = max(found["most generations at once"], 1 + f["older"])
+            counts["switches"] += 1
+            counts["most generations at once"] = max(counts["most generations at once"], 1 + facts["older"])
         elif what == "limits refused":
-            found["refused"] += 1
+            counts["refused"] += 1
         elif what == "held":
-            of_play[f["play"]] = f["allocation"]
-        elif what == "event" and f["event"] == "broken" and how.get(of_play.get(f["play"], "")) == "released":
-            found["dropped"] += 1
-    return found
+            allocation_of_play[facts["play"]] = facts["allocation"]
+        elif what == "event" and facts["event"] == "broken" and release_reasons.get(allocation_of_play.get(facts["play"], "")) == "released":
+            counts["dropped"] += 1
+    return counts
 
 
 def stage_for(plant: Plant, script: list[Trouble], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
-    return MemoryLimits(plant, script) if memory else ProcessLimits(plant, script, folder, level)
+    """The stage in memory or with processes."""
+    return MemoryLimitsStage(plant, script) if memory else ProcessLimitsStage(plant, script, folder, level)
 
 
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -1,8 +1,8 @@
-"""rehearse move: running directors go over to settings of another shape and back, every few seconds, while a bad day plays.
+"""rehearse move: running directors switch to a file of another shape and back, every few seconds, during a bad day.
 
-In the new shape nodes tell their load to probes alone, directors tell each other, viewers of a live title share streams, and the ladder
-and the racks are others. Between the good files come broken ones, which must change nothing. In memory each director is told at
-one moment; as processes its file is written anew and it gets SIGHUP.
+In the new shape nodes report their load to probes only, directors report to each other, viewers of a live title share streams, and the
+ladder and the racks differ. Between the valid files come invalid ones, which must change nothing. In memory each director is switched
+directly; with processes its file is replaced and it gets SIGHUP.
 """
 import os
 import signal
@@ -14,89 +14,95 @@
 from laddergw.lab.stage_memory import PORT, MemoryStage
 from laddergw.lab.stage_processes import ProcessStage
 
-EVERY_MS = 3_000.0         # between files
-OLD, NEW, BROKEN = "old", "new", "broken"
-ORDER = (NEW, BROKEN, OLD, BROKEN)
-NEW_KEYS = "(probes yes) (told-by probe) (probe-price 0.01) (peer-price 0.0078) (cross-price 0.05) (zone 0) (join 0.3)"
-FAULTS = ('(told-by probe', '(told-by guess)', '(join 7)', '(ladder 300 200)', '(probes yes) (probes no)')
+SWITCH_INTERVAL_MS = 3_000.0     # between files
+OLD_SHAPE, NEW_SHAPE, INVALID = "old", "new", "broken"
+SHAPE_ORDER = (NEW_SHAPE, INVALID, OLD_SHAPE, INVALID)
+NEW_SHAPE_KEYS = "(probes yes) (told-by probe) (probe-price 0.01) (peer-price 0.0078) (cross-price 0.05) (zone 0) (join 0.3)"
+INVALID_FORMS = ('(told-by probe', '(told-by guess)', '(join 7)', '(ladder 300 200)', '(probes yes) (probes no)')
 
 
-def file_of(plant: Plant, text: str, shape: str, turn: int, peers: dict) -> str:
-    """A director's file in one of the shapes, from its old text."""
-    if shape == OLD:
+def director_file_in_shape(plant: Plant, text: str, shape: str, version_number: int, peers: dict) -> str:
+    """A director's file in one of the shapes, made from its text in the old shape."""
+    if shape == OLD_SHAPE:
         return text
     lines = "".join(f' (peer {number} "{host}" {port})' for number, (host, port) in sorted(peers.items()))
     text = text.replace("(bounds", f"{lines} (bounds", 1)
-    text = text.replace(f"(racks {plant.racks})", f"(racks {plant.racks + 1})", 1).replace("(reports x0 x1)", f"(reports x0 x1) {NEW_KEYS}", 1)
+    text = text.replace(f"(racks {plant.racks})", f"(racks {plant.racks + 1})", 1).replace("(reports x0 x1)", f"(reports x0 x1) {NEW_SHAPE_KEYS}", 1)
     text = text.replace(f'"{plant.wares[0].name}" ', f'"{plant.wares[0].name}" (live yes) ', 1)
     ladder = " ".join(f"{kb:g}" for kb in plant.ladder)
     text = text.replace(ladder, " ".join(f"{kb * 1.1:g}" for kb in plant.ladder), 1)
-    if shape == BROKEN:
-        fault = FAULTS[int(draw(plant.seed, "fault", turn) * len(FAULTS))]
-        text = text.replace("(told-by probe)", fault, 1)
+    if shape == INVALID:
+        invalid_form = INVALID_FORMS[int(draw(plant.seed, "fault", version_number) * len(INVALID_FORMS))]
+        text = text.replace("(told-by probe)", invalid_form, 1)
     return text
 
 
-class Moving:
-    """What both stages share: the turn of files. `put(shape, turn)` gives every director its file."""
+class ShapeSwitching:
+    """What both stages share: the order of shapes. `apply_shape(shape, version_number)` gives every director its file."""
     plant: Plant
     version_count = 0
 
-    def move(self) -> None:
-        if self.over():
+    def switch_shape(self) -> None:
+        """Switches all directors to the next shape."""
+        if self.is_over():
             return
-        shape, self.version_count = ORDER[self.version_count % len(ORDER)], self.version_count + 1
-        if shape != BROKEN:
+        shape, self.version_count = SHAPE_ORDER[self.version_count % len(SHAPE_ORDER)], self.version_count + 1
+        if shape != INVALID:
             for node in sorted(self.conductor.up):
-                self.fault(node, "untold", True if shape == NEW else None)
-        self.put(shape, self.version_count)
+                self.fault(node, "untold", True if shape == NEW_SHAPE else None)
+        self.apply_shape(shape, self.version_count)
         self.record("files put", self.loop.now, shape=shape)
-        self.loop.call_later(EVERY_MS, self.move)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
 
-class MemoryMove(Moving, MemoryStage):
+class MemoryMove(ShapeSwitching, MemoryStage):
+    """In memory: each director is switched directly. `refused`: how many files were rejected."""
+
     def __init__(self, plant: Plant, script: list[Trouble], **more):
         super().__init__(plant, script, **more)
         self.refused = 0
-        self.loop.call_later(EVERY_MS, self.move)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return self.done
 
-    def put(self, shape: str, turn: int) -> None:
+    def apply_shape(self, shape: str, version_number: int) -> None:
         peers = {number: (f"d{number}", PORT) for number in self.directors}
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
-                old = self.plant.house(number, director.house.listen, director.house.lists, director.house.seed)
-                text = file_of(self.plant, old, shape, turn, peers)
+                file_text = self.plant.house(number, director.house.listen, director.house.lists, director.house.seed)
+                text = director_file_in_shape(self.plant, file_text, shape, version_number, peers)
                 host.deliver_at(self.world.now, lambda director=director, text=text: self.switch(director, text))
 
     def switch(self, director, text: str) -> None:
+        """What a director does with a new file: rejects it, or switches to it where nothing speaks against it."""
         try:
-            house = director_files.read(text)
+            new_file = director_files.read(text)
         except director_files.FileRejected:
             self.refused += 1
             return
-        if director_files.switch_fault(director.house, house) is None:
-            director.change_director_file(house)
+        if director_files.switch_fault(director.house, new_file) is None:
+            director.change_director_file(new_file)
+
 
+class ProcessMove(ShapeSwitching, ProcessStage):
+    """With processes: each director's file is replaced and it gets SIGHUP."""
 
-class ProcessMove(Moving, ProcessStage):
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return self.ending
 
     def let_them_come(self) -> None:
         super().let_them_come()
-        self.loop.call_later(EVERY_MS, self.move)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
-    def put(self, shape: str, turn: int) -> None:
-        ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no handler yet
+    def apply_shape(self, shape: str, version_number: int) -> None:
+        ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no signal handler yet
         for number, child in self.children.items():
             source = f"d{number}.{self.starts[number]}"
             if child.poll() is None and number in self.conductor.directors_up and source in ready:
                 path = self.file(f"{source}.scm")
-                text = file_of(self.plant, self.house_text(number), shape, turn, self.addresses)
+                text = director_file_in_shape(self.plant, self.house_text(number), shape, version_number, self.addresses)
                 with open(path + ".new", "w") as stream:
                     stream.write(text)
                 os.replace(path + ".new", path)
@@ -104,10 +110,11 @@
 
 
 def count_switches(records: list[tuple]) -> dict[str, int]:
-    """What came of the files: switches at directors, probes and mail that followed, plays let go of without a cause of their own."""
-    count = lambda name: sum(what == name for _, what, _ in records)
-    return {"switches": count("deployment changed"), "probes": count("probed"), "dropped": limits.count_switches(records)["dropped"]}
+    """Switches at directors, the probes that followed, and running plays dropped without a cause of their own."""
+    count_records = lambda name: sum(what == name for _, what, _ in records)
+    return {"switches": count_records("deployment changed"), "probes": count_records("probed"), "dropped": limits.count_switches(records)["dropped"]}
 
 
 def stage_for(plant: Plant, script: list[Trouble], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
+    """The stage in memory or with processes."""
     return MemoryMove(plant, script) if memory else ProcessMove(plant, script, folder, level)
