--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -1,7 +1,7 @@
-"""rehearse stitched, in memory: sessions with notices through drains, moves in mid-insertion and dying sources.
+"""rehearse stitched, in memory: sessions with notices while nodes drain, sessions move in mid-insertion and sources die.
 
-The stage is the memory stage with fronts in place of directors and players in place of viewers. Each session is judged
-reload by reload by the continuity check, apart from the rules' audit.
+The stage is the memory stage with edges in place of directors and players in place of viewers. The continuity check judges each
+session at every reload, separately from the audit of the rules.
 """
 from collections import deque
 
@@ -15,16 +15,17 @@
 from laddergw.lab.stage_memory import PORT, SETTLE_MS, MemoryStage
 from laddergw.programme import rules
 
-TAIL_MS = 330_000.0        # the longest title with its notices, after the last session came
+TAIL_MS = 330_000.0     # the longest title with its notices, after the last session started
 ROUTES = ("/shoreline/", "/board/", "/archive/")
 ITEMS = {"tide": 9_000, "news": 9_000, "hearing-day": 12_000, "short": 6_000}
 
 
 def programme_text(nodes: list[int]) -> str:
-    """Rules in which notices meet: before, every so long, at times; items are held by a third of the nodes each."""
-    def some(name: str) -> str:
-        return " ".join(str(node) for k, node in enumerate(nodes) if draw(0, name, node) < 0.4 or k % 5 == 0)
-    items = "\n".join(f' (item "{name}" (playlist "{name}.m3u8") (length-ms {ms}) (nodes {some(name)}) (rate-kb {ITEM_KB:g})'
+    """Programme rules whose notices meet: before the title, at intervals, at fixed times; each item is held by a third of the nodes."""
+    def holders_form(name: str) -> str:
+        """The nodes that hold an item."""
+        return " ".join(str(node) for index, node in enumerate(nodes) if draw(0, name, node) < 0.4 or index % 5 == 0)
+    items = "\n".join(f' (item "{name}" (playlist "{name}.m3u8") (length-ms {ms}) (nodes {holders_form(name)}) (rate-kb {ITEM_KB:g})'
                       + (' (shorter "short")' if ms > 6_000 else "") + ")" for name, ms in ITEMS.items())
     return f"""(programme
 {items}
@@ -34,34 +35,34 @@
 
 
 def fault_script(p: Plant) -> list[Trouble]:
-    """Drains and successors all through, sources that die, stand still or fail; of the edges one is killed, one told to stop, one stands still."""
-    unit = p.crowd.seconds * 1000 / 120
-    found = rolling_deploy(p, 15_000 * unit / 1000, 70_000 * unit / 1000, 0.5)
+    """Drains and successors throughout; sources die, freeze or fail; of the edges one is killed, one is told to stop and one freezes."""
+    time_unit = p.crowd.seconds * 1000 / 120
+    events = rolling_deploy(p, 15_000 * time_unit / 1000, 70_000 * time_unit / 1000, 0.5)
     for node in pick(p, 0.12, "die"):
-        at = between(p.seed, 30_000, 90_000, "die", node) * unit / 1000
-        found += [Trouble(at, "die", node), Trouble(at + 9_000, "return", node)]
-    found += [Trouble(between(p.seed, 20_000, 80_000, "still", node) * unit / 1000, "still", node, 4_000.0) for node in pick(p, 0.1, "still")]
-    found += fault(pick(p, 0.15, "errors"), "errors", 40_000 * unit / 1000, 15_000, 0.5)
-    found += fault(pick(p, 0.1, "stall"), "stall", 60_000 * unit / 1000, 12_000, 1.0)
+        at_ms = between(p.seed, 30_000, 90_000, "die", node) * time_unit / 1000
+        events += [Trouble(at_ms, "die", node), Trouble(at_ms + 9_000, "return", node)]
+    events += [Trouble(between(p.seed, 20_000, 80_000, "still", node) * time_unit / 1000, "still", node, 4_000.0) for node in pick(p, 0.1, "still")]
+    events += fault(pick(p, 0.15, "errors"), "errors", 40_000 * time_unit / 1000, 15_000, 0.5)
+    events += fault(pick(p, 0.1, "stall"), "stall", 60_000 * time_unit / 1000, 12_000, 1.0)
     directors = sorted(range(p.directors), key=lambda number: draw(p.seed, "edge", number))
-    at = lambda seconds: (seconds * 1000 + between(p.seed, 0, 3_000, "edge at", seconds)) * unit / 1000
-    found += restart(directors[:1], at(45), 3_000.0)
-    found += [Trouble(at(80), "term", directors[1]), Trouble(at(80) + p.finish_ms + 3_000, "start", directors[1])]
-    found += [Trouble(at(100), "freeze", directors[2 % p.directors], 2_000.0)]
-    return sorted(found)
+    at_seconds = lambda seconds: (seconds * 1000 + between(p.seed, 0, 3_000, "edge at", seconds)) * time_unit / 1000
+    events += restart(directors[:1], at_seconds(45), 3_000.0)
+    events += [Trouble(at_seconds(80), "term", directors[1]), Trouble(at_seconds(80) + p.finish_ms + 3_000, "start", directors[1])]
+    events += [Trouble(at_seconds(100), "freeze", directors[2 % p.directors], 2_000.0)]
+    return sorted(events)
 
 
 class StitchedStage(MemoryStage):
-    """See the module."""
+    """See the module. `sessions`: how many, spread over the run."""
 
     def __init__(self, the_plant: Plant, the_script: list[Trouble], sessions: int):
         programme = rules.read(programme_text([node.node for node in the_plant.nodes]))
 
-        class Fronts(EdgeFront):
+        class ProgrammeFront(EdgeFront):
             def __init__(self, *args, **more):
                 super().__init__(*args, programme=programme, **more)
-        super().__init__(the_plant, the_script, Fronts)
-        self.sessions, self.players, self.open = sessions, [], 0
+        super().__init__(the_plant, the_script, ProgrammeFront)
+        self.sessions, self.players, self.open_sessions = sessions, [], 0
         self.addresses = {number: (f"d{number}", PORT) for number in range(the_plant.directors)}
 
     def run(self) -> list[tuple]:
@@ -74,74 +75,76 @@
         wire, start = Wire(host), self.world.now
         self.conductor.begin()
         for number in range(self.sessions):
-            host.call_at(start + session_at(self.plant, number, self.sessions), lambda number=number: self.begin(wire, number))
+            host.call_at(start + session_at(self.plant, number, self.sessions), lambda number=number: self.start_session(wire, number))
         end = start + self.plant.crowd.seconds * 1000 + TAIL_MS
-        while self.world.now < end and (self.open or self.world.now < start + self.plant.crowd.seconds * 1000 + 1_000):
+        while self.world.now < end and (self.open_sessions or self.world.now < start + self.plant.crowd.seconds * 1000 + 1_000):
             self.world.run(self.world.now + 1_000)
-        self.record("stage ended", self.world.now, done=not self.open)
+        self.record("stage ended", self.world.now, done=not self.open_sessions)
         self.records.sort(key=lambda record: record[0])
         return self.records
 
-    def begin(self, wire: Wire, number: int) -> None:
-        self.open += 1
-        self.players.append(Player(wire, self.addresses, session_frame(self.plant, number), Judge(), self.record, self.over, 900.0))
+    def start_session(self, wire: Wire, number: int) -> None:
+        """Starts the player of a session."""
+        self.open_sessions += 1
+        self.players.append(Player(wire, self.addresses, session_frame(self.plant, number), Judge(), self.record, self.session_ended, 900.0))
 
-    def over(self, player: Player) -> None:
-        self.open -= 1
+    def session_ended(self, player: Player) -> None:
+        """Called when a player's session has ended."""
+        self.open_sessions -= 1
 
 
 def session_frame(p: Plant, number: int) -> dict:
-    """What the player of a session asks for; drawn by the seed and its number."""
+    """The request of a session's player, drawn by the seed and the session's number."""
     chance, ware = draw(p.seed, "ware", number), p.wares[-1]
-    for one in p.wares:
-        if chance < one.share:
-            ware = one
+    for candidate in p.wares:
+        if chance < candidate.share:
+            ware = candidate
             break
-        chance -= one.share
+        chance -= candidate.share
     title = 1 + int(200 ** draw(p.seed, "title", number))
     return {"key": f"s{number}", "product": ware.name, "title": title, "home": title % p.cells, "copies": p.crowd.copies, "ceiling": 4,
             "wait_ms": ware.wait_ms, "length_ms": 90_000.0, "route": ROUTES[number % len(ROUTES)] + str(title)}
 
 
 def session_at(p: Plant, number: int, sessions: int) -> float:
-    """When it comes, ms from the start."""
+    """When a session starts, ms from the start of the run."""
     return p.crowd.seconds * 1000 * (number + draw(p.seed, "at", number)) / sessions
 
 
 def stitched_plant(seed: int, sessions: int, seconds: float) -> Plant:
-    """Long plays: a title lasts one to three minutes, so links are sized for that."""
+    """A deployment with long plays: a title lasts one to three minutes, and links are sized for that."""
     wares = tuple(ware._replace(length_ms=(60_000, 120_000), seats=0) for ware in WARES)
     return plant(seed, directors=4, nodes=24, rate=sessions / seconds, seconds=seconds, load=0.6, wares=wares)
 
 
 def item_share(plant: Plant, records: list[tuple]) -> float:
-    """The most that items of plays elsewhere took of a node's link within ITEMS_MS, all edges together."""
-    windows: dict[int, deque] = {}
+    """The largest share of a node's link that items of plays on other nodes took within ITEMS_MS, over all edges."""
+    sent_times_by_node: dict[int, deque] = {}
     most = 0
     for at, what, facts in records:
         if what == "item sent" and not facts["own"]:
-            window = windows.setdefault(facts["node"], deque())
-            window.append(at)
-            while window[0] < at - ITEMS_MS:
-                window.popleft()
-            most = max(most, len(window))
+            sent_times = sent_times_by_node.setdefault(facts["node"], deque())
+            sent_times.append(at)
+            while sent_times[0] < at - ITEMS_MS:
+                sent_times.popleft()
+            most = max(most, len(sent_times))
     return most * ITEM_KB * ITEM_MS / ITEMS_MS / plant.link_unit
 
 
 def totals(records: list[tuple]) -> dict[str, float]:
-    """What players logged, in figures."""
-    found: dict[str, float] = {"timing faults": 0, "stalls": 0, "worst stall ms": 0.0, "played to the end": 0, "broken off": 0,
+    """Counts of what players logged."""
+    figures: dict[str, float] = {"timing faults": 0, "stalls": 0, "worst stall ms": 0.0, "played to the end": 0, "broken off": 0,
                               "edges lost by players": 0}
     for _, what, facts in records:
         if what in ("timing fault", "bad playlist"):
-            found["timing faults"] += 1
+            figures["timing faults"] += 1
         elif what == "edge lost":
-            found["edges lost by players"] += 1
+            figures["edges lost by players"] += 1
         elif what == "session over":
-            found["stalls"] += len(facts["stalls"])
-            found["worst stall ms"] = max([found["worst stall ms"]] + facts["stalls"])
-            found["played to the end"] += facts["outcome"] == "played"
-            found["broken off"] += facts["outcome"] == "broken"
-    return found
+            figures["stalls"] += len(facts["stalls"])
+            figures["worst stall ms"] = max([figures["worst stall ms"]] + facts["stalls"])
+            figures["played to the end"] += facts["outcome"] == "played"
+            figures["broken off"] += facts["outcome"] == "broken"
+    return figures
 
 
--- a/laddergw/lab/stitched_processes.py
+++ b/laddergw/lab/stitched_processes.py
@@ -8,7 +8,7 @@
 
 
 class StitchedProcesses(ProcessStage):
-    """The process stage with edges in place of directors and players in place of viewers."""
+    """The process stage with edges in place of directors and players in place of viewers. `sessions`: how many, spread over the run."""
     tail_ms = TAIL_MS
     audience = "players"
 
--- a/laddergw/lab/storm.py
+++ b/laddergw/lab/storm.py
@@ -1,7 +1,7 @@
-"""A retry storm in memory: all nodes stand still, or answer late, for five seconds, and every viewer that gets nothing comes again at once, as often as it takes.
+"""A retry storm in memory: all nodes freeze, or answer late, for five seconds, and every viewer that gets nothing retries at once, as often as it takes.
 
-Played under several ways to meet it: further allocations rationed or not, a waiting room that follows nodes' answers or not. Judged by service from window to window: importance
-answered within the first-frame target over the importance asked for, each try folded into its play's first.
+Run under several strategies: with a retry budget or without, with concurrency limits that adapt to nodes' answers or without. Judged by service in each window: the importance
+answered within the first-frame target over the importance requested, where each attempt counts for its play's first one.
 """
 from collections import defaultdict
 from typing import NamedTuple
@@ -11,88 +11,93 @@
 from laddergw.lab.plant import Plant, plant
 from laddergw.lab.script import Trouble, fault
 from laddergw.lab.stage_memory import MemoryStage
-from laddergw.terms import limits as files
+from laddergw.terms import limits as limits_files
 from laddergw.terms.loading import default_terms
 
-STILL_AT_MS, STILL_MS = 26_000.0, 5_000.0   # past the pacing that follows a director's start
-LATE_MS = 2_000.0          # of the late kind: past the module's patience, within viewers' limits
+FAULT_START_MS, FAULT_DURATION_MS = 26_000.0, 5_000.0   # after the pacing that follows a director's start
+# Added to set-ups of the kind `late`: longer than the director waits for an answer, within viewers' limits.
+ADDED_DELAY_MS = 2_000.0
 WINDOW_MS = 1_000.0
-BACK_PART, BACK_WINDOWS = 0.95, 3      # recovered: so much of the service before, for so many windows in a row
-WAYS = {                               # name -> (further allocations rationed, how the waiting room follows)
+# Recovered: this share of the service before the fault, for this many windows in a row.
+RECOVERED_SHARE, RECOVERED_WINDOWS = 0.95, 3
+# Name -> (whether there is a retry budget, how concurrency limits adapt).
+STRATEGIES = {
     "neither": (False, "off"), "budget": (True, "off"), "gradient": (False, "gradient"), "AIMD": (False, "aimd"),
     "budget and gradient": (True, "gradient"), "budget and AIMD": (True, "aimd")}
 
 
-class Storm(NamedTuple):
-    """One run. Times ms from the first viewer."""
-    way: str
-    service: dict[float, float]        # by window's start
+class StormResult(NamedTuple):
+    """The figures of one run. Times are in ms from the first viewer's arrival."""
+    strategy: str
+    service: dict[float, float]     # by window's start
     before: float
-    during: float                      # from the stand-still's start to ten seconds past its end
-    back_ms: float                     # past the end of the stand-still; inf: not within the run
-    further: int
-    tries: int
+    during: float                   # from the fault's start to ten seconds past its end
+    recovery_ms: float              # from the fault's end; inf: not within the run
+    retries: int
+    attempts: int
     judged: audit.Judged
 
 
-def storm_plant(seed: int, rate: float, seconds: float, rationed: bool) -> Plant:
-    """Impatient viewers that all come again, at once."""
-    found = plant(seed, directors=1, nodes=8, rate=rate, seconds=seconds, load=0.85)
-    crowd = found.crowd._replace(returns=1.0, tries=30, again_ms=(0.0, 50.0), impatient=0.0, fickle=0.0)
-    return found._replace(crowd=crowd, budget=found.budget if rationed else None)
+def storm_plant(seed: int, rate: float, seconds: float, has_retry_budget: bool) -> Plant:
+    """A deployment with impatient viewers, who all retry at once."""
+    model = plant(seed, directors=1, nodes=8, rate=rate, seconds=seconds, load=0.85)
+    crowd = model.crowd._replace(returns=1.0, tries=30, again_ms=(0.0, 50.0), impatient=0.0, fickle=0.0)
+    return model._replace(crowd=crowd, budget=model.budget if has_retry_budget else None)
 
 
-def play(way: str, seed: int, rate: float = 14.0, seconds: float = 44.0, kind: str = "still") -> Storm:
-    """`kind`: still, or late: set-ups take LATE_MS longer meanwhile."""
-    rationed, adaptive = WAYS[way]
-    the_plant = storm_plant(seed, rate, seconds, rationed)
+def run_storm(strategy: str, seed: int, rate: float = 14.0, seconds: float = 44.0, kind: str = "still") -> StormResult:
+    """Runs one storm. `kind`: still, or late, where set-ups take ADDED_DELAY_MS longer during the fault."""
+    has_retry_budget, adaptive = STRATEGIES[strategy]
+    the_plant = storm_plant(seed, rate, seconds, has_retry_budget)
 
-    class Under(Director):
+    class AdaptiveDirector(Director):
         def __init__(self, loop, house, **more):
-            super().__init__(loop, house, limits=files.read(f"(limits (adaptive {adaptive}))", house.names, default_terms(house)), **more)
+            super().__init__(loop, house, limits=limits_files.read(f"(limits (adaptive {adaptive}))", house.names, default_terms(house)), **more)
     nodes = [node.node for node in the_plant.nodes]
-    script = [Trouble(STILL_AT_MS, "still", node, STILL_MS) for node in nodes] if kind == "still" else fault(nodes, "late", STILL_AT_MS, STILL_MS, LATE_MS)
-    stage = MemoryStage(the_plant, script, Under)
+    script = [Trouble(FAULT_START_MS, "still", node, FAULT_DURATION_MS) for node in nodes] if kind == "still" else fault(nodes, "late", FAULT_START_MS, FAULT_DURATION_MS, ADDED_DELAY_MS)
+    stage = MemoryStage(the_plant, script, AdaptiveDirector)
     records = stage.run()
-    return measured(way, the_plant, records)
+    return summarize(strategy, the_plant, records)
 
 
-def measured(way: str, the_plant: Plant, records: list[tuple]) -> Storm:
+def summarize(strategy: str, the_plant: Plant, records: list[tuple]) -> StormResult:
+    """The figures of a run's records."""
     judged = audit.audit(the_plant, records)
-    tries = audit.viewer_tries(audit.Records(records))
-    start = min(t["at"] for t in tries.values())
-    windows = by_window(the_plant, tries, start)
-    end = STILL_AT_MS + STILL_MS
-    before = mean([value for at, value in windows.items() if 16_000 <= at < STILL_AT_MS - 3_000])
-    during = mean([value for at, value in windows.items() if STILL_AT_MS <= at < end + 10_000])
-    further = sum(1 for _, what, f in records if what == "set-up written" and f["number"])
-    return Storm(way, windows, before, during, recovery(windows, before, end), further, len(tries), judged)
-
-
-def by_window(the_plant: Plant, tries: dict, start: float) -> dict[float, float]:
-    """Service of the plays that were first asked for in each window."""
+    attempts = audit.viewer_tries(audit.Records(records))
+    start = min(attempt["at"] for attempt in attempts.values())
+    windows = service_by_window(the_plant, attempts, start)
+    end = FAULT_START_MS + FAULT_DURATION_MS
+    before = mean([value for at, value in windows.items() if 16_000 <= at < FAULT_START_MS - 3_000])
+    during = mean([value for at, value in windows.items() if FAULT_START_MS <= at < end + 10_000])
+    retries = sum(1 for _, what, facts in records if what == "set-up written" and facts["number"])
+    return StormResult(strategy, windows, before, during, recovery(windows, before, end), retries, len(attempts), judged)
+
+
+def service_by_window(the_plant: Plant, attempts: dict, start: float) -> dict[float, float]:
+    """Service of the plays whose first attempt came in each window."""
     wares = {ware.name: ware for ware in the_plant.wares}
-    first, won = {}, set()
-    for (play_key, _), t in sorted(tries.items()):
-        first.setdefault(play_key, t)
-        if t["answer"] == "playing" and t["answered_at"] - first[play_key]["at"] <= wares[t["product"]].aim_ms:
-            won.add(play_key)
-    asked, answered = defaultdict(float), defaultdict(float)
-    for play_key, t in first.items():
-        window = (t["at"] - start) // WINDOW_MS * WINDOW_MS
-        asked[window] += wares[t["product"]].importance
-        answered[window] += wares[t["product"]].importance * (play_key in won)
-    return {window: answered[window] / asked[window] for window in sorted(asked)}
+    first_attempts, in_time = {}, set()
+    for (play_key, _), attempt in sorted(attempts.items()):
+        first_attempts.setdefault(play_key, attempt)
+        if attempt["answer"] == "playing" and attempt["answered_at"] - first_attempts[play_key]["at"] <= wares[attempt["product"]].aim_ms:
+            in_time.add(play_key)
+    requested, answered = defaultdict(float), defaultdict(float)
+    for play_key, attempt in first_attempts.items():
+        window = (attempt["at"] - start) // WINDOW_MS * WINDOW_MS
+        requested[window] += wares[attempt["product"]].importance
+        answered[window] += wares[attempt["product"]].importance * (play_key in in_time)
+    return {window: answered[window] / requested[window] for window in sorted(requested)}
 
 
 def recovery(windows: dict[float, float], before: float, end: float) -> float:
-    """From the end of the stand-still to the first of three windows in a row with the service of before, ms."""
+    """Time from the fault's end to the first of three windows in a row with the service of before, ms."""
     later = [(at, value) for at, value in windows.items() if at >= end]
-    for place in range(len(later) - BACK_WINDOWS + 1):
-        if mean([value for _, value in later[place:place + BACK_WINDOWS]]) >= BACK_PART * before:
-            return later[place][0] - end
+    for index in range(len(later) - RECOVERED_WINDOWS + 1):
+        if mean([value for _, value in later[index:index + RECOVERED_WINDOWS]]) >= RECOVERED_SHARE * before:
+            return later[index][0] - end
     return float("inf")
 
 
 def mean(values: list[float]) -> float:
+    """The mean; 0 for no values."""
     return sum(values) / len(values) if values else 0.0
