--- a/laddergw/lab/compare.py
+++ b/laddergw/lab/compare.py
@@ -1,19 +1,19 @@
-"""Decides what an experiment shows: paired differences between two variants over the same days and seeds, with a confidence interval by bootstrap. Pure; the seed is handed in.
+"""Decides what an experiment shows: paired differences between two variants over the same days and seeds, with a bootstrap confidence interval. Pure; the seed is an argument.
 
-Pairs share plant, script and viewers (common random numbers), so that what differs is the variant alone. An experiment is looked at after each batch; each look spends a part of the
-allowed error (a simple split by looks), so that looking often does not find what is not there.
+Pairs share the deployment, script and viewers (common random numbers), so that only the variant differs. An experiment is evaluated after each batch; each interim look spends a part of
+the allowed error (an equal split over looks), so that frequent looks do not find differences that do not exist.
 """
 from typing import NamedTuple, Sequence
 
 import numpy as np
 
 RESAMPLES = 4_000
-LEAST_PAIRS = 6            # fewer say nothing
+MIN_PAIRS = 6     # fewer decide nothing
 BETTER, WORSE, ALIKE, OPEN = "better", "worse", "alike", "open"
 
 
 class Difference(NamedTuple):
-    """The second variant less the first: mean, its interval, the number of pairs, and the verdict."""
+    """The second variant minus the first: mean, its confidence interval, the number of pairs, and the verdict."""
     mean: float
     low: float
     high: float
@@ -22,24 +22,24 @@
 
 
 def compare(first: Sequence[float], second: Sequence[float], confidence: float, seed: int, matters: float, looks: int = 1) -> Difference:
-    """`matters`: a difference under this is none. `looks`: how often it will be looked at in all. Raises ValueError where the two are not paired."""
+    """Compares paired measures. `matters`: smaller differences count as none. `looks`: how often the experiment is evaluated in all. Raises ValueError for unequal lengths."""
     if len(first) != len(second):
         raise ValueError(f"{len(first)} and {len(second)} results are not pairs")
     differences = np.asarray(second, dtype=float) - np.asarray(first, dtype=float)
-    if len(differences) < LEAST_PAIRS:
+    if len(differences) < MIN_PAIRS:
         return Difference(float(differences.mean()) if len(differences) else 0.0, -np.inf, np.inf, len(differences), OPEN)
-    chance = np.random.default_rng(seed)
-    means = differences[chance.integers(0, len(differences), (RESAMPLES, len(differences)))].mean(axis=1)
+    generator = np.random.default_rng(seed)
+    means = differences[generator.integers(0, len(differences), (RESAMPLES, len(differences)))].mean(axis=1)
     tail = (1 - confidence) / looks / 2
-    # A bootstrap of few pairs is too narrow: widened by what a t interval has over a normal one
-    widen = np.sqrt(len(differences) / (len(differences) - 1)) * (1 + 2.0 / len(differences))
+    # A bootstrap interval of few pairs is too narrow: widen it by the ratio of a t interval to a normal one
+    widening = np.sqrt(len(differences) / (len(differences) - 1)) * (1 + 2.0 / len(differences))
     mean = float(differences.mean())
-    low, high = (mean + widen * (float(np.quantile(means, part)) - mean) for part in (tail, 1 - tail))
+    low, high = (mean + widening * (float(np.quantile(means, share)) - mean) for share in (tail, 1 - tail))
     return Difference(mean, low, high, len(differences), verdict(low, high, matters))
 
 
 def verdict(low: float, high: float, matters: float) -> str:
-    """Decided once the interval lies wholly on one side of nothing, or wholly within what does not matter."""
+    """Decides once the interval lies wholly on one side of zero, or wholly within differences that do not matter."""
     if low > 0:
         return BETTER
     if high < 0:
