--- a/laddergw/lab/budget_processes.py
+++ b/laddergw/lab/budget_processes.py
@@ -63,6 +63,7 @@
         """Does nothing: there are no rollouts."""
 
     def before_end(self) -> None:
+        """Runs the fleet's checks and asks for the budget's state."""
         super().before_end()
         answers = [found for planner in self.planner_addresses if (found := self.ask(planner, wire.Ask("budgets"))) and "budgets" in found]
         self.budget_answer = answers[0] if answers else {}
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -68,9 +68,11 @@
         return text
 
     def director_command(self, file: str, source: str) -> list[str]:
+        """The edge's command, with its limits file."""
         return super().director_command(file, source) + ["--limits", self.limits_path(int(source[1:].partition(".")[0]))]
 
     def let_them_come(self) -> None:
+        """Starts the viewers and schedules faults, kills and stops of planners, switches and rollouts."""
         super().let_them_come()
         seconds = self.plant.crowd.seconds * 1000
         for fault in self.faults:
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -98,6 +98,7 @@
         self.rollout_operator = RolloutOperator(self)
 
     def start_director(self, number: int) -> None:
+        """Starts a director with links to the planners; every other one admits plays without a planner."""
         MemoryStage.start_director(self, number)
         director, addresses = self.directors[number], []
         director.house = director.house._replace(without_planner=CLOSED if number % 2 else OPEN)
@@ -120,6 +121,7 @@
         return path
 
     def run(self) -> list[tuple]:
+        """Schedules faults, kills and stops of planners, switches and rollouts, and runs the rehearsal."""
         start = self.world.now + 3_000
         self.rollout_operator.begin(start + ROLLOUTS_FROM_SHARE * self.plant.crowd.seconds * 1000)
         for fault in self.faults:
--- a/laddergw/lab/limits.py
+++ b/laddergw/lab/limits.py
@@ -108,6 +108,7 @@
         self.write(valid_text(plant.seed, 0, self.director_file))
 
     def director_command(self, file: str, source: str) -> list[str]:
+        """The director's command, with the limits file."""
         return super().director_command(file, source) + ["--limits", self.limits_file]
 
     def let_them_come(self) -> None:
--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -64,9 +64,11 @@
         self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
     def is_over(self) -> bool:
+        """Whether the rehearsal has ended."""
         return self.done
 
     def apply_shape(self, shape: str, version_number: int) -> None:
+        """Switches every running director to its file in this shape."""
         peers = {number: (f"d{number}", PORT) for number in self.directors}
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
@@ -90,13 +92,16 @@
     """With processes: each director's file is replaced and it gets SIGHUP."""
 
     def is_over(self) -> bool:
+        """Whether the rehearsal has ended."""
         return self.ending
 
     def let_them_come(self) -> None:
+        """Starts the viewers and schedules the switches."""
         super().let_them_come()
         self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
     def apply_shape(self, shape: str, version_number: int) -> None:
+        """Replaces the file of every running director and signals it."""
         ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no signal handler yet
         for number, child in self.children.items():
             source = f"d{number}.{self.starts[number]}"
--- a/laddergw/lab/planner_outage.py
+++ b/laddergw/lab/planner_outage.py
@@ -40,6 +40,7 @@
         self.events: list[tuple] = []
 
     def run(self) -> list[tuple]:
+        """Starts the planners, schedules their kills and runs the rehearsal."""
         try:
             for number in range(self.count):
                 self.start_planner(number, number == 0)
@@ -88,6 +89,7 @@
         self.loop.call_at(self.world.now + delay, lambda: self.start_planner(number, True))
 
     def start_director(self, number: int) -> None:
+        """Starts a director and its client of the planners."""
         super().start_director(number)
         if self.count:
             self.planner_clients[number] = PlannerClient(self.directors[number], tuple((f"p{planner}", PORT) for planner in range(self.count)), self.keys())
--- a/laddergw/lab/planner_outage_processes.py
+++ b/laddergw/lab/planner_outage_processes.py
@@ -34,6 +34,7 @@
         self.planner_log = open(self.file("planners.log"), "wb")
 
     def run(self) -> list[tuple]:
+        """Starts the planners and runs the rehearsal."""
         for number in range(PLANNERS):
             self.start_planner(number, number == 0)
             self.wait(lambda number=number: number in self.planner_addresses, START_MS, "planners start")
@@ -44,6 +45,7 @@
         return '(tls (certificate "%s") (key "%s") (authority "%s"))' % certificate
 
     def house_text(self, number: int) -> str:
+        """The director's file, with its planners and certificate."""
         planners = " ".join(f'(planner "{host}" {port})' for host, port in self.planner_addresses.values())
         return super().house_text(number).replace("(bounds", f"{planners} {self.tls(self.edge_certificate)}\n (bounds", 1)
 
@@ -68,6 +70,7 @@
         watch = DescriptorWatch(self.loop, child.stdout, read_ready_line)
 
     def let_them_come(self) -> None:
+        """Starts the viewers and schedules the planners' kills."""
         super().let_them_come()
         for kill in range(self.kills):
             at = between(self.plant.seed, 1_000, self.plant.crowd.seconds * 1000, "planner", kill)
@@ -84,6 +87,7 @@
         self.loop.call_later(delay, lambda: self.ending or self.start_planner(number, True))
 
     def end(self) -> None:
+        """Ends all processes of the rehearsal."""
         for child in self.planners.values():
             if child.poll() is None:
                 child.kill()
--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -66,6 +66,7 @@
         self.addresses = {number: (f"d{number}", PORT) for number in range(the_plant.directors)}
 
     def run(self) -> list[tuple]:
+        """Starts the fleet, the edges and the players; returns the records in order of time."""
         self.conductor.raise_fleet()
         for number in range(self.plant.directors):
             self.conductor.directors_up.add(number)
--- a/laddergw/lab/stitched_processes.py
+++ b/laddergw/lab/stitched_processes.py
@@ -19,9 +19,11 @@
             stream.write(programme_text([node.node for node in plant.nodes]))
 
     def director_command(self, file: str, source: str) -> list[str]:
+        """The command of an edge with the programme's rules."""
         return [sys.executable, "-m", "laddergw.cli", "edge", file, "--rules", self.file("rules.scm"), "--log", self.level,
                 "--tap", self.file(f"{source}.jsonl"), "--source", source]
 
     def let_them_come(self) -> None:
+        """Gives the players' process its sessions."""
         self.viewers.tell(directors=self.addresses, sessions=[
             [session_at(self.plant, number, self.sessions), session_frame(self.plant, number)] for number in range(self.sessions)])
