--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -28,8 +28,8 @@
 from laddergw.terms.loading import load
 
 RELAY_PORT = 9_000
-SWITCH_INTERVAL_MS = 2_500.0        # between versions of the limits
-SWITCH_SPREAD_MS = 900.0   # within this time of each other all directors switch to a version
+SWITCH_INTERVAL_MS = 2_500.0   # between versions of the limits
+SWITCH_SPREAD_MS = 900.0       # within this time of each other all directors switch to a version
 # How often both planners are killed at once: a report that only one had received and not yet stored is then lost.
 DOUBLE_KILLS = 3
 # How often a planner is frozen (as by SIGSTOP), and for how long: longer than a silence time-out and a lease.
