--- a/benchmarks/director_cost.py
+++ b/benchmarks/director_cost.py
@@ -74,8 +74,8 @@
 
 def run_step(rate: float, seconds: float, **changes) -> dict:
     """Runs one rate; returns costs, counts of plays and quantiles of own delay, ms."""
-    the_plant = plant(1, directors=1, nodes=24, rate=rate, seconds=seconds, wares=WARES, **changes)._replace(finish_ms=500, warm_ms=WARM_UP_MS)
-    stage = CostStage(the_plant, [])
+    model = plant(1, directors=1, nodes=24, rate=rate, seconds=seconds, wares=WARES, **changes)._replace(finish_ms=500, warm_ms=WARM_UP_MS)
+    stage = CostStage(model, [])
     records = stage.run()
     plays = sum(1 for _, what, _ in records if what == "asked")
     cost = json.load(open(stage.file("cost.json")))
@@ -115,8 +115,8 @@
     rows = []
     for number in (count // 10, count):
         long_plays = tuple(ware._replace(length_ms=(240_000, 240_000)) for ware in WARES)
-        the_plant = plant(1, directors=1, nodes=24, rate=max(20.0, number / 60), seconds=60, wares=long_plays, load=0.6)._replace(finish_ms=500)
-        stage = CostStage(the_plant, [])
+        model = plant(1, directors=1, nodes=24, rate=max(20.0, number / 60), seconds=60, wares=long_plays, load=0.6)._replace(finish_ms=500)
+        stage = CostStage(model, [])
         stage.tail_ms = 2_000.0
         stage.run()
         row = json.load(open(stage.file("cost.json")))
--- a/laddergw/cli/rehearsing.py
+++ b/laddergw/cli/rehearsing.py
@@ -83,7 +83,7 @@
 def stitched(seed: int, sessions: int, seconds: float, report: Path | None, memory: bool, keep: Path | None, log: str) -> None:
     """Sessions with notices through drains, moves in mid-insertion and dying sources; timing faults count as broken."""
     from laddergw.lab import stitched as lab
-    began, the_plant = time.monotonic(), lab.stitched_plant(seed, sessions, seconds)
+    began, the_plant = time.monotonic(), lab.stitched_deployment(seed, sessions, seconds)
     the_script = lab.fault_script(the_plant)
     from laddergw.lab.stitched_processes import StitchedProcesses
     stage = lab.StitchedStage(the_plant, the_script, sessions) if memory else \
--- a/laddergw/lab/fleet_processes.py
+++ b/laddergw/lab/fleet_processes.py
@@ -41,7 +41,7 @@
     def __init__(self, plant: Plant, script: list[Trouble], kills: int, folder: str | None = None, level: str = "warning",
                  faults: list[LineFault] | None = None):
         super().__init__(plant, script, kills, folder, level)
-        self.lines = Lines(self.loop, self.record, plant.seed)
+        self.network = Lines(self.loop, self.record, plant.seed)
         self.director_file = director_files.read(plant.house(0, (HOST, 1), (HOST, 1), plant.seed))
         self.switches, self.rollout_count, self.rollouts_begun, self.verdict, self.facts = 0, 0, False, ["the judge was never asked"], {}
         link_ends = [f"d{n}" for n in range(plant.directors)], [f"p{n}" for n in range(PLANNERS)]
@@ -63,7 +63,7 @@
         text = super().house_text(number).replace("(bounds", f"(without-planner {'closed' if number % 2 else 'open'})\n (bounds", 1)
         for planner, (host, port) in self.planner_addresses.items():
             link_ends = f"d{number}", f"p{planner}"
-            link = self.lines.by_ends.get(link_ends) or self.lines.line(*link_ends, (HOST, 0), lambda planner=planner: self.planner_addresses[planner])
+            link = self.network.by_ends.get(link_ends) or self.network.line(*link_ends, (HOST, 0), lambda planner=planner: self.planner_addresses[planner])
             text = text.replace(f'(planner "{host}" {port})', f'(planner "{link.address[0]}" {link.address[1]})')
         return text
 
@@ -88,7 +88,7 @@
 
     def start_fault(self, fault: LineFault) -> None:
         """Puts a fault on a link until its time is over."""
-        link = self.lines.by_ends.get((fault.source, fault.target))
+        link = self.network.by_ends.get((fault.source, fault.target))
         if link is not None and not self.ending:
             link.fault(fault.what, fault.value)
             self.loop.call_later(fault.lasts, lambda: self.ending or link.fault("heal"))
@@ -128,7 +128,7 @@
         """Repairs all links, waits for recovery and compares the fleet log with the edges' own counts."""
         for child in self.planners.values():
             child.send_signal(signal.SIGCONT)
-        self.lines.heal()
+        self.network.heal()
         settled = self.loop.now + RECOVERY_MS
         self.wait(lambda: self.loop.now >= settled, RECOVERY_MS + 1_000, "all come back")
         tallies = {}
--- a/laddergw/lab/fleet_stage.py
+++ b/laddergw/lab/fleet_stage.py
@@ -87,7 +87,7 @@
 
     def __init__(self, plant: Plant, script: list[Trouble], kills: int = 6, director_class=CountingDirector, faults: list[LineFault] | None = None):
         super().__init__(plant, script, TWO_PLANNERS, kills, director_class=director_class)
-        self.lines = Lines(self.world.host("relay"), self.record, plant.seed)
+        self.network = Lines(self.world.host("relay"), self.record, plant.seed)
         self.director_file = director_files.read(plant.house(0, ("d0", 1), ("list", 1), plant.seed))
         self.tallies: dict[str, Tally] = {}
         self.switches = 0
@@ -105,7 +105,7 @@
         director.tally.started_at, director.tally.admits_without_planner = self.world.now, not number % 2
         for planner in range(self.count):
             ends = f"d{number}", f"p{planner}"
-            link = self.lines.by_ends.get(ends) or self.lines.line(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
+            link = self.network.by_ends.get(ends) or self.network.line(*ends, ("relay", RELAY_PORT + 10 * number + planner), lambda planner=planner: (f"p{planner}", PORT))
             addresses.append(link.address)
         side = self.planner_clients[number] = PlannerClient(director, tuple(addresses), self.keys())
         if not runs_older_program(number):
@@ -145,7 +145,7 @@
 
     def start_fault(self, fault: LineFault) -> None:
         """Puts a fault on a link until its time is over."""
-        link = self.lines.by_ends.get((fault.source, fault.target))
+        link = self.network.by_ends.get((fault.source, fault.target))
         if link is None or self.done:
             return
         link.loop.now = self.world.now
@@ -173,7 +173,7 @@
     def finished(self) -> None:
         """Called when the last viewer is served: repairs all links and calls the judge once everything had time to recover."""
         if not self.done:
-            for link in self.lines.by_ends.values():
+            for link in self.network.by_ends.values():
                 self.end_fault(link)
             self.rollout_operator.finished = True
             self.loop.call_at(self.world.now + RECOVERY_MS, lambda: self.judge(self.world.now + RECOVERY_MS))
--- a/laddergw/lab/one_run.py
+++ b/laddergw/lab/one_run.py
@@ -12,7 +12,7 @@
 def play(run_settings: dict) -> dict:
     """Runs one day in memory; returns its measures. Raises ValueError with the reason where the limits file is rejected."""
     day = daybook.book()[run_settings["day"]]
-    the_plant = daybook.plant_of(day, run_settings["seed"], **run_settings["changes"])
+    model = daybook.plant_of(day, run_settings["seed"], **run_settings["changes"])
     director_class = Director
     if run_settings["limits"]:
         with open(run_settings["limits"], "rb") as stream:
@@ -25,10 +25,10 @@
                     raise ValueError(loaded.texts()[0])
                 super().__init__(loop, house, limits=loaded.limits, **more)
         director_class = LimitedDirector
-    records = PlannerOutageStage(the_plant, daybook.script_of(day, the_plant), run_settings["planners"], director_class=director_class).run()
-    audited = audit.audit(the_plant, records)
+    records = PlannerOutageStage(model, daybook.script_of(day, model), run_settings["planners"], director_class=director_class).run()
+    audited = audit.audit(model, records)
     first_frame_ms = sorted(audited.first_ms)
-    return {"service": audited.service["all"], "worth": audit.worth(the_plant, records), "first_ms": first_frame_ms[len(first_frame_ms) // 2] if first_frame_ms else 0.0, "tries": audited.tries, "plays": audited.plays,
+    return {"service": audited.service["all"], "worth": audit.worth(model, records), "first_ms": first_frame_ms[len(first_frame_ms) // 2] if first_frame_ms else 0.0, "tries": audited.tries, "plays": audited.plays,
             "rules": len(audited.breaks) + audited.without, "products": audited.service}
 
 
--- a/laddergw/lab/stitched.py
+++ b/laddergw/lab/stitched.py
@@ -34,36 +34,36 @@
  (rule "often" (items "news" "short") (every-ms 24000) (gap-ms 8000) (otherwise later)))"""
 
 
-def fault_script(p: Plant) -> list[Trouble]:
+def fault_script(model: Plant) -> list[Trouble]:
     """Drains and successors throughout; sources die, freeze or fail; of the edges one is killed, one is told to stop and one freezes."""
-    time_unit = p.crowd.seconds * 1000 / 120
-    events = rolling_deploy(p, 15_000 * time_unit / 1000, 70_000 * time_unit / 1000, 0.5)
-    for node in pick(p, 0.12, "die"):
-        at_ms = between(p.seed, 30_000, 90_000, "die", node) * time_unit / 1000
+    time_unit = model.crowd.seconds * 1000 / 120
+    events = rolling_deploy(model, 15_000 * time_unit / 1000, 70_000 * time_unit / 1000, 0.5)
+    for node in pick(model, 0.12, "die"):
+        at_ms = between(model.seed, 30_000, 90_000, "die", node) * time_unit / 1000
         events += [Trouble(at_ms, "die", node), Trouble(at_ms + 9_000, "return", node)]
-    events += [Trouble(between(p.seed, 20_000, 80_000, "still", node) * time_unit / 1000, "still", node, 4_000.0) for node in pick(p, 0.1, "still")]
-    events += fault(pick(p, 0.15, "errors"), "errors", 40_000 * time_unit / 1000, 15_000, 0.5)
-    events += fault(pick(p, 0.1, "stall"), "stall", 60_000 * time_unit / 1000, 12_000, 1.0)
-    directors = sorted(range(p.directors), key=lambda number: draw(p.seed, "edge", number))
-    at_seconds = lambda seconds: (seconds * 1000 + between(p.seed, 0, 3_000, "edge at", seconds)) * time_unit / 1000
+    events += [Trouble(between(model.seed, 20_000, 80_000, "still", node) * time_unit / 1000, "still", node, 4_000.0) for node in pick(model, 0.1, "still")]
+    events += fault(pick(model, 0.15, "errors"), "errors", 40_000 * time_unit / 1000, 15_000, 0.5)
+    events += fault(pick(model, 0.1, "stall"), "stall", 60_000 * time_unit / 1000, 12_000, 1.0)
+    directors = sorted(range(model.directors), key=lambda number: draw(model.seed, "edge", number))
+    at_seconds = lambda seconds: (seconds * 1000 + between(model.seed, 0, 3_000, "edge at", seconds)) * time_unit / 1000
     events += restart(directors[:1], at_seconds(45), 3_000.0)
-    events += [Trouble(at_seconds(80), "term", directors[1]), Trouble(at_seconds(80) + p.finish_ms + 3_000, "start", directors[1])]
-    events += [Trouble(at_seconds(100), "freeze", directors[2 % p.directors], 2_000.0)]
+    events += [Trouble(at_seconds(80), "term", directors[1]), Trouble(at_seconds(80) + model.finish_ms + 3_000, "start", directors[1])]
+    events += [Trouble(at_seconds(100), "freeze", directors[2 % model.directors], 2_000.0)]
     return sorted(events)
 
 
 class StitchedStage(MemoryStage):
     """See the module. `sessions`: how many, spread over the run."""
 
-    def __init__(self, the_plant: Plant, the_script: list[Trouble], sessions: int):
-        programme = rules.read(programme_text([node.node for node in the_plant.nodes]))
+    def __init__(self, model: Plant, script: list[Trouble], sessions: int):
+        programme = rules.read(programme_text([node.node for node in model.nodes]))
 
         class ProgrammeFront(EdgeFront):
             def __init__(self, *args, **more):
                 super().__init__(*args, programme=programme, **more)
-        super().__init__(the_plant, the_script, ProgrammeFront)
+        super().__init__(model, script, ProgrammeFront)
         self.sessions, self.players, self.open_sessions = sessions, [], 0
-        self.addresses = {number: (f"d{number}", PORT) for number in range(the_plant.directors)}
+        self.addresses = {number: (f"d{number}", PORT) for number in range(model.directors)}
 
     def run(self) -> list[tuple]:
         """Starts the fleet, the edges and the players; returns the records in order of time."""
@@ -94,25 +94,25 @@
         self.open_sessions -= 1
 
 
-def session_frame(p: Plant, number: int) -> dict:
+def session_frame(model: Plant, number: int) -> dict:
     """The request of a session's player, drawn by the seed and the session's number."""
-    chance, ware = draw(p.seed, "ware", number), p.wares[-1]
-    for candidate in p.wares:
+    chance, ware = draw(model.seed, "ware", number), model.wares[-1]
+    for candidate in model.wares:
         if chance < candidate.share:
             ware = candidate
             break
         chance -= candidate.share
-    title = 1 + int(200 ** draw(p.seed, "title", number))
-    return {"key": f"s{number}", "product": ware.name, "title": title, "home": title % p.cells, "copies": p.crowd.copies, "ceiling": 4,
+    title = 1 + int(200 ** draw(model.seed, "title", number))
+    return {"key": f"s{number}", "product": ware.name, "title": title, "home": title % model.cells, "copies": model.crowd.copies, "ceiling": 4,
             "wait_ms": ware.wait_ms, "length_ms": 90_000.0, "route": ROUTES[number % len(ROUTES)] + str(title)}
 
 
-def session_at(p: Plant, number: int, sessions: int) -> float:
+def session_at(model: Plant, number: int, sessions: int) -> float:
     """When a session starts, ms from the start of the run."""
-    return p.crowd.seconds * 1000 * (number + draw(p.seed, "at", number)) / sessions
+    return model.crowd.seconds * 1000 * (number + draw(model.seed, "at", number)) / sessions
 
 
-def stitched_plant(seed: int, sessions: int, seconds: float) -> Plant:
+def stitched_deployment(seed: int, sessions: int, seconds: float) -> Plant:
     """A deployment with long plays: a title lasts one to three minutes, and links are sized for that."""
     wares = tuple(ware._replace(length_ms=(60_000, 120_000), seats=0) for ware in WARES)
     return plant(seed, directors=4, nodes=24, rate=sessions / seconds, seconds=seconds, load=0.6, wares=wares)
--- a/laddergw/lab/storm.py
+++ b/laddergw/lab/storm.py
@@ -38,7 +38,7 @@
     judged: audit.Judged
 
 
-def storm_plant(seed: int, rate: float, seconds: float, has_retry_budget: bool) -> Plant:
+def storm_deployment(seed: int, rate: float, seconds: float, has_retry_budget: bool) -> Plant:
     """A deployment with impatient viewers, who all retry at once."""
     model = plant(seed, directors=1, nodes=8, rate=rate, seconds=seconds, load=0.85)
     crowd = model.crowd._replace(returns=1.0, tries=30, again_ms=(0.0, 50.0), impatient=0.0, fickle=0.0)
@@ -48,24 +48,24 @@
 def run_storm(strategy: str, seed: int, rate: float = 14.0, seconds: float = 44.0, kind: str = "still") -> StormResult:
     """Runs one storm. `kind`: still, or late, where set-ups take ADDED_DELAY_MS longer during the fault."""
     has_retry_budget, adaptive = STRATEGIES[strategy]
-    the_plant = storm_plant(seed, rate, seconds, has_retry_budget)
+    model = storm_deployment(seed, rate, seconds, has_retry_budget)
 
     class AdaptiveDirector(Director):
         def __init__(self, loop, house, **more):
             super().__init__(loop, house, limits=limits_files.read(f"(limits (adaptive {adaptive}))", house.names, default_terms(house)), **more)
-    nodes = [node.node for node in the_plant.nodes]
+    nodes = [node.node for node in model.nodes]
     script = [Trouble(FAULT_START_MS, "still", node, FAULT_DURATION_MS) for node in nodes] if kind == "still" else fault(nodes, "late", FAULT_START_MS, FAULT_DURATION_MS, ADDED_DELAY_MS)
-    stage = MemoryStage(the_plant, script, AdaptiveDirector)
+    stage = MemoryStage(model, script, AdaptiveDirector)
     records = stage.run()
-    return summarize(strategy, the_plant, records)
+    return summarize(strategy, model, records)
 
 
-def summarize(strategy: str, the_plant: Plant, records: list[tuple]) -> StormResult:
+def summarize(strategy: str, model: Plant, records: list[tuple]) -> StormResult:
     """The figures of a run's records."""
-    judged = audit.audit(the_plant, records)
+    judged = audit.audit(model, records)
     attempts = audit.viewer_tries(audit.Records(records))
     start = min(attempt["at"] for attempt in attempts.values())
-    windows = service_by_window(the_plant, attempts, start)
+    windows = service_by_window(model, attempts, start)
     end = FAULT_START_MS + FAULT_DURATION_MS
     before = mean([value for at, value in windows.items() if 16_000 <= at < FAULT_START_MS - 3_000])
     during = mean([value for at, value in windows.items() if FAULT_START_MS <= at < end + 10_000])
@@ -73,9 +73,9 @@
     return StormResult(strategy, windows, before, during, recovery(windows, before, end), retries, len(attempts), judged)
 
 
-def service_by_window(the_plant: Plant, attempts: dict, start: float) -> dict[float, float]:
+def service_by_window(model: Plant, attempts: dict, start: float) -> dict[float, float]:
     """Service of the plays whose first attempt came in each window."""
-    wares = {ware.name: ware for ware in the_plant.wares}
+    wares = {ware.name: ware for ware in model.wares}
     first_attempts, in_time = {}, set()
     for (play_key, _), attempt in sorted(attempts.items()):
         first_attempts.setdefault(play_key, attempt)
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -36,8 +36,8 @@
             return
         self.planners[0].send_signal(signal.SIGSTOP)
         for number in range(PLANNERS):
-            self.lines.by_ends["d0", f"p{number}"].fault("cut")
-            self.loop.call_later(STOP_MS + DOWN_MS, lambda number=number: self.lines.by_ends["d0", f"p{number}"].fault("heal"))
+            self.network.by_ends["d0", f"p{number}"].fault("cut")
+            self.loop.call_later(STOP_MS + DOWN_MS, lambda number=number: self.network.by_ends["d0", f"p{number}"].fault("heal"))
         self.loop.call_later(STOP_MS, lambda: self.planners[0].send_signal(signal.SIGCONT))
         self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
         self.loop.call_later(KILL_MS + DOWN_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -73,7 +73,7 @@
         """Rolls out a version over links of one edge that are slow and break during the file, with the planner killed as it begins: the other planner continues,
         and each edge has the version on its disk."""
         text = valid_text(self.plant.seed, 9, self.director_file) + "\n; " + "x" * 150_000
-        slow_links = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
+        slow_links = [line for (source, _), line in self.network.by_ends.items() if source == "d0"]
         for link in slow_links:
             link.fault("rate", 100_000.0)
         with open(self.file("wanted.terms"), "w") as stream:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -29,26 +29,26 @@
 
 
 class DirectorFileSwitchTest(SilentLogTest):
-    def run_and_audit(self, stage, the_plant):
+    def run_and_audit(self, stage, model):
         records = stage.run()
-        audited, found = audit(the_plant, records), move.count_switches(records)
+        audited, found = audit(model, records), move.count_switches(records)
         self.assertEqual([f"{b.rule}: {b.what}" for b in audited.breaks], [])
         self.assertEqual((audited.without, audited.twice, found["dropped"]), (0, 0, 0))
         self.assertGreater(audited.outcomes["played"], 0.6 * audited.plays)
-        self.assertGreaterEqual(found["switches"], 2 * the_plant.directors)    # there and back
+        self.assertGreaterEqual(found["switches"], 2 * model.directors)    # there and back
         self.assertGreater(found["probes"], 0)
         return records
 
     def test_switches_under_load_in_memory(self):
-        the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
-        stage = move.MemoryMove(the_plant, script.bad_day(the_plant))
-        self.run_and_audit(stage, the_plant)
+        model = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
+        stage = move.MemoryMove(model, script.bad_day(model))
+        self.run_and_audit(stage, model)
         self.assertGreater(stage.refused, 0)
 
     def test_switches_under_load_on_loopback(self):
         """The files are replaced and the processes get SIGHUP; the audit reads what passed on the sockets."""
-        the_plant = plant(2, directors=2, nodes=8, rate=10.0, seconds=SECONDS)
-        self.run_and_audit(move.ProcessMove(the_plant, []), the_plant)
+        model = plant(2, directors=2, nodes=8, rate=10.0, seconds=SECONDS)
+        self.run_and_audit(move.ProcessMove(model, []), model)
 
     def test_the_audit_finds_plays_dropped_at_a_switch(self):
         """Runs the same rehearsal with a director that drops its plays at a switch, which must be counted."""
@@ -57,8 +57,8 @@
                 super().change_director_file(house)
                 for attempt in list(self.attempts.values()):
                     self.remove_from_node(attempt, LOST)
-        the_plant = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
-        records = move.MemoryMove(the_plant, [], director_class=DroppingDirector).run()
+        model = plant(1, directors=3, nodes=12, rate=16.0, seconds=SECONDS)
+        records = move.MemoryMove(model, [], director_class=DroppingDirector).run()
         self.assertGreater(move.count_switches(records)["dropped"], 0)
 
     def test_plays_keep_their_terms_and_a_rejected_file_changes_nothing(self):
