--- a/laddergw/cli/__main__.py
+++ b/laddergw/cli/__main__.py
@@ -10,7 +10,7 @@
 
 import typer
 
-from laddergw.cli import dayings, experimenting, fleet, fleet_rollouts, manifests, planning, rehearsing, terms
+from laddergw.cli import day_commands, experiment_command, fleet, fleet_rollouts, manifests, plan_command, rehearse, terms
 
 app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False,
                   help="A session front that places and shapes video sessions on streaming servers.")
@@ -70,12 +70,12 @@
     raise typer.Exit(2 if refused else 0)
 
 
-app.command("rehearse")(rehearsing.rehearse)
-app.command("experiment")(experimenting.experiment)
+app.command("rehearse")(rehearse.rehearse)
+app.command("experiment")(experiment_command.experiment)
 app.add_typer(manifests.app, name="manifest")
 app.add_typer(terms.app, name="terms")
-app.add_typer(dayings.app, name="days")
-app.add_typer(planning.app, name="plan")
+app.add_typer(day_commands.app, name="days")
+app.add_typer(plan_command.app, name="plan")
 app.add_typer(fleet_rollouts.app, name="fleet")      # (the same app, with more commands)
 
 
--- a/laddergw/cli/rehearsing.py
+++ b/laddergw/cli/rehearse.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from laddergw.cli.dayings import day_of
+from laddergw.cli.day_commands import day_of
 from laddergw.cli.progress import shown
 
 EXIT_BROKEN, EXIT_COULD_NOT = 1, 2
@@ -49,10 +49,10 @@
     if name == "apart" and day is None:
         return apart(seed, usual(), report, memory, keep, log, kills)
     if name == "fleet" and day is None:
-        from laddergw.cli.rehearsing_fleet import fleet
+        from laddergw.cli.rehearse_fleet import fleet
         return fleet(seed, plant.plant(seed, directors or 12, nodes or 24, rate or 24.0, seconds or 60.0), report, memory, keep, log, kills, lines)
     if name == "budgets" and day is None:
-        from laddergw.cli.rehearsing_fleet import budgets
+        from laddergw.cli.rehearse_fleet import budgets
         return budgets(seed, plant.plant(seed, directors or 12, nodes or 24, rate or 24.0, seconds or 60.0), report, memory, keep, log, kills, lines)
     if name in ("limits", "move") and day is None:
         return switching(importlib.import_module(f"laddergw.lab.{name}"), seed, usual(), report, memory, keep, log)
--- a/laddergw/cli/rehearsing_fleet.py
+++ b/laddergw/cli/rehearse_fleet.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from laddergw.cli.rehearsing import EXIT_COULD_NOT, conclude, played
+from laddergw.cli.rehearse import EXIT_COULD_NOT, conclude, played
 
 
 def fleet(seed: int, the_plant, report: Path | None, memory: bool, keep: Path | None, log: str, kills: int, lines: Path | None = None) -> None:
--- a/laddergw/wirehost/__main__.py
+++ b/laddergw/wirehost/__main__.py
@@ -138,7 +138,7 @@
 def main():
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except codec.Malformed as error:
+    except codec.MalformedBatch as error:
         print(f"laddergw: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
--- a/laddergw/wirehost/codec.py
+++ b/laddergw/wirehost/codec.py
@@ -2,7 +2,7 @@
 import struct
 
 
-class Malformed(Exception):
+class MalformedBatch(Exception):
     """A frame that cannot be read; the text names what and at which offset."""
 
 
@@ -29,7 +29,7 @@
     while len(data) < size:
         part = stream.read(size - len(data))
         if not part:
-            raise Malformed(f"{what}: input ends at offset {offset + len(data)}, {size - len(data)} bytes short")
+            raise MalformedBatch(f"{what}: input ends at offset {offset + len(data)}, {size - len(data)} bytes short")
         data += part
     return data
 
@@ -41,7 +41,7 @@
         return None
     number, clock, length, count = HEAD.unpack(first + read_exactly(stream, HEAD.size - 1, "batch header", offset + 1))
     if length < 4:
-        raise Malformed(f"batch header: length {length} at offset {offset + 12} is under 4")
+        raise MalformedBatch(f"batch header: length {length} at offset {offset + 12} is under 4")
     body = read_exactly(stream, length - 4, f"batch {number}", offset + HEAD.size)
     return number, clock, records(body, count, offset + HEAD.size), HEAD.size + len(body)
 
@@ -51,19 +51,19 @@
     found, at = [], 0
     for index in range(count):
         if at >= len(body):
-            raise Malformed(f"record {index} of {count}: missing at offset {base + at}")
+            raise MalformedBatch(f"record {index} of {count}: missing at offset {base + at}")
         code = body[at]
         form = FIXED.get(code)
         if form is None:
-            raise Malformed(f"record {index}: unknown code {code} at offset {base + at}")
+            raise MalformedBatch(f"record {index}: unknown code {code} at offset {base + at}")
         end = at + 1 + form.size
         if end > len(body):
-            raise Malformed(f"record {index} (code {code}): cut off at offset {base + at}")
+            raise MalformedBatch(f"record {index} (code {code}): cut off at offset {base + at}")
         fields, tail = form.unpack_from(body, at + 1), None
         if code in TAIL:
             begin, end = end, end + TAIL[code] * fields[-1]
             if end > len(body):
-                raise Malformed(f"record {index} (code {code}): its {fields[-1]} items run past the batch, "
+                raise MalformedBatch(f"record {index} (code {code}): its {fields[-1]} items run past the batch, "
                                 f"from offset {base + begin}")
             raw = body[begin:end]
             if TAIL[code] == 1:
@@ -75,7 +75,7 @@
         found.append((code, fields, tail))
         at = end
     if at != len(body):
-        raise Malformed(f"batch: {len(body) - at} bytes left over at offset {base + at}")
+        raise MalformedBatch(f"batch: {len(body) - at} bytes left over at offset {base + at}")
     return found
 
 
