--- a/laddergw/wirehost/codec.py
+++ b/laddergw/wirehost/codec.py
@@ -1,30 +1,33 @@
-"""Frames of the bench's wire: bytes to tuples and back. Knows layouts only."""
+"""Codec of the simulator's wire: decodes batches of events into tuples and encodes actions. It knows layouts only."""
 import struct
 
 
 class MalformedBatch(Exception):
-    """A frame that cannot be read; the text names what and at which offset."""
+    """Input that cannot be decoded; the text names the item and its offset in the input, in bytes."""
 
 
+# Codes of events and of actions; their names are those of the wire.
 (POWER_ON, REGISTRY, REQUEST, STARTED, REPLY, HANGUP, ALARM, ECHO, MAIL, KILLED, INHERITED, INTERIM,
  PAGE) = range(13)
 SET_RATE, BAIL_OUT, PUSH_BACK, REASSIGN, FAIL, DELIVER, INSPECT, TRACK, AFTER, BROADCAST_TO, REMARK = 0, 1, 2, 4, 6, 8, 9, 10, 11, 12, 13
 
-HEAD = struct.Struct("<IQII")
-REPLY_HEAD = struct.Struct("<II")
-ENTRY = struct.Struct("<HfBQBBI")
-FIXED = {code: struct.Struct(form) for code, form in {
+BATCH_HEADER = struct.Struct("<IQII")
+REPLY_HEADER = struct.Struct("<II")
+NODE_ENTRY = struct.Struct("<HfBQBBI")
+EVENT_LAYOUTS = {code: struct.Struct(layout) for code, layout in {
     POWER_ON: "<IQI", REGISTRY: "<IBII", REQUEST: "<IQIHQfHffQHI", STARTED: "<IQBII", REPLY: "<IQBIIHBB",
     HANGUP: "<IQ", ALARM: "<II", ECHO: "<IIIHB", MAIL: "<IIH", KILLED: "<I", INHERITED: "<IQHHQQIIfffHI",
     INTERIM: "<IQIBBf", PAGE: "<II"}.items()}
-TAIL = {POWER_ON: 1, MAIL: 1, REPLY: 4, ECHO: 4, PAGE: ENTRY.size}   # bytes for each counted item
-ACTIONS = {code: struct.Struct(form) for code, form in {
+# Events whose last fixed field counts the items that follow: bytes of one item.
+TAIL_ITEM_BYTES = {POWER_ON: 1, MAIL: 1, REPLY: 4, ECHO: 4, PAGE: NODE_ENTRY.size}
+ACTION_LAYOUTS = {code: struct.Struct(layout) for code, layout in {
     SET_RATE: "<BIQB", BAIL_OUT: "<BIH", PUSH_BACK: "<BIQI", REASSIGN: "<BIQ", FAIL: "<BIQ",
     DELIVER: "<BIQII", INSPECT: "<BII", TRACK: "<BIB", AFTER: "<BIII", REMARK: "<BIH",
     BROADCAST_TO: "<BIIH"}.items()}
 
 
 def read_exactly(stream, size, what, offset):
+    """Reads `size` bytes that begin at `offset`; raises MalformedBatch, naming `what`, where the input ends before."""
     data = b""
     while len(data) < size:
         part = stream.read(size - len(data))
@@ -35,62 +38,66 @@
 
 
 def read_batch(stream, offset=0):
-    """The next batch as (number, clock in us, records, bytes read), or None at the end of input."""
+    """Reads the next batch: (number, clock in us, records, bytes read), or None at the end of input."""
     first = stream.read(1)
     if not first:
         return None
-    number, clock, length, count = HEAD.unpack(first + read_exactly(stream, HEAD.size - 1, "batch header", offset + 1))
+    number, clock, length, count = BATCH_HEADER.unpack(first + read_exactly(stream, BATCH_HEADER.size - 1, "batch header", offset + 1))
     if length < 4:
         raise MalformedBatch(f"batch header: length {length} at offset {offset + 12} is under 4")
-    body = read_exactly(stream, length - 4, f"batch {number}", offset + HEAD.size)
-    return number, clock, records(body, count, offset + HEAD.size), HEAD.size + len(body)
+    body = read_exactly(stream, length - 4, f"batch {number}", offset + BATCH_HEADER.size)
+    return number, clock, decode_records(body, count, offset + BATCH_HEADER.size), BATCH_HEADER.size + len(body)
 
 
-def records(body, count, base):
-    """The records of a batch: (code, fixed fields, counted tail)."""
-    found, at = [], 0
+def decode_records(body, count, base_offset):
+    """Decodes the records of a batch that begins at `base_offset`: (code, fixed fields, counted tail or None)."""
+    records, position = [], 0
     for index in range(count):
-        if at >= len(body):
-            raise MalformedBatch(f"record {index} of {count}: missing at offset {base + at}")
-        code = body[at]
-        form = FIXED.get(code)
-        if form is None:
-            raise MalformedBatch(f"record {index}: unknown code {code} at offset {base + at}")
-        end = at + 1 + form.size
+        if position >= len(body):
+            raise MalformedBatch(f"record {index} of {count}: missing at offset {base_offset + position}")
+        code = body[position]
+        layout = EVENT_LAYOUTS.get(code)
+        if layout is None:
+            raise MalformedBatch(f"record {index}: unknown code {code} at offset {base_offset + position}")
+        end = position + 1 + layout.size
         if end > len(body):
-            raise MalformedBatch(f"record {index} (code {code}): cut off at offset {base + at}")
-        fields, tail = form.unpack_from(body, at + 1), None
-        if code in TAIL:
-            begin, end = end, end + TAIL[code] * fields[-1]
+            raise MalformedBatch(f"record {index} (code {code}): cut off at offset {base_offset + position}")
+        fields, tail = layout.unpack_from(body, position + 1), None
+        if code in TAIL_ITEM_BYTES:
+            begin, end = end, end + TAIL_ITEM_BYTES[code] * fields[-1]
             if end > len(body):
                 raise MalformedBatch(f"record {index} (code {code}): its {fields[-1]} items run past the batch, "
-                                f"from offset {base + begin}")
+                                f"from offset {base_offset + begin}")
             raw = body[begin:end]
-            if TAIL[code] == 1:
+            if TAIL_ITEM_BYTES[code] == 1:
                 tail = raw
             elif code == PAGE:
-                tail = list(ENTRY.iter_unpack(raw))
+                tail = list(NODE_ENTRY.iter_unpack(raw))
             else:
                 tail = struct.unpack(f"<{fields[-1]}f", raw)
-        found.append((code, fields, tail))
-        at = end
-    if at != len(body):
-        raise MalformedBatch(f"batch: {len(body) - at} bytes left over at offset {base + at}")
-    return found
+        records.append((code, fields, tail))
+        position = end
+    if position != len(body):
+        raise MalformedBatch(f"batch: {len(body) - position} bytes left over at offset {base_offset + position}")
+    return records
 
 
-def action(code, *fields):
-    return ACTIONS[code].pack(code, *fields)
+def encode_action(code, *fields):
+    """Encodes an action of fixed length."""
+    return ACTION_LAYOUTS[code].pack(code, *fields)
 
 
-def text_action(code, instance, text):
+def encode_text_action(code, instance, text):
+    """Encodes an action that ends with a text, of which at most 60,000 bytes are kept."""
     body = text.encode("utf-8", "replace")[:60000]
-    return ACTIONS[code].pack(code, instance, len(body)) + body
+    return ACTION_LAYOUTS[code].pack(code, instance, len(body)) + body
 
 
-def message(instance, peer, data):
-    return ACTIONS[BROADCAST_TO].pack(BROADCAST_TO, instance, peer, len(data)) + data
+def encode_broadcast(instance, peer, data):
+    """Encodes a message from one instance to a peer."""
+    return ACTION_LAYOUTS[BROADCAST_TO].pack(BROADCAST_TO, instance, peer, len(data)) + data
 
 
-def reply(number, body):
-    return REPLY_HEAD.pack(number, len(body)) + body
+def encode_reply(number, body):
+    """Encodes the reply to a batch; `body` holds its encoded actions."""
+    return REPLY_HEADER.pack(number, len(body)) + body
