--- a/laddergw/cli/day_commands.py
+++ b/laddergw/cli/day_commands.py
@@ -1,4 +1,4 @@
-"""laddergw days: the named days, a file of days checked, and a failing day shrunk to what matters."""
+"""laddergw days: lists the named days, checks files of days, and shrinks a failing day to the fault events that matter."""
 from pathlib import Path
 from typing import Annotated, Optional
 
@@ -6,10 +6,11 @@
 
 app = typer.Typer(no_args_is_help=True, help="Days: list, check, shrink.")
 EXIT_REFUSED = 2
-Book = Annotated[Optional[Path], typer.Option("--book", help="a file of days instead of the named ones")]
+DayFileOption = Annotated[Optional[Path], typer.Option("--book", help="a file of days in place of the named ones")]
 
 
-def days_of(book: Path | None) -> dict:
+def load_days(book: Path | None) -> dict:
+    """The days of a file, or the named days, by name. Exits the command if the file is rejected."""
     from laddergw.lab import daybook
     from laddergw.terms.reading import read_text
     from laddergw.terms.sexpr import FileRejected
@@ -20,49 +21,50 @@
         raise typer.Exit(EXIT_REFUSED) from None
 
 
-def day_of(name: str, book: Path | None):
-    found = days_of(book)
-    if name not in found:
-        typer.echo(f"no day {name!r}: {', '.join(found)}", err=True)
+def find_day(name: str, book: Path | None):
+    """A day by its name. Exits the command if there is none."""
+    days = load_days(book)
+    if name not in days:
+        typer.echo(f"no day {name!r}: {', '.join(days)}", err=True)
         raise typer.Exit(EXIT_REFUSED)
-    return found[name]
+    return days[name]
 
 
 @app.command("list")
-def list_days(book: Book = None) -> None:
-    """Every day with what it is for."""
-    for day in days_of(book).values():
+def list_days(book: DayFileOption = None) -> None:
+    """Lists the days, each with its purpose."""
+    for day in load_days(book).values():
         typer.echo(f"{day.name:20} {day.says}")
 
 
 @app.command()
 def check(files: Annotated[list[Path], typer.Argument(help="files of days")]) -> None:
-    """Tells everything that is wrong with files of days. Ends with 2 where one is refused."""
+    """Reports every fault of files of days. Exits with 2 if one is rejected."""
     for file in files:
-        typer.echo(f"{file}: good: {len(days_of(file))} days")
+        typer.echo(f"{file}: good: {len(load_days(file))} days")
 
 
 @app.command()
-def shrink(name: Annotated[str, typer.Argument(help="a day")], seed: Annotated[int, typer.Option()] = 1, below: Annotated[float, typer.Option(help="failing: service under this")] = 0.0,
-           book: Book = None, most: Annotated[int, typer.Option(help="days played at most")] = 60) -> None:
-    """Leaves out troubles as long as the day still fails (a rule broken, a play without an outcome, service under --below), in memory; prints what is left."""
+def shrink(name: Annotated[str, typer.Argument(help="a day")], seed: Annotated[int, typer.Option()] = 1, below: Annotated[float, typer.Option(help="a day fails if its service is below this share")] = 0.0,
+           book: DayFileOption = None, most: Annotated[int, typer.Option(help="days played at most")] = 60) -> None:
+    """Removes fault events as long as the day still fails (a rule broken, a play without an outcome, service below --below), in memory; prints the rest."""
     import logging
 
-    from laddergw.lab import audit, daybook, shrink as lab
+    from laddergw.lab import audit, daybook, shrink as shrinker
     from laddergw.lab.stage_memory import MemoryStage
     logging.disable(logging.CRITICAL)
-    day = day_of(name, book)
-    the_plant = daybook.plant_of(day, seed)
+    day = find_day(name, book)
+    model = daybook.plant_of(day, seed)
 
     def fails(script: list) -> bool:
-        judged = audit.audit(the_plant, MemoryStage(the_plant, script).run())
-        return bool(judged.breaks or judged.without or judged.service.get("all", 1.0) < below)
-    script = daybook.script_of(day, the_plant)
+        result = audit.audit(model, MemoryStage(model, script).run())
+        return bool(result.breaks or result.without or result.service.get("all", 1.0) < below)
+    script = daybook.script_of(day, model)
     if not fails(script):
         typer.echo(f"{name} with seed {seed} does not fail")
         raise typer.Exit(0)
-    shrunk = lab.shrink(script, fails, most)
-    typer.echo(f"{len(shrunk.script)} of {len(script)} troubles, {shrunk.played + 1} days played")
-    for trouble in shrunk.script:
-        typer.echo(f"{trouble.at / 1000:9.2f} s  {trouble.kind} {trouble.who}" + ("" if trouble.value is None else f" {trouble.value:g}"))
+    shrunk = shrinker.shrink(script, fails, most)
+    typer.echo(f"{len(shrunk.script)} of {len(script)} fault events, {shrunk.played + 1} days played")
+    for event in shrunk.script:
+        typer.echo(f"{event.at / 1000:9.2f} s  {event.kind} {event.who}" + ("" if event.value is None else f" {event.value:g}"))
     raise typer.Exit(1)
--- a/laddergw/cli/rehearse.py
+++ b/laddergw/cli/rehearse.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from laddergw.cli.day_commands import day_of
+from laddergw.cli.day_commands import find_day
 from laddergw.cli.progress import shown
 
 EXIT_BROKEN, EXIT_COULD_NOT = 1, 2
@@ -67,7 +67,7 @@
             the_plant, said = usual(), []
             the_script = own[name](the_plant)
         else:
-            named = day_of(name, book)
+            named = find_day(name, book)
             the_plant, said = daybook.plant_of(named, seed, seconds=seconds, rate=rate, directors=directors, nodes=nodes), [f"{name}: {named.says}"]
             the_script = daybook.script_of(named, the_plant)
     except days.Unreadable as error:
