--- a/laddergw/cli/day_commands.py
+++ b/laddergw/cli/day_commands.py
@@ -5,7 +5,7 @@
 import typer
 
 app = typer.Typer(no_args_is_help=True, help="Days: list, check, shrink.")
-EXIT_REFUSED = 2
+EXIT_REJECTED = 2
 DayFileOption = Annotated[Optional[Path], typer.Option("--book", help="a file of days in place of the named ones")]
 
 
@@ -18,7 +18,7 @@
         return daybook.book() if book is None else daybook.read(read_text(str(book)), book.name)
     except FileRejected as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(EXIT_REFUSED) from None
+        raise typer.Exit(EXIT_REJECTED) from None
 
 
 def find_day(name: str, book: Path | None):
@@ -26,7 +26,7 @@
     days = load_days(book)
     if name not in days:
         typer.echo(f"no day {name!r}: {', '.join(days)}", err=True)
-        raise typer.Exit(EXIT_REFUSED)
+        raise typer.Exit(EXIT_REJECTED)
     return days[name]
 
 
--- a/laddergw/cli/experiment_command.py
+++ b/laddergw/cli/experiment_command.py
@@ -5,7 +5,7 @@
 
 import typer
 
-EXIT_OPEN, EXIT_REFUSED = 1, 2
+EXIT_OPEN, EXIT_REJECTED = 1, 2
 
 
 def experiment(
@@ -20,7 +20,7 @@
         definition = experiments.read_file(str(file))
     except FileRejected as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(EXIT_REFUSED) from None
+        raise typer.Exit(EXIT_REJECTED) from None
     folder = tempfile.gettempdir()
     differences = experiments.run(definition, experiments.Results(str(store)), typer.echo, processes, lambda revision: experiments.checkout(revision, folder))
     baseline = definition.variants[0].name
--- a/laddergw/cli/plan_command.py
+++ b/laddergw/cli/plan_command.py
@@ -1,4 +1,4 @@
-"""laddergw plan: what a planner's plan says."""
+"""laddergw plan: shows a planner's plan."""
 from pathlib import Path
 from typing import Annotated
 
@@ -9,8 +9,8 @@
 
 
 @app.command()
-def show(house: Annotated[Path, typer.Argument(help="a director's file that names planners")], nodes: Annotated[int, typer.Option(help="so many of the most asked")] = 20) -> None:
-    """Hears plans as an edge does, and prints the first of each planner that answers."""
+def show(house: Annotated[Path, typer.Argument(help="a director's file that names planners")], nodes: Annotated[int, typer.Option(help="print so many nodes, those with the highest rates")] = 20) -> None:
+    """Receives plans as an edge does, and prints the first one of each planner that answers."""
     from laddergw.terms import director_file as director_files
     from laddergw.loop.sockets import SocketLoop
     from laddergw.loop.tls import TlsStream, client_context
@@ -18,43 +18,43 @@
     from laddergw.planner.peer import Peer
     from laddergw.terms.sexpr import FileRejected
     try:
-        told = director_files.read_file(str(house))
+        settings = director_files.read_file(str(house))
     except FileRejected as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
-    loop, left = SocketLoop(), set(told.planners)
+    loop, pending = SocketLoop(), set(settings.planners)
 
-    def ended(address: tuple) -> None:
-        left.discard(address)
-        if not left:
+    def mark_done(address: tuple) -> None:
+        pending.discard(address)
+        if not pending:
             loop.stop()
 
-    def hear(address: tuple) -> None:
-        def got(peer: Peer, frame: wire.Frame) -> None:
+    def connect(address: tuple) -> None:
+        def frame_received(peer: Peer, frame: wire.Frame) -> None:
             if isinstance(frame, wire.PlanFrame):
                 try:
-                    typer.echo(f"{address[0]}:{address[1]}\n" + describe(plans.unseal(frame.sealed, told.keys), nodes))
+                    typer.echo(f"{address[0]}:{address[1]}\n" + format_plan(plans.unseal(frame.sealed, settings.keys), nodes))
                 except plans.PlanRejected as error:
-                    typer.echo(f"{address[0]}:{address[1]}: a plan that is refused: {error}")
+                    typer.echo(f"{address[0]}:{address[1]}: plan rejected: {error}")
                 peer.close("seen")
 
-        def down(peer: Peer, why: str) -> None:
-            if why != "seen":
-                typer.echo(f"{address[0]}:{address[1]}: {why}", err=True)
-            ended(address)
-        peer = Peer(loop, wire.Hello(wire.VERSION, "plan-show", wire.STANDBY, 0), got, lambda peer: None, down)
-        loop.dial(address, peer if told.tls is None else TlsStream(peer, client_context(*told.tls), False, address[0]), WAIT_MS)
-    for address in told.planners:
-        hear(address)
+        def connection_closed(peer: Peer, reason: str) -> None:
+            if reason != "seen":
+                typer.echo(f"{address[0]}:{address[1]}: {reason}", err=True)
+            mark_done(address)
+        peer = Peer(loop, wire.Hello(wire.VERSION, "plan-show", wire.STANDBY, 0), frame_received, lambda peer: None, connection_closed)
+        loop.dial(address, peer if settings.tls is None else TlsStream(peer, client_context(*settings.tls), False, address[0]), WAIT_MS)
+    for address in settings.planners:
+        connect(address)
     loop.call_later(WAIT_MS, loop.stop)
-    if told.planners:
+    if settings.planners:
         loop.run()
     loop.close()
-    raise typer.Exit(1 if left or not told.planners else 0)
+    raise typer.Exit(1 if pending or not settings.planners else 0)
 
 
-def describe(plan, nodes: int) -> str:
-    """A plan in words."""
+def format_plan(plan, nodes: int) -> str:
+    """A plan in lines, with the `nodes` nodes of the highest rates."""
     lines = [f"  epoch {plan.epoch} of {plan.planner}, version {plan.version}, holds for {plan.lease_ms:g} ms; {len(plan.numbers)} edges, {len(plan.nodes)} nodes",
              "  plays a second: " + (", ".join(f"{name} {rate:.1f}" for name, rate in plan.rates.items()) or "none yet"),
              "  hot titles: " + (", ".join(f"{hot.title} ({hot.count:.0f})" for hot in plan.hot[:8]) or "none yet")]
