--- a/tests/test_orders_descriptors.py
+++ b/tests/test_orders_descriptors.py
@@ -14,7 +14,7 @@
 from laddergw.signalling import binary, rtsp
 from tests.platform_cluster import answer, event, member, set_up
 from tests.socket_harness import Node, Peer, SocketHarness
-from tests.test_platform_start import WAIT_LIMIT_S, SpawnedDirector, held_port
+from tests.test_platform_start import WAIT_LIMIT_S, SpawnedDirector, reserve_port
 
 SOCKETS, IDLE_CLIENTS = 64, 150      # 22 of the descriptors are for connections to nodes
 PING = binary.encode(binary.PING, "0" * 16, (222, b"\0"))
@@ -24,7 +24,7 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.change_log = held_port()
+        self.change_log = reserve_port()
         self.addCleanup(self.change_log.close)
         self.nodes = [Node(f"n{n}") for n in range(120)]
         self.running = SpawnedDirector(pathlib.Path(folder.name), "full", descriptors=SOCKETS, limits={"sockets": SOCKETS}, log_port=self.change_log.getsockname()[1],
@@ -64,7 +64,7 @@
         for n in range(IDLE_CLIENTS):
             viewer = self.viewer()
             with contextlib.suppress(ConnectionError):       # it may have been closed for another one already
-                viewer.write(set_up(n, title=f"{n:016x}", figures=f"home:{n % 3};copies:1;top:2") if n % 3 else PING)
+                viewer.write(set_up(n, title=f"{n:016x}", attributes=f"home:{n % 3};copies:1;top:2") if n % 3 else PING)
             for node in self.nodes:
                 for connection, message in node.receive():
                     connection.write(b"RTSP/1.0 453 X\r\nCSeq: 1\r\nSession: " + message.session.encode() + b"\r\nContent-Length: 0\r\n\r\n")
@@ -83,7 +83,7 @@
     def test_every_node_gets_its_release_where_nodes_outnumber_descriptors(self):
         """A play runs at each of 120 nodes, with at most 22 connections to nodes, as the order to stop comes: all plays are released."""
         viewer = self.viewer()
-        viewer.write(*(set_up(n + 1, figures=f"home:{n % 3};copies:1;top:2;at:{node.name}") for n, node in enumerate(self.nodes)), PING)
+        viewer.write(*(set_up(n + 1, attributes=f"home:{n % 3};copies:1;top:2;at:{node.name}") for n, node in enumerate(self.nodes)), PING)
         released = {}
 
         def receive():
