--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,8 +1,8 @@
-"""Tests of laddergw. Drawn cases are drawn the same every time, so that a verdict does not change from run to run."""
+"""Tests of laddergw. Hypothesis draws the same examples in every run, so that a verdict does not change from run to run."""
 try:
     from hypothesis import settings
-except ImportError:                              # the decisions' own tests need nothing beyond the standard library
+except ImportError:                              # the tests of the decisions need only the standard library
     pass
 else:
-    settings.register_profile("steady", derandomize=True, deadline=None)
-    settings.load_profile("steady")
+    settings.register_profile("deterministic", derandomize=True, deadline=None)
+    settings.load_profile("deterministic")
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -1,13 +1,13 @@
-"""The reader of KNOWN-RED.txt: it lets pass what is listed and nothing else."""
+"""The check against KNOWN-RED.txt: listed failures pass, and no others."""
 import io
 import unittest
 
 from tests import runner
-from tests.runner import BadList, Known
+from tests.runner import InvalidListError, KnownFailure
 
 
-class Made:
-    """Tests for the reader to judge; the loader looks for none in here."""
+class SampleTests:
+    """Tests whose results are checked; the loader does not look for tests in a class that is no test case."""
 
     class Cases(unittest.TestCase):
         def passes(self):
@@ -19,85 +19,85 @@
         def raises(self):
             raise ValueError("as it should")
 
-        def fails_in_a_part(self):
+        def fails_in_a_subtest(self):
             with self.subTest("a part"):
                 self.fail("as it should")
 
-        def left_out(self):
-            self.skipTest("as it should not")
+        def skipped(self):
+            self.skipTest("must not be reported as passed")
 
         @unittest.expectedFailure
         def fails_as_expected(self):
-            self.fail("as it should not")
+            self.fail("must not be reported as passed")
 
         @unittest.expectedFailure
-        def expected(self):
+        def unexpected_success(self):
             pass
 
 
-def name(method):
-    return f"{__name__}.Made.Cases.{method}"
+def full_name(method):
+    return f"{__name__}.SampleTests.Cases.{method}"
 
 
-class Reader(unittest.TestCase):
-    def judged(self, listed, *methods, whole=True, seen="cause"):
-        """(exit code, what was said) of a run of those, with those listed."""
-        result = unittest.TextTestRunner(stream=io.StringIO(), resultclass=runner.Result).run(unittest.TestSuite(map(Made.Cases, methods)))
-        said = []
-        known = [Known(name(method), "bin/test", seen, "34") for method in listed]
-        return runner.judge(known, result, whole, said.append), said
+class KnownFailures(unittest.TestCase):
+    def report(self, listed, *methods, complete=True, observation="cause"):
+        """(exit code, reported lines) of a run of `methods`, with `listed` as the known failures."""
+        result = unittest.TextTestRunner(stream=io.StringIO(), resultclass=runner.Result).run(unittest.TestSuite(map(SampleTests.Cases, methods)))
+        reports = []
+        known = [KnownFailure(full_name(method), "bin/test", observation, "34") for method in listed]
+        return runner.report_result(known, result, complete, reports.append), reports
 
-    def test_what_is_listed_is_told_and_passes(self):
-        for method in "fails", "raises", "fails_in_a_part":
+    def test_listed_failures_are_reported_and_pass(self):
+        for method in "fails", "raises", "fails_in_a_subtest":
             with self.subTest(method):
-                code, said = self.judged([method], method, "passes")
-                self.assertEqual((code, said), (0, [f"KNOWN RED, let pass: {name(method)}: cause (bin/test; issue 34)"]))
+                exit_code, reports = self.report([method], method, "passes")
+                self.assertEqual((exit_code, reports), (0, [f"KNOWN RED, let pass: {full_name(method)}: cause (bin/test; issue 34)"]))
 
-    def test_what_is_not_listed_fails(self):
-        for method in "fails", "raises", "fails_in_a_part", "expected", "fails_as_expected", "left_out":
+    def test_unlisted_failures_fail_the_run(self):
+        for method in "fails", "raises", "fails_in_a_subtest", "unexpected_success", "fails_as_expected", "skipped":
             with self.subTest(method):
-                self.assertEqual(self.judged([], method, "passes"), (1, [f"failed, and is not listed: {name(method)}"]))
-        code, said = self.judged(["fails"], "fails", "raises")
-        self.assertEqual((code, len(said)), (1, 2))
+                self.assertEqual(self.report([], method, "passes"), (1, [f"failed, and is not listed: {full_name(method)}"]))
+        exit_code, reports = self.report(["fails"], "fails", "raises")
+        self.assertEqual((exit_code, len(reports)), (1, 2))
 
-    def test_a_listed_test_that_passes_or_is_not_there_fails(self):
-        self.assertEqual(self.judged(["passes"], "passes"), (1, [f"is listed as red, and passes: {name('passes')}"]))
-        self.assertEqual(self.judged(["gone"], "passes"), (1, [f"is listed as red, and there is no such test: {name('gone')}"]))
+    def test_listed_tests_that_pass_or_do_not_exist_fail_the_run(self):
+        self.assertEqual(self.report(["passes"], "passes"), (1, [f"is listed as red, and passes: {full_name('passes')}"]))
+        self.assertEqual(self.report(["gone"], "passes"), (1, [f"is listed as red, and there is no such test: {full_name('gone')}"]))
 
-    def test_one_that_fails_at_times_may_pass_and_must_be_there(self):
-        for method, code in (("passes", 0), ("fails", 0), ("gone", 1)):
+    def test_a_flaky_test_may_pass_but_must_exist(self):
+        for method, exit_code in (("passes", 0), ("fails", 0), ("gone", 1)):
             with self.subTest(method):
-                self.assertEqual(self.judged([method], *{method, "passes"} - {"gone"}, seen="at times: 2 of 9 runs")[0], code)
+                self.assertEqual(self.report([method], *{method, "passes"} - {"gone"}, observation="at times: 2 of 9 runs")[0], exit_code)
 
-    def test_of_a_few_tests_only_those_are_looked_at(self):
-        self.assertEqual(self.judged(["fails"], "passes", whole=False), (0, []))
-        self.assertEqual(self.judged(["passes"], "passes", whole=False)[0], 1)
+    def test_only_the_named_tests_are_checked(self):
+        self.assertEqual(self.report(["fails"], "passes", complete=False), (0, []))
+        self.assertEqual(self.report(["passes"], "passes", complete=False)[0], 1)
 
-    def test_all_green_and_nothing_listed(self):
-        self.assertEqual(self.judged([], "passes"), (0, []))
+    def test_a_run_without_failures_passes(self):
+        self.assertEqual(self.report([], "passes"), (0, []))
 
-    def test_no_test_at_all_fails(self):
-        self.assertEqual(self.judged([])[0], 1)
+    def test_a_run_without_tests_fails(self):
+        self.assertEqual(self.report([])[0], 1)
 
-    def test_lists(self):
+    def test_parse_list(self):
         line = "tests.test_x.X.test_y | bin/test, seed 7 | what was seen, with words | 34"
-        self.assertEqual(runner.read(f"{line}\n\n"), [Known("tests.test_x.X.test_y", "bin/test, seed 7", "what was seen, with words", "34")])
-        self.assertEqual(runner.read(""), [])
-        many = "\n".join(line.replace("test_y", f"test_{n}") for n in range(4))
+        self.assertEqual(runner.parse_list(f"{line}\n\n"), [KnownFailure("tests.test_x.X.test_y", "bin/test, seed 7", "what was seen, with words", "34")])
+        self.assertEqual(runner.parse_list(""), [])
+        long_list = "\n".join(line.replace("test_y", f"test_{n}") for n in range(4))
         for text in f"{line}\n{line}", "tests.test_x.X.test_y", "a | b | c", "a | | c | 3", "a | b | c | d | e", "# a | b | c | d | e":
-            with self.subTest(text), self.assertRaises(BadList):
-                runner.read(text)
-        self.assertEqual(len(runner.read(many)), 4)
-
-    def test_each_test_runs_here_or_apart_and_only_once(self):
-        every = unittest.TestLoader().discover("tests", top_level_dir=str(runner.ROOT))
-        names = [test.id() for test in runner.flat(every)]
-        here, apart = runner.split(every)
-        self.assertEqual(sorted([*(test.id() for test in here), *apart]), sorted(names))
-        self.assertEqual({name.rsplit(".", 2)[0] for name in apart}, {module for group in runner.APART for module in group})
-
-    def test_the_list_that_is_there_can_be_read(self):
-        self.assertTrue(all(one.test.startswith("tests.") and one.issue.isdigit() for one in runner.read(runner.LIST.read_text())))
+            with self.subTest(text), self.assertRaises(InvalidListError):
+                runner.parse_list(text)
+        self.assertEqual(len(runner.parse_list(long_list)), 4)
+
+    def test_each_test_runs_exactly_once(self):
+        all_tests = unittest.TestLoader().discover("tests", top_level_dir=str(runner.ROOT))
+        names = [test.id() for test in runner.flatten(all_tests)]
+        local_tests, separate_names = runner.split_tests(all_tests)
+        self.assertEqual(sorted([*(test.id() for test in local_tests), *separate_names]), sorted(names))
+        self.assertEqual({name.rsplit(".", 2)[0] for name in separate_names}, {module for group in runner.SEPARATE_GROUPS for module in group})
+
+    def test_the_current_list_is_valid(self):
+        self.assertTrue(all(known.test.startswith("tests.") and known.issue.isdigit() for known in runner.parse_list(runner.KNOWN_FAILURES_FILE.read_text())))
 
 
 if __name__ == "__main__":
