--- a/laddergw/cli/rehearse.py
+++ b/laddergw/cli/rehearse.py
@@ -82,29 +82,29 @@
 
 def run_stitched(seed: int, sessions: int, seconds: float, report: Path | None, memory: bool, keep: Path | None, log: str) -> None:
     """Rehearses sessions with notices during drains, moves in mid-insertion and failing sources; a timing fault fails the rehearsal."""
-    from laddergw.lab import stitched as lab
-    began_at, model = time.monotonic(), lab.stitched_plant(seed, sessions, seconds)
-    fault_script = lab.script(model)
+    from laddergw.lab import stitched
+    began_at, model = time.monotonic(), stitched.stitched_plant(seed, sessions, seconds)
+    fault_script = stitched.script(model)
     from laddergw.lab.stitched_processes import StitchedProcesses
-    stage = lab.StitchedStage(model, fault_script, sessions) if memory else \
+    stage = stitched.StitchedStage(model, fault_script, sessions) if memory else \
         StitchedProcesses(model, fault_script, sessions, str(keep) if keep else None, log)
     records = collect_records(stage)
-    totals = lab.totals(records)
+    totals = stitched.totals(records)
     notes = [", ".join(f"{name} {value:.0f}" for name, value in totals.items())
-            + f", items of plays elsewhere at most {100 * lab.item_share(model, records):.0f}% of a link in 10 s"]
+            + f", items of plays elsewhere at most {100 * stitched.item_share(model, records):.0f}% of a link in 10 s"]
     typer.echo(notes[0])
     for at, what, facts in [r for r in records if r[1] in ("timing fault", "bad playlist")][:20]:
         typer.echo(f"broken: timing: {facts}")
     judge_and_exit(model, fault_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began_at, seed, notes, report, bool(totals["timing faults"]))
 
 
-def run_switching(lab, seed: int, model, report: Path | None, memory: bool, keep: Path | None, log: str) -> None:
+def run_switching(rehearsal, seed: int, model, report: Path | None, memory: bool, keep: Path | None, log: str) -> None:
     """Switches files of running directors during a bad day: the operators' (limits) or their own (move); a dropped play fails the rehearsal."""
     from laddergw.lab import script
     began_at, fault_script = time.monotonic(), script.bad_day(model)
-    stage = lab.stage_for(model, fault_script, memory, str(keep) if keep else None, log)
+    stage = rehearsal.stage_for(model, fault_script, memory, str(keep) if keep else None, log)
     records = collect_records(stage)
-    totals = lab.switched(records)
+    totals = rehearsal.switched(records)
     notes = [f"{stage.numbers} versions; " + ", ".join(f"{name} {value}" for name, value in totals.items())]
     typer.echo(notes[0])
     judge_and_exit(model, fault_script, records, stage.conductor.missed, "in memory" if memory else "on loopback", began_at, seed, notes, report, bool(totals["dropped"]))
