--- a/laddergw/cli/rehearse.py
+++ b/laddergw/cli/rehearse.py
@@ -39,7 +39,7 @@
     log: Annotated[str, typer.Option(help="log level of the directors")] = "warning",
 ) -> None:
     """Rehearses a day against stand-ins and judges the six rules from the recorded traffic on the sockets."""
-    from laddergw.lab import scenario_file, days, deployment_model, script
+    from laddergw.lab import days, deployment_model, scenario_file, script
     logging.basicConfig(level=logging.WARNING)
     default_deployment = lambda: deployment_model.build_deployment(seed, directors or 4, nodes or 24, rate or 24.0, seconds or 60.0)
     if name == "soak" and day is None:
