--- a/laddergw/lab/move.py
+++ b/laddergw/lab/move.py
@@ -1,113 +1,125 @@
-"""rehearse move: running directors go over to settings of another shape and back, every few seconds, while a bad day plays.
+"""rehearse move: running directors switch to a file of another shape and back, every few seconds, during a bad day.
 
-In the new shape nodes tell their load to probes alone, directors tell each other, viewers of a live title share streams, and the ladder
-and the racks are others. Between the good files come broken ones, which must change nothing. In memory each director is told at
-one moment; as processes its file is written anew and it gets SIGHUP.
+In the new shape nodes report their load to probes only, directors report to each other, viewers of a live title share streams, and the
+ladder and the racks differ. Between the valid files come invalid ones, which must change nothing. In memory each director is switched
+directly; with processes its file is replaced and it gets SIGHUP.
 """
 import os
 import signal
 
 from laddergw.terms import director_file as director_files
 from laddergw.lab import limits
-from laddergw.lab.plant import Plant, draw
-from laddergw.lab.script import Trouble
+from laddergw.lab.deployment_model import DeploymentModel, draw
+from laddergw.lab.script import FaultEvent
 from laddergw.lab.stage_memory import PORT, MemoryStage
 from laddergw.lab.stage_processes import ProcessStage
 
-EVERY_MS = 3_000.0         # between files
-OLD, NEW, BROKEN = "old", "new", "broken"
-ORDER = (NEW, BROKEN, OLD, BROKEN)
-NEW_KEYS = "(probes yes) (told-by probe) (probe-price 0.01) (peer-price 0.0078) (cross-price 0.05) (zone 0) (join 0.3)"
-FAULTS = ('(told-by probe', '(told-by guess)', '(join 7)', '(ladder 300 200)', '(probes yes) (probes no)')
+SWITCH_INTERVAL_MS = 3_000.0     # between files
+OLD_SHAPE, NEW_SHAPE, INVALID = "old", "new", "broken"
+SHAPE_ORDER = (NEW_SHAPE, INVALID, OLD_SHAPE, INVALID)
+NEW_SHAPE_KEYS = "(probes yes) (told-by probe) (probe-price 0.01) (peer-price 0.0078) (cross-price 0.05) (zone 0) (join 0.3)"
+INVALID_FORMS = ('(told-by probe', '(told-by guess)', '(join 7)', '(ladder 300 200)', '(probes yes) (probes no)')
 
 
-def file_of(plant: Plant, text: str, shape: str, turn: int, peers: dict) -> str:
-    """A director's file in one of the shapes, from its old text."""
-    if shape == OLD:
+def director_file_in_shape(model: DeploymentModel, text: str, shape: str, version_number: int, peers: dict) -> str:
+    """A director's file in one of the shapes, made from its text in the old shape."""
+    if shape == OLD_SHAPE:
         return text
     lines = "".join(f' (peer {number} "{host}" {port})' for number, (host, port) in sorted(peers.items()))
     text = text.replace("(bounds", f"{lines} (bounds", 1)
-    text = text.replace(f"(racks {plant.racks})", f"(racks {plant.racks + 1})", 1).replace("(reports x0 x1)", f"(reports x0 x1) {NEW_KEYS}", 1)
-    text = text.replace(f'"{plant.wares[0].name}" ', f'"{plant.wares[0].name}" (live yes) ', 1)
-    ladder = " ".join(f"{kb:g}" for kb in plant.ladder)
-    text = text.replace(ladder, " ".join(f"{kb * 1.1:g}" for kb in plant.ladder), 1)
-    if shape == BROKEN:
-        fault = FAULTS[int(draw(plant.seed, "fault", turn) * len(FAULTS))]
-        text = text.replace("(told-by probe)", fault, 1)
+    text = text.replace(f"(racks {model.racks})", f"(racks {model.racks + 1})", 1).replace("(reports x0 x1)", f"(reports x0 x1) {NEW_SHAPE_KEYS}", 1)
+    text = text.replace(f'"{model.wares[0].name}" ', f'"{model.wares[0].name}" (live yes) ', 1)
+    ladder = " ".join(f"{kb:g}" for kb in model.ladder)
+    text = text.replace(ladder, " ".join(f"{kb * 1.1:g}" for kb in model.ladder), 1)
+    if shape == INVALID:
+        invalid_form = INVALID_FORMS[int(draw(model.seed, "fault", version_number) * len(INVALID_FORMS))]
+        text = text.replace("(told-by probe)", invalid_form, 1)
     return text
 
 
-class Moving:
-    """What both stages share: the turn of files. `put(shape, turn)` gives every director its file."""
-    plant: Plant
-    numbers = 0
+class ShapeSwitching:
+    """What both stages share: the order of shapes. `apply_shape(shape, version_number)` gives every director its file."""
+    model: DeploymentModel
+    version_count = 0
 
-    def move(self) -> None:
-        if self.over():
+    def switch_shape(self) -> None:
+        """Switches all directors to the next shape."""
+        if self.is_over():
             return
-        shape, self.numbers = ORDER[self.numbers % len(ORDER)], self.numbers + 1
-        if shape != BROKEN:
-            for node in sorted(self.conductor.up):
-                self.fault(node, "untold", True if shape == NEW else None)
-        self.put(shape, self.numbers)
+        shape, self.version_count = SHAPE_ORDER[self.version_count % len(SHAPE_ORDER)], self.version_count + 1
+        if shape != INVALID:
+            for node in sorted(self.scenario.up):
+                self.fault(node, "untold", True if shape == NEW_SHAPE else None)
+        self.apply_shape(shape, self.version_count)
         self.record("files put", self.loop.now, shape=shape)
-        self.loop.call_later(EVERY_MS, self.move)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
 
-class MemoryMove(Moving, MemoryStage):
-    def __init__(self, plant: Plant, script: list[Trouble], **more):
-        super().__init__(plant, script, **more)
+class MemoryMove(ShapeSwitching, MemoryStage):
+    """In memory: each director is switched directly. `refused`: how many files were rejected."""
+
+    def __init__(self, model: DeploymentModel, script: list[FaultEvent], **more):
+        super().__init__(model, script, **more)
         self.refused = 0
-        self.loop.call_later(EVERY_MS, self.move)
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
+        """Whether the rehearsal has ended."""
         return self.done
 
-    def put(self, shape: str, turn: int) -> None:
+    def apply_shape(self, shape: str, version_number: int) -> None:
+        """Switches every running director to its file in this shape."""
         peers = {number: (f"d{number}", PORT) for number in self.directors}
         for number, director in self.directors.items():
             host = self.world.hosts[f"d{number}"]
             if host.alive and host.running:
-                old = self.plant.house(number, director.director_file.listen, director.director_file.lists, director.director_file.seed)
-                text = file_of(self.plant, old, shape, turn, peers)
+                file_text = self.model.director_file(number, director.director_file.listen, director.director_file.lists, director.director_file.seed)
+                text = director_file_in_shape(self.model, file_text, shape, version_number, peers)
                 host.deliver_at(self.world.now, lambda director=director, text=text: self.switch(director, text))
 
     def switch(self, director, text: str) -> None:
+        """What a director does with a new file: rejects it, or switches to it where nothing speaks against it."""
         try:
-            director_file = director_files.read(text)
+            new_file = director_files.read(text)
         except director_files.FileRejected:
             self.refused += 1
             return
-        if director_files.switch_fault(director.director_file, director_file) is None:
-            director.change_director_file(director_file)
+        if director_files.switch_fault(director.director_file, new_file) is None:
+            director.change_director_file(new_file)
+
 
+class ProcessMove(ShapeSwitching, ProcessStage):
+    """With processes: each director's file is replaced and it gets SIGHUP."""
 
-class ProcessMove(Moving, ProcessStage):
-    def over(self) -> bool:
+    def is_over(self) -> bool:
+        """Whether the rehearsal has ended."""
         return self.ending
 
-    def let_them_come(self) -> None:
-        super().let_them_come()
-        self.loop.call_later(EVERY_MS, self.move)
+    def start_viewers(self) -> None:
+        """Starts the viewers and schedules the switches."""
+        super().start_viewers()
+        self.loop.call_later(SWITCH_INTERVAL_MS, self.switch_shape)
 
-    def put(self, shape: str, turn: int) -> None:
-        ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no handler yet
+    def apply_shape(self, shape: str, version_number: int) -> None:
+        """Replaces the file of every running director and signals it."""
+        ready = {facts["source"] for _, what, facts in self.records if what == "director up"}    # others have no signal handler yet
         for number, child in self.children.items():
             source = f"d{number}.{self.starts[number]}"
-            if child.poll() is None and number in self.conductor.directors_up and source in ready:
+            if child.poll() is None and number in self.scenario.directors_up and source in ready:
                 path = self.file(f"{source}.scm")
-                text = file_of(self.plant, self.house_text(number), shape, turn, self.addresses)
+                text = director_file_in_shape(self.model, self.director_file_text(number), shape, version_number, self.addresses)
                 with open(path + ".new", "w") as stream:
                     stream.write(text)
                 os.replace(path + ".new", path)
                 child.send_signal(signal.SIGHUP)
 
 
-def switched(records: list[tuple]) -> dict[str, int]:
-    """What came of the files: switches at directors, probes and mail that followed, plays let go of without a cause of their own."""
-    count = lambda name: sum(what == name for _, what, _ in records)
-    return {"switches": count("deployment changed"), "probes": count("probed"), "dropped": limits.switched(records)["dropped"]}
+def count_switches(records: list[tuple]) -> dict[str, int]:
+    """Switches at directors, the probes that followed, and running plays dropped without a cause of their own."""
+    count_records = lambda name: sum(what == name for _, what, _ in records)
+    return {"switches": count_records("deployment changed"), "probes": count_records("probed"), "dropped": limits.count_switches(records)["dropped"]}
 
 
-def stage_for(plant: Plant, script: list[Trouble], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
-    return MemoryMove(plant, script) if memory else ProcessMove(plant, script, folder, level)
+def stage_for(model: DeploymentModel, script: list[FaultEvent], memory: bool, folder: str | None, level: str) -> MemoryStage | ProcessStage:
+    """The stage in memory or with processes."""
+    return MemoryMove(model, script) if memory else ProcessMove(model, script, folder, level)
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -12,9 +12,9 @@
 import apsw
 
 from laddergw.lab import audit
-from laddergw.lab.limits import sound
-from laddergw.lab.plant import WARES, plant
-from laddergw.lab.script import Trouble
+from laddergw.lab.limits import valid_text
+from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, build_deployment
+from laddergw.lab.script import FaultEvent
 from laddergw.planner import wire
 from tests.fleet_commands import COMMAND_TIMEOUT_MS, CommandedFleet
 
@@ -32,33 +32,33 @@
         super().__init__(*given, faults=[])
         self.store_faults, self.crash_times = 0, []
 
-    def switch(self) -> None:
+    def switch_limits(self) -> None:
         """Leaves the limits as they are."""
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         """Wants nothing; the cases do."""
 
     # While plays continue
 
-    def let_them_come(self) -> None:
+    def start_viewers(self) -> None:
         """Starts a second process under the name of a running one, to which viewers go too; later the planner's disk is full for a while, and an edge
         is killed and restarted meanwhile."""
         self.start_twin()
         self.wait(lambda: TWIN in self.addresses, COMMAND_TIMEOUT_MS, "the second process starts")
-        super().let_them_come()
+        super().start_viewers()
         self.loop.call_later(FULL_MS, lambda: self.limit_file_size(os.path.getsize(self.file("planner.store"))))
-        self.loop.call_later(KILL_MS, lambda: self.conductor.strike(Trouble(0, "kill", 2)))
-        self.loop.call_later(BACK_MS, lambda: self.conductor.strike(Trouble(0, "start", 2)))
+        self.loop.call_later(KILL_MS, lambda: self.scenario.apply_event(FaultEvent(0, "kill", 2)))
+        self.loop.call_later(BACK_MS, lambda: self.scenario.apply_event(FaultEvent(0, "start", 2)))
         self.loop.call_later(FREE_MS, lambda: self.limit_file_size(resource.RLIM_INFINITY))
 
     def start_twin(self) -> None:
         """Starts a second process with the file of a running director."""
-        real, self.starts[TWIN] = self.house_text, 0
-        self.conductor.directors_up.add(TWIN)
-        shutil.copy(self.limits(TWINNED_DIRECTOR), self.limits(TWIN))
-        self.house_text = lambda number: real(TWINNED_DIRECTOR).replace('(listen "%s" %d)' % self.addresses[TWINNED_DIRECTOR], '(listen "127.0.0.1" 0)')
+        real, self.starts[TWIN] = self.director_file_text, 0
+        self.scenario.directors_up.add(TWIN)
+        shutil.copy(self.limits_path(TWINNED_DIRECTOR), self.limits_path(TWIN))
+        self.director_file_text = lambda number: real(TWINNED_DIRECTOR).replace('(listen "%s" %d)' % self.addresses[TWINNED_DIRECTOR], '(listen "127.0.0.1" 0)')
         self.start_director(TWIN)
-        self.house_text = real
+        self.director_file_text = real
 
     def limit_file_size(self, size: int) -> None:
         """Limits the size of files that the planner that keeps the journal may write: its store cannot grow any more."""
@@ -88,7 +88,7 @@
 
     def text(self, number: int) -> str:
         """Returns valid limits that differ by number."""
-        return sound(self.plant.seed, number, self.read_house) + f"\n; wanted {number}"
+        return valid_text(self.model.seed, number, self.director_file) + f"\n; wanted {number}"
 
     def want_limits(self, number: int) -> None:
         """Wants the limits of a number."""
@@ -103,13 +103,13 @@
 
     def crash_on_the_wanted_version(self) -> None:
         """Kills an edge each time that the wanted limits are in its file, and restarts it with its earlier file."""
-        number, before, wanted = 2, pathlib.Path(self.limits(2)).read_text(), self.text(7)
+        number, before, wanted = 2, pathlib.Path(self.limits_path(2)).read_text(), self.text(7)
 
         def check_file() -> None:
-            if pathlib.Path(self.limits(number)).read_text() == wanted:
+            if pathlib.Path(self.limits_path(number)).read_text() == wanted:
                 self.crash_times.append(self.loop.now)
                 self.kill_director(number)
-                for path in self.limits(number), self.limits(number) + ".good":
+                for path in self.limits_path(number), self.limits_path(number) + ".good":
                     pathlib.Path(path).write_text(before)
                 self.start_director(number)
             if not self.finished:
@@ -136,7 +136,7 @@
         self.want_limits(9)
         self.until(lambda: self.rollout().get("state") == "done" and not self.rollout()["behind"], "all are on the next wanted version")
         self.number = self.rollout()["want"]["number"]
-        self.kept = {number: pathlib.Path(self.limits(number)).read_text() == self.text(9) for number in self.conductor.directors_up}
+        self.kept = {number: pathlib.Path(self.limits_path(number)).read_text() == self.text(9) for number in self.scenario.directors_up}
 
 
 class HardCasesTest(unittest.TestCase):
@@ -145,7 +145,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-hard-")
         self.addCleanup(shutil.rmtree, folder, True)
-        the_plant = plant(5, directors=3, nodes=6, rate=12, seconds=8, wares=tuple(ware._replace(length_ms=(1_000, 3_000)) for ware in WARES))
+        the_plant = build_deployment(5, directors=3, nodes=6, rate=12, seconds=8, wares=tuple(ware._replace(length_ms=(1_000, 3_000)) for ware in DEFAULT_PRODUCTS))
         stage = HardCases(the_plant, [], 0, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -8,9 +8,9 @@
 import unittest
 
 from laddergw.lab import audit
-from laddergw.lab.limits import sound
-from laddergw.lab.plant import WARES, plant
-from laddergw.lab.script import Trouble
+from laddergw.lab.limits import valid_text
+from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, build_deployment
+from laddergw.lab.script import FaultEvent
 from laddergw.planner import wire
 from tests.fleet_commands import COMMAND_TIMEOUT_MS, CommandedFleet
 
@@ -18,7 +18,7 @@
 class OperatorCommands(CommandedFleet):
     """Runs the operators' command while all processes run, and once more with both planners killed."""
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         """Wants nothing; `roll_out` does."""
 
     def before_end(self) -> None:
@@ -42,7 +42,7 @@
 
     def forbid_version(self) -> None:
         """Stalls the edge that closes without planners while the others switch to new limits and its own are forbidden: when it resumes it declines plays."""
-        leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
+        leader = next(planner for planner in self.planner_addresses if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         of = lambda: {process: row["version"] for row in self.ask(leader, wire.Ask("versions"))["versions"] if row["kind"] == "limits" for process in row["directors"]}
         old = next(version for process, version in of().items() if process.startswith("d1-"))
         others = lambda: [version for process, version in of().items() if not process.startswith("d1-")]
@@ -72,14 +72,14 @@
     def roll_out(self) -> None:
         """Rolls out a version over links of one edge that are slow and break during the file, with the planner killed as it begins: the other planner continues,
         and each edge has the version on its disk."""
-        text = sound(self.plant.seed, 9, self.read_house) + "\n; " + "x" * 150_000
-        slow_links = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
+        text = valid_text(self.model.seed, 9, self.director_file) + "\n; " + "x" * 150_000
+        slow_links = [line for (source, _), line in self.network.by_ends.items() if source == "d0"]
         for link in slow_links:
             link.fault("rate", 100_000.0)
         with open(self.file("wanted.terms"), "w") as stream:
             stream.write(text)
         self.command("want", "--soak", "0.5", "limits", self.file("wanted.terms"))
-        leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
+        leader = next(planner for planner in self.planner_addresses if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         self.planners[leader].kill()
         self.planners[leader].wait()
         self.start_planner(leader, True)
@@ -91,7 +91,7 @@
             return bool(asked) and asked[0]["want"] is not None and asked[0]["state"] == "done" and not asked[0]["behind"]
         self.until(all_on_it, "all are on the wanted version")
         self.command("stragglers")
-        self.kept = [pathlib.Path(self.limits(number)).read_text() == text for number in range(self.plant.directors)]
+        self.kept = [pathlib.Path(self.limits_path(number)).read_text() == text for number in range(self.model.directors)]
 
     def collect_of(self, source: str) -> list:
         """Returns the complete lines of a process's tap."""
@@ -105,8 +105,8 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         folder = tempfile.mkdtemp(prefix="laddergw-fleet-")
         self.addCleanup(shutil.rmtree, folder, True)
-        the_plant = plant(3, directors=3, nodes=6, rate=10, seconds=6, wares=tuple(ware._replace(length_ms=(2_000, 6_000)) for ware in WARES))
-        stage = OperatorCommands(the_plant, [Trouble(2_000, "freeze", 1, 2_500.0), Trouble(3_000, "kill", 2), Trouble(4_000, "start", 2)], 2, folder)
+        the_plant = build_deployment(3, directors=3, nodes=6, rate=10, seconds=6, wares=tuple(ware._replace(length_ms=(2_000, 6_000)) for ware in DEFAULT_PRODUCTS))
+        stage = OperatorCommands(the_plant, [FaultEvent(2_000, "freeze", 1, 2_500.0), FaultEvent(3_000, "kill", 2), FaultEvent(4_000, "start", 2)], 2, folder)
         records = stage.run()
         judged = audit.audit(the_plant, records)
         self.assertEqual((judged.without, judged.twice, judged.breaks, stage.verdict), (0, 0, [], []))
