--- a/laddergw/control/fleet_state.py
+++ b/laddergw/control/fleet_state.py
@@ -13,7 +13,7 @@
 PRIOR_PLAYS = 4.0  # plays' worth of the ladder's middle in what a play of others is taken to ask
 IMPLAUSIBLE_LOAD, MAX_LOAD = 10.0, 1.5  # over a link's rate: not a report; most on a bad day
 # So many directors get reports of most nodes. Of more, each ranks by chance (weight of what is
-# unreported) and keeps so much of unreported links free
+# unreported) and keeps this much of unreported links free
 FEW_DIRECTORS, DRAW_WEIGHT, UNKNOWN_MARGIN = 4, 1.0, 0.26
 REPORT_LAG_MS = 300.0  # usual age of a load report
 UPLINK_STEP = 0.5  # weight of one note on what an uplink carries: a few notes settle it
--- a/laddergw/control/plays.py
+++ b/laddergw/control/plays.py
@@ -102,7 +102,7 @@
     def check_retry_budget(self, now, play):
         """Ends a play whose retry exceeds the stated budget, counted over a sliding window."""
         if play.setup_count and (deployment := self.fleet.deployment).budget_free is not None:
-            # A set-up leaves so much later, or never; 1: rounding
+            # A set-up is sent this much later, or never; 1: rounding
             late_ms = deployment.connect_ms + 1
             for times, slack_ms in (self.play_times, late_ms), (self.retry_times, -late_ms):
                 while times and times[0] < now - deployment.budget_ms + slack_ms:
--- a/laddergw/control/rungs.py
+++ b/laddergw/control/rungs.py
@@ -6,7 +6,7 @@
 from laddergw.control.candidates import mark_probed
 from laddergw.control.fleet_state import IMPLAUSIBLE_LOAD, MARGIN, REPORT_LAG_MS
 
-# An uplink without shortage for three notes is tried with so much more.
+# An uplink without shortage for three notes is tried with this much more.
 NO_SHORTAGE_MS, TRIAL_FACTOR = 3_000.0, 1.1
 SHORT_SHARE = 0.98  # delivered share under which plays lose, from the wire's rules
 # Nodes of a rack that are short within this are short together: two notes' seconds.
--- a/laddergw/edge/composer.py
+++ b/laddergw/edge/composer.py
@@ -20,7 +20,7 @@
 AHEAD_MS = 12_000.0
 # A viewer's sum of durations may differ so far from the edge's
 RESUME_TOLERANCE_MS = 1.0
-# An item is postponed so often, then left out
+# An item is postponed this often, then left out
 MAX_POSTPONEMENTS = 3
 # Names in a session's addresses: a segment's bytes; its initialisation section and keys
 SEGMENT_PREFIX, RESOURCE_PREFIX = "seg-", "by-"
--- a/laddergw/loop/base.py
+++ b/laddergw/loop/base.py
@@ -19,7 +19,7 @@
 CONNECTION_REFUSED = "Connection refused"
 # reason of a dial for which this process had no descriptor: it says nothing about the peer
 NO_DESCRIPTOR = "no descriptor"
-# a turn that comes so much later than it is due counts as a stall of the process
+# a turn that comes this much later than it is due counts as a stall of the process
 STALL_THRESHOLD_MS = 100.0
 # a turn that runs this long is logged: the time limits of its viewers are of this size
 SLOW_TURN_MS = 1_000.0
--- a/laddergw/programme/sources.py
+++ b/laddergw/programme/sources.py
@@ -14,7 +14,7 @@
 FETCH_LEAD_MS = 1_500.0
 # On top of that: a player's next reload still comes in time
 RELOAD_WAIT_MS = 2_500.0
-# A postponed item is inserted so much later, or at the next splice point after that
+# A postponed item is inserted this much later, or at the next splice point after that
 POSTPONE_MS = 20_000.0
 
 
--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -72,7 +72,7 @@
         self.lines.append(f"{self.network.now - self.start:7.0f} {text}")
 
     def run(self, ms):
-        """Runs the network for so many ms."""
+        """Runs the network for the given time, ms."""
         self.network.run(self.network.now + ms)
 
     def viewer(self, name="viewer"):
