--- a/laddergw/lab/player_stand_in.py
+++ b/laddergw/lab/player_stand_in.py
@@ -1,4 +1,4 @@
-"""A player's stand-in: asks for a session, follows its playlists as a client does, fetches segments, logs gaps and stalls."""
+"""Stand-in for a player: requests a session, follows its playlists as a client does, fetches segments, records gaps and stalls."""
 import json
 from typing import Callable
 from urllib.parse import urlsplit
@@ -11,29 +11,29 @@
 from laddergw.lab.continuity_audit import Judge
 from laddergw.lab.media_stand_in import item_playlist, title_playlist
 
-MARK = "#X-LADDERGW-ITEM:"     # docs/protocol.md: stands before an item's first segment
+ITEM_MARK = "#X-LADDERGW-ITEM:"     # docs/protocol.md: precedes an item's first segment
 LIMITS = PoolLimits(max_connections=10_000, max_waiting=10_000, connect_ms=500.0, max_answer_bytes=16_777_216)
-BUFFER_MS = 8_000.0        # a player fetches so far ahead of what it shows
-FETCH_MS = 3_000.0         # one fetch; then it is tried again
-RELOAD_MS = 1_000.0        # least pause between reloads
-SLACK_MS = 25.0            # an answer at the limit lies in the socket a moment
-SEGMENT_MS = 1_000.0       # a node that is silent on a segment is given up after this
-ASKS = 4                   # tries of one session
-LET_GO_MS = 400.0          # an edge that died took its nodes' sessions with it: they see that in a moment
-REFUSED_MOST = 2           # connections refused in a row: the edge is dead
-REOPEN_MS = 900.0          # before a session is asked for again
-BROKE = "|"                # among the addresses of what came: here an edge was lost
-TRIES = 120                # of one segment: a player that has nothing to show goes on asking for half a minute, then gives up
+BUFFER_MS = 8_000.0                 # how far a player fetches ahead of what it shows
+FETCH_TIMEOUT_MS = 3_000.0          # of one fetch; then it is retried
+MIN_RELOAD_MS = 1_000.0             # shortest pause between reloads of a playlist
+ANSWER_SLACK_MS = 25.0              # an answer at the limit stays in the socket this long
+SEGMENT_TIMEOUT_MS = 1_000.0        # a node that sends no segment for this long is given up
+MAX_SESSION_ATTEMPTS = 4
+SESSION_RELEASE_MS = 400.0          # an edge that died loses its nodes' sessions: the nodes notice within this time
+MAX_REFUSED_CONNECTIONS = 2         # in a row; then the edge is considered dead
+REOPEN_PAUSE_MS = 900.0             # before a session is requested again
+EDGE_LOST = "|"                     # marks the loss of an edge among the fetched addresses
+MAX_FETCH_ATTEMPTS = 120            # of one segment: a player with nothing to show retries for half a minute, then gives up
 
 
 class ConnectionPools:
-    """Pools by address, shared by all players."""
+    """Connection pools by address, shared by all players."""
 
     def __init__(self, loop):
         self.loop, self.pools = loop, {}
 
-    def call(self, method: str, address: tuple, path: str, body: bytes, done: Callable[[Call], None], cookie: str = "",
-             limit_ms: float = FETCH_MS) -> Call:
+    def call(self, method: str, address: tuple, path: str, body: bytes, done: Callable[[Call], None], cookie: str = "", limit_ms: float = FETCH_TIMEOUT_MS) -> Call:
+        """Sends a request that is aborted after a time limit."""
         pool = self.pools.get(address)
         if pool is None:
             pool = self.pools[address] = Pool(self.loop, address, LIMITS)
@@ -43,114 +43,114 @@
 
 
 class Player:
-    """One session from its request to the last segment shown. `record(what, t, **facts)`; `over(player)` at its end."""
+    """One session from its request to the last segment shown. `record(what, t, **facts)` gets events; `on_end(player)` its end."""
 
-    def __init__(self, wire: ConnectionPools, directors: dict[int, tuple], frame: dict, judge: Judge, record: Callable, over: Callable,
-                 pause: float | None = None):
-        self.wire, self.loop, self.edge, self.frame, self.judge = wire, wire.loop, ("", 0), frame, judge
-        self.record, self.over = record, over
+    def __init__(self, pools: ConnectionPools, directors: dict[int, tuple], frame: dict, judge: Judge, record: Callable, on_end: Callable, retry_pause_ms: float | None = None):
+        self.pools, self.loop, self.edge, self.frame, self.judge = pools, pools.loop, ("", 0), frame, judge
+        self.record, self.on_end = record, on_end
         self.queue: list[Segment] = []
-        self.known = 0             # segments of the playlist seen
+        self.known_segments = 0             # segments of the playlist that were seen
         self.fetched_ms = self.shown_from = 0.0
         self.began: float | None = None
         self.stalls: list[float] = []
-        self.ended = self.done = self.fetching = False
+        self.playlist_ended = self.done = self.fetching = False
         self.last_media: Media | None = None
         self.media = self.cookie = self.node = ""
-        self.tries = 0
+        self.reload_failures = 0
         self.uris: list[str] = []
-        self.programme_ms, self.item_left = 0.0, 0     # fetched of the programme; segments missing of an item under way
-        self.opening = self.reopened = self.refusals = 0
-        self.most_asks = ASKS
-        self.directors, self.director, self.tries_made, self.asked_at = directors, 0, 0, 0.0
-        self.pause = pause                 # before a further try, ms; None: it comes once only
-        self.ask()
+        self.programme_ms, self.item_segments_left = 0.0, 0     # fetched of the programme; segments of the current item to come
+        self.opening = self.reopened = self.refused_connections = 0
+        self.max_attempts = MAX_SESSION_ATTEMPTS
+        self.directors, self.director, self.attempts, self.requested_at = directors, 0, 0, 0.0
+        self.retry_pause_ms = retry_pause_ms                 # before a retry; None: no retry
+        self.request_session()
 
-    def ask(self) -> None:
-        self.tries_made += 1
+    def request_session(self) -> None:
+        """Makes one attempt, at a director that follows from the play and the attempt."""
+        self.attempts += 1
         numbers = sorted(self.directors)
-        self.director = numbers[(self.frame["title"] + 7 * self.tries_made + len(self.frame["key"])) % len(numbers)] if self.tries_made > 1 else \
+        self.director = numbers[(self.frame["title"] + 7 * self.attempts + len(self.frame["key"])) % len(numbers)] if self.attempts > 1 else \
             numbers[int(self.frame["key"][1:]) % len(numbers)]
-        self.edge, self.asked_at = self.directors[self.director], self.loop.now
-        self.told("asked", product=self.frame["product"], wait_ms=self.frame["wait_ms"])
-        self.wire.call("POST", self.edge, "/v1/sessions", json.dumps(self.frame).encode(), self.opened, limit_ms=self.frame["wait_ms"] + SLACK_MS)
+        self.edge, self.requested_at = self.directors[self.director], self.loop.now
+        self.record_event("asked", product=self.frame["product"], wait_ms=self.frame["wait_ms"])
+        self.pools.call("POST", self.edge, "/v1/sessions", json.dumps(self.frame).encode(), self.session_answered, limit_ms=self.frame["wait_ms"] + ANSWER_SLACK_MS)
 
-    def told(self, what: str, **facts) -> None:
-        self.record(what, self.loop.now, play=self.frame["key"], tries=self.tries_made, director=self.director, **facts)
+    def record_event(self, what: str, **facts) -> None:
+        self.record(what, self.loop.now, play=self.frame["key"], tries=self.attempts, director=self.director, **facts)
 
-    def again(self, outcome: str, retry_ms: float, unsettled_ms: float) -> None:
-        """Comes again with the first try's token, or ends with this outcome."""
-        if self.pause is None and not self.reopened or self.tries_made >= self.most_asks:
+    def retry(self, outcome: str, retry_ms: float, unsettled_ms: float) -> None:
+        """Retries with the first attempt's token, or ends with this outcome."""
+        if self.retry_pause_ms is None and not self.reopened or self.attempts >= self.max_attempts:
             return self.finish("broken" if self.reopened else outcome)
-        pause = max(self.pause or REOPEN_MS, retry_ms)
+        pause = max(self.retry_pause_ms or REOPEN_PAUSE_MS, retry_ms)
         self.frame = self.frame | {"unsettled_ms": max(0.0, unsettled_ms - pause)}
-        self.loop.call_later(pause, self.ask)
+        self.loop.call_later(pause, self.request_session)
         return None
 
-    def edge_gone(self, call: Call) -> bool:
-        """Whether this answer shows that the edge knows the session no more, or is dead: then it is asked for anew, from where
-        the player stands. An edge that is silent may still hold the play: it is waited for."""
-        self.refusals = self.refusals + 1 if call.connection_refused else 0
-        if call.status not in (403, 410) and self.refusals < REFUSED_MOST:
+    def reopen_if_edge_gone(self, call: Call) -> bool:
+        """Whether the answer shows that the edge lost the session or is dead: then the session is requested again from the player's
+        position. An edge that is silent may still hold the play, so the player waits for it."""
+        self.refused_connections = self.refused_connections + 1 if call.connection_refused else 0
+        if call.status not in (403, 410) and self.refused_connections < MAX_REFUSED_CONNECTIONS:
             return False
         self.opening += 1
-        self.reopened, self.refusals, self.most_asks = self.reopened + 1, 0, self.tries_made + ASKS
-        self.queue, self.known, self.ended, self.fetching = [], 0, False, False
-        self.uris.append(BROKE)
+        self.reopened, self.refused_connections, self.max_attempts = self.reopened + 1, 0, self.attempts + MAX_SESSION_ATTEMPTS
+        self.queue, self.known_segments, self.playlist_ended, self.fetching = [], 0, False, False
+        self.uris.append(EDGE_LOST)
         self.judge = type(self.judge)()
-        self.frame = self.frame | {"resume": {"from_ms": self.programme_ms, "cut": self.item_left > 0}}
-        self.item_left = 0
+        self.frame = self.frame | {"resume": {"from_ms": self.programme_ms, "cut": self.item_segments_left > 0}}
+        self.item_segments_left = 0
         self.record("edge lost", self.loop.now, play=self.frame["key"], status=call.status)
-        self.again("broken", 0.0, LET_GO_MS)
+        self.retry("broken", 0.0, SESSION_RELEASE_MS)
         return True
 
-    def opened(self, call: Call) -> None:
+    def session_answered(self, call: Call) -> None:
         if call.status is None:
-            self.told("lost", why=call.failure, reached=call.written > 0)
-            left = self.asked_at + self.frame["wait_ms"] - self.loop.now if call.written else 0.0
-            return self.again("failed", 0.0, left)
-        told = json.loads(call.body)
+            self.record_event("lost", why=call.failure, reached=call.written > 0)
+            left = self.requested_at + self.frame["wait_ms"] - self.loop.now if call.written else 0.0
+            return self.retry("failed", 0.0, left)
+        body = json.loads(call.body)
         answer = {200: "playing", 503: "declined"}.get(call.status, "failed")
-        self.told("answered", ms=self.loop.now - self.asked_at, product=self.frame["product"], again=False, rung=told.get("rung"), answer=answer)
-        if told.get("token"):
-            self.frame = self.frame | {"token": told["token"]}
+        self.record_event("answered", ms=self.loop.now - self.requested_at, product=self.frame["product"], again=False, rung=body.get("rung"), answer=answer)
+        if body.get("token"):
+            self.frame = self.frame | {"token": body["token"]}
         if answer == "declined":
-            return self.again("declined", told.get("retry_ms") or 0.0, 0.0)
+            return self.retry("declined", body.get("retry_ms") or 0.0, 0.0)
         if answer == "failed":
             return self.finish("broken" if self.reopened else "failed")
         self.cookie = f"Cookie: player={call.headers.get('set-cookie', '').partition('player=')[2].partition(';')[0]}\r\n"
         opening = self.opening
-        self.wire.call("GET", self.edge, told["manifest"], b"", lambda call: opening == self.opening and self.master(call), self.cookie)
+        self.pools.call("GET", self.edge, body["manifest"], b"", lambda call: opening == self.opening and self.handle_multivariant(call), self.cookie)
         return None
 
-    def master(self, call: Call) -> None:
+    def handle_multivariant(self, call: Call) -> None:
         if call.status != 200:
-            return None if self.edge_gone(call) else self.finish("failed")
+            return None if self.reopen_if_edge_gone(call) else self.finish("failed")
         self.media = next(line for line in call.body.decode().splitlines() if line and not line.startswith("#"))
         return self.reload()
 
-    def later(self, ms: float, call: Callable[[], None]) -> None:
-        """Unless the session was asked for anew by then."""
+    def call_later_in_session(self, ms: float, call: Callable[[], None]) -> None:
+        """Calls later, unless the session was requested again by then."""
         opening = self.opening
         self.loop.call_later(ms, lambda: opening == self.opening and call())
 
     def reload(self) -> None:
-        if not self.done and not self.ended:
+        if not self.done and not self.playlist_ended:
             opening = self.opening
-            self.wire.call("GET", self.edge, self.media, b"", lambda call: opening == self.opening and self.reloaded(call), self.cookie)
+            self.pools.call("GET", self.edge, self.media, b"", lambda call: opening == self.opening and self.playlist_received(call), self.cookie)
 
-    def reloaded(self, call: Call) -> None:
+    def playlist_received(self, call: Call) -> None:
         if self.done:
             return None
         if call.status != 200:
-            if self.edge_gone(call):
+            if self.reopen_if_edge_gone(call):
                 return None
-            if self.tries >= TRIES:
+            if self.reload_failures >= MAX_FETCH_ATTEMPTS:
                 return self.finish("broken")
-            self.tries += 1
-            self.later(RELOAD_MS, self.reload)
+            self.reload_failures += 1
+            self.call_later_in_session(MIN_RELOAD_MS, self.reload)
             return None
-        self.tries = self.refusals = 0
+        self.reload_failures = self.refused_connections = 0
         try:
             media = read(call.body)
         except InvalidPlaylist as error:
@@ -158,94 +158,94 @@
             return self.finish("broken")
         for fault in self.judge.reload(media):
             self.record("timing fault", self.loop.now, play=self.frame["key"], kind=fault.kind, told=fault.what)
-        self.last_media, self.ended = media, media.ended
-        fresh = media.segments[self.known:]
-        self.known = len(media.segments)
-        self.queue += fresh
-        if not self.ended:
-            self.later(max(RELOAD_MS, media.target_ms / 2), self.reload)
-        return self.next()
+        self.last_media, self.playlist_ended = media, media.ended
+        new_segments = media.segments[self.known_segments:]
+        self.known_segments = len(media.segments)
+        self.queue += new_segments
+        if not self.playlist_ended:
+            self.call_later_in_session(max(MIN_RELOAD_MS, media.target_ms / 2), self.reload)
+        return self.fetch_next()
 
-    def ahead(self) -> float:
+    def buffered_ms(self) -> float:
         return self.fetched_ms - (self.loop.now - self.began if self.began is not None else 0.0)
 
-    def next(self) -> None:
+    def fetch_next(self) -> None:
         """Fetches the next segment, unless the buffer is full."""
         if self.fetching or self.done:
             return
         if not self.queue:
-            if self.ended:
-                self.loop.call_later(max(0.0, self.ahead()), lambda: self.finish("played"))
+            if self.playlist_ended:
+                self.loop.call_later(max(0.0, self.buffered_ms()), lambda: self.finish("played"))
             return
-        if self.ahead() > BUFFER_MS:
-            self.loop.call_later(self.ahead() - BUFFER_MS + 1, self.next)
+        if self.buffered_ms() > BUFFER_MS:
+            self.loop.call_later(self.buffered_ms() - BUFFER_MS + 1, self.fetch_next)
             return
         self.fetching = True
         self.fetch(self.queue.pop(0), 0)
 
-    def fetch(self, segment: Segment, tries: int) -> None:
-        """From the edge to the node that it names, and again from the edge where that fails."""
+    def fetch(self, segment: Segment, attempts: int) -> None:
+        """Asks the edge, then the node that it redirects to; starts again at the edge if that fails."""
         opening = self.opening
 
-        def again() -> None:
-            self.later(RELOAD_MS / 4, lambda: self.fetch(segment, tries + 1))
+        def retry() -> None:
+            self.call_later_in_session(MIN_RELOAD_MS / 4, lambda: self.fetch(segment, attempts + 1))
 
-        def sent(call: Call) -> None:
-            if self.done or opening != self.opening or self.edge_gone(call):
+        def redirect_received(call: Call) -> None:
+            if self.done or opening != self.opening or self.reopen_if_edge_gone(call):
                 return None
             if call.status != 302:
-                return again() if tries + 1 < TRIES else self.finish("broken")
+                return retry() if attempts + 1 < MAX_FETCH_ATTEMPTS else self.finish("broken")
             where = urlsplit(call.headers["location"])
             if "/media/" in where.path:
                 self.node = where.netloc
             here = "Play-Here: yes\r\n" if self.node == where.netloc else ""
-            self.wire.call("GET", (where.hostname, where.port), where.path, b"", lambda got: came(got, where.path), here, SEGMENT_MS)
+            self.pools.call("GET", (where.hostname, where.port), where.path, b"", lambda response: segment_answered(response, where.path), here, SEGMENT_TIMEOUT_MS)
             return None
 
-        def came(call: Call, path: str) -> None:
+        def segment_answered(call: Call, path: str) -> None:
             if self.done or opening != self.opening:
                 return None
             if call.status != 200:
-                return again() if tries + 1 < TRIES else self.finish("broken")
-            return self.got(segment, path)
-        self.wire.call("GET", self.edge, segment.uri, b"", sent, self.cookie)
+                return retry() if attempts + 1 < MAX_FETCH_ATTEMPTS else self.finish("broken")
+            return self.segment_received(segment, path)
+        self.pools.call("GET", self.edge, segment.uri, b"", redirect_received, self.cookie)
 
-    def got(self, segment: Segment, path: str) -> None:
+    def segment_received(self, segment: Segment, path: str) -> None:
         self.fetching = False
         if self.began is None:
             self.began = self.loop.now
             self.record("first frame", self.loop.now, play=self.frame["key"])
-        late = -self.ahead()
-        if late > 0:                             # the picture stood still: what follows is shown so much later
-            self.stalls.append(late)
-            self.began += late
+        stall_ms = -self.buffered_ms()
+        if stall_ms > 0:                         # playback stalled: what follows is shown that much later
+            self.stalls.append(stall_ms)
+            self.began += stall_ms
         self.fetched_ms += segment.duration_ms
         self.uris.append(path)
         for line in segment.unknown_lines:
-            if line.startswith(MARK):
-                self.item_left = int(attributes.read(line[len(MARK):]).get("SEGMENTS"))
-        if self.item_left:
-            self.item_left -= 1
+            if line.startswith(ITEM_MARK):
+                self.item_segments_left = int(attributes.read(line[len(ITEM_MARK):]).get("SEGMENTS"))
+        if self.item_segments_left:
+            self.item_segments_left -= 1
         else:
             self.programme_ms += segment.duration_ms
-        self.next()
+        self.fetch_next()
 
     def finish(self, outcome: str) -> None:
+        """Records the session's outcome and ends it."""
         if not self.done:
             self.done = True
             if outcome == "played":
-                for told in fetched_faults(self.uris, self.frame["title"]):
-                    self.record("timing fault", self.loop.now, play=self.frame["key"], kind="fetched", told=told)
-            self.record("session over", self.loop.now, play=self.frame["key"], outcome=outcome, stalls=self.stalls, shown_ms=self.fetched_ms,
-                        reopened=self.reopened)
-            self.over(self)
+                for description in order_faults(self.uris, self.frame["title"]):
+                    self.record("timing fault", self.loop.now, play=self.frame["key"], kind="fetched", told=description)
+            self.record("session over", self.loop.now, play=self.frame["key"], outcome=outcome, stalls=self.stalls, shown_ms=self.fetched_ms, reopened=self.reopened)
+            self.on_end(self)
 
 
-def fetched_faults(paths: list[str], title: int) -> list[str]:
-    """What is wrong with the order in which bytes came: the programme once and whole, each item whole or absent."""
+def order_faults(paths: list[str], title: int) -> list[str]:
+    """Faults in the order of fetched segments: the programme must come once and whole, each item whole or not at all."""
     found, programme, item, at = [], [], None, 0
     for path in paths + [""]:
-        if path == BROKE:                        # what an edge's death cut short comes again, or is left out
+        if path == EDGE_LOST:                        # an item that an edge's death cut short comes again or is left out
             item = None
             continue
         parts = path.split("/")
--- a/laddergw/lab/tap.py
+++ b/laddergw/lab/tap.py
@@ -1,4 +1,4 @@
-"""What passed at a director's sockets, as records for the audit: requests read, set-ups written, list frames read."""
+"""Records the traffic at a director's sockets for the audit: requests read, set-ups written, list frames read."""
 import json
 from typing import Any, Callable
 
@@ -7,21 +7,21 @@
 
 
 def tap(source: str, record: Callable) -> Callable[[str, float, Any], None]:
-    """A tap for one director process: called by its HTTP layer with what passed and when."""
+    """A tap for one director process: its HTTP layer calls it with each event and its time."""
 
-    def told(what: str, now: float, thing: Any) -> None:
-        if isinstance(thing, Exchange):
-            if thing.path in ("/v1/plays", "/v1/sessions") and what == "request":
+    def record_event(what: str, now: float, subject: Any) -> None:
+        if isinstance(subject, Exchange):
+            if subject.path in ("/v1/plays", "/v1/sessions") and what == "request":
                 try:
-                    key = json.loads(thing.body).get("key")
+                    key = json.loads(subject.body).get("key")
                 except ValueError:
                     key = None
                 record("took", now, source=source, play=key)
-        elif isinstance(thing, Call):
-            if "viewer" in thing.label:
+        elif isinstance(subject, Call):
+            if "viewer" in subject.label:
                 return
-            record("set-up " + ("written" if what == "sent" else "over"), now, source=source, first=thing.first_byte_at,
-                   asked=thing.requested_at, status=thing.status, **thing.label)
+            record("set-up " + ("written" if what == "sent" else "over"), now, source=source, first=subject.first_byte_at,
+                   asked=subject.requested_at, status=subject.status, **subject.label)
         else:
-            record(what, now, source=source, **thing)
-    return told
+            record(what, now, source=source, **subject)
+    return record_event
--- a/laddergw/lab/test_certificates.py
+++ b/laddergw/lab/test_certificates.py
@@ -1,4 +1,4 @@
-"""Keys and certificates for rehearsals and tests: an authority, and what it signs, good or expired."""
+"""Keys and certificates for rehearsals and tests: a certificate authority, and valid or expired certificates that it signs."""
 import datetime as dt
 import ipaddress
 import os
@@ -10,7 +10,7 @@
 
 
 class CertificateAuthority:
-    """Signs certificates into a folder: NAME.pem and NAME.key; its own is authority.pem."""
+    """Signs certificates and writes them into a folder as NAME.pem and NAME.key; its own is authority.pem."""
 
     def __init__(self, folder: str, name: str = "authority"):
         self.folder, self.name = folder, name
@@ -21,18 +21,20 @@
 
     @staticmethod
     def build(subject, issuer, public, since_days: float, until_days: float) -> x509.CertificateBuilder:
+        """An unsigned certificate, valid from an hour before `since_days` to `until_days` from now."""
         now = dt.datetime.now(dt.timezone.utc)
         return (x509.CertificateBuilder().subject_name(subject).issuer_name(issuer).public_key(public).serial_number(x509.random_serial_number())
                 .not_valid_before(now + dt.timedelta(days=since_days, hours=-1)).not_valid_after(now + dt.timedelta(days=until_days)))
 
     def write(self, name: str, data: bytes) -> str:
+        """Writes a file into the folder; returns its path."""
         path = os.path.join(self.folder, name)
         with open(path, "wb") as stream:
             stream.write(data)
         return path
 
     def issue(self, name: str, host: str = "127.0.0.1", since_days: float = 0, until_days: float = 10) -> tuple[str, str, str]:
-        """Files of a certificate for a name: certificate, key, authority."""
+        """Issues a certificate for a name; returns the files of the certificate, its key and the authority."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         names = x509.SubjectAlternativeName([x509.DNSName(name), x509.IPAddress(ipaddress.ip_address(host))])
