--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -1,4 +1,4 @@
-"""Whole rehearsals in memory: rules kept on a bad day, the same run twice, and broken directors caught by the audit."""
+"""Whole rehearsals in memory: a bad day violates no rule, runs are reproducible, and the audit detects broken directors."""
 import logging
 import unittest
 
@@ -11,78 +11,80 @@
 SECONDS = 12.0
 
 
-def small(seed, **changes):
+def small_deployment(seed, **changes):
     return build_deployment(seed, directors=3, nodes=12, rate=16.0, seconds=SECONDS, **changes)
 
 
-def perform(the_plant, the_script, director=None):
-    stage = MemoryStage(the_plant, the_script, **({"director_class": director} if director else {}))
+def run_in_memory(model, events, director=None):
+    """Runs a rehearsal; returns its records."""
+    stage = MemoryStage(model, events, **({"director_class": director} if director else {}))
     return stage.run()
 
 
-class BadDay(unittest.TestCase):
+class BadDayTest(unittest.TestCase):
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_rules_are_kept_on_bad_days(self):
+    def test_bad_days_violate_no_rule(self):
         for seed in (1, 2):
             with self.subTest(seed=seed):
-                the_plant = small(seed)
-                judged = audit(the_plant, perform(the_plant, script.bad_day(the_plant)))
-                self.assertEqual([f"{b.rule}: {b.what}" for b in judged.breaks], [])
-                self.assertEqual((judged.without, judged.twice), (0, 0))
-                self.assertGreater(judged.outcomes["played"], 0.6 * judged.plays)
-
-    def test_the_same_seed_gives_the_same_run(self):
-        the_plant = small(3)
-        first, second = (perform(the_plant, script.bad_day(the_plant)) for _ in range(2))
+                model = small_deployment(seed)
+                result = audit(model, run_in_memory(model, script.bad_day(model)))
+                self.assertEqual([f"{b.rule}: {b.what}" for b in result.breaks], [])
+                self.assertEqual((result.without, result.twice), (0, 0))
+                self.assertGreater(result.outcomes["played"], 0.6 * result.plays)
+
+    def test_same_seed_gives_same_records(self):
+        model = small_deployment(3)
+        first, second = (run_in_memory(model, script.bad_day(model)) for _ in range(2))
         self.assertEqual(first, second)
 
 
-class BrokenDirectors(unittest.TestCase):
-    """An audit that cannot fail proves nothing: each broken director must be caught by its rule."""
+class BrokenDirectorTest(unittest.TestCase):
+    """Guards against an audit that cannot fail: each broken director must violate its rule."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def caught(self, director, rule, the_script, **changes):
-        the_plant = small(5, **{key: value for key, value in changes.items() if key != "plan"})
-        the_plant = the_plant._replace(**changes.get("plan", {}))
-        judged = audit(the_plant, perform(the_plant, the_script(the_plant), director))
-        self.assertIn(rule, {b.rule for b in judged.breaks})
-        self.assertIn("rules-broken", judged.line())
-        self.assertTrue(all(b.evidence for b in judged.breaks))
+    def assert_detected(self, director, rule, make_script, **changes):
+        """Asserts that the audit finds a violation of a rule, with its evidence."""
+        model = small_deployment(5, **{key: value for key, value in changes.items() if key != "model"})
+        model = model._replace(**changes.get("model", {}))
+        result = audit(model, run_in_memory(model, make_script(model), director))
+        self.assertIn(rule, {b.rule for b in result.breaks})
+        self.assertIn("rules-broken", result.line())
+        self.assertTrue(all(b.evidence for b in result.breaks))
 
-    def test_viewers_left_without_an_answer(self):
-        self.caught(broken.NeverAnswers, "answers", lambda p: [], load=1.6)
+    def test_missing_answers(self):
+        self.assert_detected(broken.NeverAnswers, "answers", lambda model: [], load=1.6)
 
     def test_two_answers(self):
-        self.caught(broken.AnswersTwice, "answers", lambda p: [])
+        self.assert_detected(broken.AnswersTwice, "answers", lambda model: [])
 
-    def test_two_allocations_out(self):
-        self.caught(broken.SkipsReleases, "once", lambda p: [script.FaultEvent(3_000, "late", node.node, 1_500.0) for node in p.nodes])
+    def test_two_allocations_at_once(self):
+        self.assert_detected(broken.SkipsReleases, "once", lambda model: [script.FaultEvent(3_000, "late", node.node, 1_500.0) for node in model.nodes])
 
-    def test_set_ups_after_a_drain_was_told(self):
-        self.caught(broken.IgnoresDrains, "drains", lambda p: [script.FaultEvent(1_000, "replace", node.node, 8_000.0) for node in p.nodes[:6]])
+    def test_set_ups_after_a_drain_notice(self):
+        self.assert_detected(broken.IgnoresDrains, "drains", lambda model: [script.FaultEvent(1_000, "replace", node.node, 8_000.0) for node in model.nodes[:6]])
 
-    def test_a_cold_node_pushed_over(self):
-        nodes = tuple(facts._replace(streams=10) for facts in small(5).nodes)
-        self.caught(broken.OverloadsColdNodes, "cold", lambda p: [script.FaultEvent(2_000, "replace", node.node, 500.0) for node in p.nodes[:2]],
-                    plan={"nodes": nodes, "streams": (10,)})
+    def test_overloaded_cold_node(self):
+        nodes = tuple(facts._replace(streams=10) for facts in small_deployment(5).nodes)
+        self.assert_detected(broken.OverloadsColdNodes, "cold", lambda model: [script.FaultEvent(2_000, "replace", node.node, 500.0) for node in model.nodes[:2]],
+                    model={"nodes": nodes, "streams": (10,)})
 
-    def test_rungs_under_the_floor(self):
-        self.caught(broken.PlaysLowestRung, "terms", lambda p: [])
+    def test_rungs_below_the_lowest(self):
+        self.assert_detected(broken.PlaysLowestRung, "terms", lambda model: [])
 
     def test_more_plays_than_seats(self):
-        wares = tuple(w._replace(seats=1) for w in small(5).wares)
-        self.caught(broken.IgnoresSeats, "terms", lambda p: [], plan={"wares": wares})
+        wares = tuple(product._replace(seats=1) for product in small_deployment(5).wares)
+        self.assert_detected(broken.IgnoresSeats, "terms", lambda model: [], model={"wares": wares})
 
-    def test_too_many_further_allocations(self):
-        self.caught(broken.IgnoresBudgets, "budget",
-                    lambda p: [script.FaultEvent(2_000, "errors", node.node, 0.9) for node in p.nodes],
-                    plan={"budget": (1.0, 0.05, 10_000.0)})
+    def test_too_many_retries(self):
+        self.assert_detected(broken.IgnoresBudgets, "budget",
+                    lambda model: [script.FaultEvent(2_000, "errors", node.node, 0.9) for node in model.nodes],
+                    model={"budget": (1.0, 0.05, 10_000.0)})
 
 
 if __name__ == "__main__":
