--- a/benchmarks/audit_cost.py
+++ b/benchmarks/audit_cost.py
@@ -1,9 +1,10 @@
-"""What the fleet's audit costs: stamping a play at its director, and a planner's work with 230 directors, also when all come back within a second.
+"""Measures the cost of the fleet's audit: recording a play at its director, and a planner's work with 230 directors, also when all return within a second.
 
     PYTHONPATH=. .venv/bin/python benchmarks/audit_cost.py [directors] [seconds]
 
-The directors' side runs the very stamps and parts, the planner's the very book and journal on a real file; sockets are left out. Every director goes over to a
-new stand each second (a list that changes each second reaches all), and carries out the plays of a fleet of 24 a second for each 12 directors.
+The directors' side uses the real action counts and state parts, the planner's side the real fleet log and journal on a real file; sockets are left out. Every
+director changes to a new version set each second (a fleet list that changes each second reaches all), and carries out the plays of a fleet of 24 a second for
+each 12 directors.
 """
 import os
 import sys
@@ -19,114 +20,119 @@
 from laddergw.planner.auditing import Auditor
 from laddergw.store.planner_store import Store
 
-PARTS_A_SECOND = 4         # a part on each digest
-PLAYS_A_SECOND = 2         # of each director
+PARTS_PER_SECOND = 4       # one part with each digest
+PLAYS_PER_SECOND = 2       # of each director
 PRODUCTS = ("hearing", "survey-clip", "permit-notice", "oral-history", "reading-room")
 encode = msgspec.msgpack.Encoder().encode
 
 
-DONE = object()
+FINISHED = object()
 
 
-class Loop:
+class ManualLoop:
+    """A loop whose time is set by hand."""
     now = 0.0
 
 
-class Clock:
-    """Longest, sum and count of what it timed, ms."""
+class Stopwatch:
+    """Times calls: longest, sum and count, in ms."""
 
     def __init__(self):
         self.worst = self.sum = self.count = 0.0
 
-    def time(self, call, *given):
-        began = time.perf_counter()
-        found = call(*given)
-        took = (time.perf_counter() - began) * 1000
-        self.worst, self.sum, self.count = max(self.worst, took), self.sum + took, self.count + 1
-        return found
+    def time(self, call, *arguments):
+        """Calls a function and adds its time; returns its result."""
+        started = time.perf_counter()
+        result = call(*arguments)
+        elapsed_ms = (time.perf_counter() - started) * 1000
+        self.worst, self.sum, self.count = max(self.worst, elapsed_ms), self.sum + elapsed_ms, self.count + 1
+        return result
 
 
-def stand(second: int) -> versions.VersionSet:
+def version_set_of(second: int) -> versions.VersionSet:
+    """The version set of a second: only the fleet list differs."""
     return versions.version_set([versions.version(kind, [kind, str(second if kind == versions.LIST else 0)]) for kind in versions.KINDS])
 
 
-def play(stamps: ActionCounts, number: int, now: float) -> None:
+def record_play(counts: ActionCounts, number: int, now: float) -> None:
+    """Records the four actions of a play."""
     for action in ADMITTED, SET_UP, PLAYING, ENDED:
-        stamps.record(f"v{number}", PRODUCTS[number % len(PRODUCTS)], stamps.current_id, action, now)
+        counts.record(f"v{number}", PRODUCTS[number % len(PRODUCTS)], counts.current_id, action, now)
 
 
-def stamping(rounds: int = 20_000) -> float:
-    """Microseconds of a play."""
-    best = float("inf")
+def measure_recording(plays: int = 20_000) -> float:
+    """Microseconds to record a play; the best of five rounds."""
+    best_us = float("inf")
     for _ in range(5):
-        stamps = ActionCounts()
-        stamps.set_in_force(stand(0), 0.0)
-        began = time.perf_counter()
-        for number in range(rounds):
-            play(stamps, number, 1.0)
-        best = min(best, (time.perf_counter() - began) / rounds * 1e6)
-    return best
-
-
-def planner(directors: int, seconds: int, folder: str) -> None:
-    loop, wrote = Loop(), Clock()
-    auditing = Auditor(loop, lambda write: write() or True)
-    auditing.load_journal(Store(os.path.join(folder, "store")))
-    fleet = [ActionCounts() for _ in range(directors)]
-    lines = [ReportedState() for _ in fleet]
-    merged, size, parts = Clock(), 0, 0
+        counts = ActionCounts()
+        counts.set_in_force(version_set_of(0), 0.0)
+        started = time.perf_counter()
+        for number in range(plays):
+            record_play(counts, number, 1.0)
+        best_us = min(best_us, (time.perf_counter() - started) / plays * 1e6)
+    return best_us
+
+
+def measure_planner(directors: int, seconds: int, folder: str) -> None:
+    """Prints what a planner spends on merging parts, writing the journal, verifying it and answering questions."""
+    loop, writing = ManualLoop(), Stopwatch()
+    auditor = Auditor(loop, lambda write: write() or True)
+    auditor.load_journal(Store(os.path.join(folder, "store")))
+    counts_by_director = [ActionCounts() for _ in range(directors)]
+    reported_states = [ReportedState() for _ in counts_by_director]
+    merging, part_bytes, parts = Stopwatch(), 0, 0
     for second in range(seconds):
-        for part in range(PARTS_A_SECOND):
+        for part in range(PARTS_PER_SECOND):
             loop.now = 1000.0 * second + 250.0 * part
-            for number, (stamps, told) in enumerate(zip(fleet, lines)):
+            for number, (counts, reported) in enumerate(zip(counts_by_director, reported_states)):
                 if part == 0:
-                    stamps.set_in_force(stand(second), loop.now)
-                for n in range(PLAYS_A_SECOND // 2 if part % 2 else 0):
-                    play(stamps, second * 8 + part + n + number, loop.now)
-                said = told.next_part(stamps)
-                size, parts = size + len(encode(said)), parts + 1
-                merged.time(auditing.fleet_log.merge, f"d{number}-0", said, loop.now, loop.now)
-        steps = auditing.write_journal(())
-        while wrote.time(lambda: next(steps, DONE)) is not DONE:
+                    counts.set_in_force(version_set_of(second), loop.now)
+                for n in range(PLAYS_PER_SECOND // 2 if part % 2 else 0):
+                    record_play(counts, second * 8 + part + n + number, loop.now)
+                state_part = reported.next_part(counts)
+                part_bytes, parts = part_bytes + len(encode(state_part)), parts + 1
+                merging.time(auditor.fleet_log.merge, f"d{number}-0", state_part, loop.now, loop.now)
+        steps = auditor.write_journal(())
+        while writing.time(lambda: next(steps, FINISHED)) is not FINISHED:
             pass
-        for number, stamps in enumerate(fleet):
-            stamps.acknowledge(auditing.fleet_log.acknowledged(f"d{number}-0"))
-    print(f"{directors} directors, {seconds} s: {size / seconds / 1000:.0f} kB/s of parts ({size / parts:.0f} bytes each), merging {merged.sum / seconds:.0f} ms a second "
-          f"(longest {merged.worst:.1f} ms), writing {wrote.sum / seconds:.0f} ms a second (longest step {wrote.worst:.1f} ms)")
-    ledger, looked = auditing.ledger, Clock()
-    verdict = looked.time(ledger.verify)
-    print(f"journal: {ledger.count} records, {ledger.size / seconds * 3.6:.0f} kB an hour; verified in {looked.sum:.0f} ms, faults {len(verdict.faults)}")
-    asked = Clock()
-    asked.time(answers.versions, auditing.fleet_log, loop.now, 0.0)
-    asked.time(answers.director, auditing.fleet_log, "d7", 0.0, loop.now, 0.0)
-    print(f"versions and one director asked: longest {asked.worst:.1f} ms")
-
-
-def returning(directors: int) -> None:
-    """All at once, each with as many untold turns as it may keep."""
-    fleet, book, merged, size = [], FleetLog(), Clock(), 0
+        for number, counts in enumerate(counts_by_director):
+            counts.acknowledge(auditor.fleet_log.acknowledged(f"d{number}-0"))
+    print(f"{directors} directors, {seconds} s: {part_bytes / seconds / 1000:.0f} kB/s of parts ({part_bytes / parts:.0f} bytes each), merging {merging.sum / seconds:.0f} ms a second "
+          f"(longest {merging.worst:.1f} ms), writing {writing.sum / seconds:.0f} ms a second (longest step {writing.worst:.1f} ms)")
+    journal, verifying = auditor.ledger, Stopwatch()
+    verdict = verifying.time(journal.verify)
+    print(f"journal: {journal.count} records, {journal.size / seconds * 3.6:.0f} kB an hour; verified in {verifying.sum:.0f} ms, faults {len(verdict.faults)}")
+    answering = Stopwatch()
+    answering.time(answers.versions, auditor.fleet_log, loop.now, 0.0)
+    answering.time(answers.director, auditor.fleet_log, "d7", 0.0, loop.now, 0.0)
+    print(f"queries of the versions and of one director: longest {answering.worst:.1f} ms")
+
+
+def measure_return(directors: int) -> None:
+    """Prints the cost when all directors return at once, each with as many unreported turns as it may keep."""
+    counts_by_director, log, merging, part_bytes = [], FleetLog(), Stopwatch(), 0
     for number in range(directors):
-        stamps = ActionCounts()
+        counts = ActionCounts()
         for turn in range(MAX_TURNS + 20):
-            stamps.set_in_force(stand(turn), 1000.0 * turn)
-            play(stamps, turn, 1000.0 * turn)
-            play(stamps, turn + 1, 1000.0 * turn)
-        fleet.append(stamps)
+            counts.set_in_force(version_set_of(turn), 1000.0 * turn)
+            record_play(counts, turn, 1000.0 * turn)
+            record_play(counts, turn + 1, 1000.0 * turn)
+        counts_by_director.append(counts)
     now = 1000.0 * (MAX_TURNS + 20)
-    for number, stamps in enumerate(fleet):
-        part = ReportedState().next_part(stamps)
-        size += len(encode(part))
-        merged.time(book.merge, f"d{number}-0", part, now, now)
-    written, data = Clock(), 0
-    for name in sorted(book.changed):
-        data += len(written.time(lambda: encode(book.record(name, 0.0))))
-    print(f"{directors} back at once, {MAX_TURNS} turns each: {size / 1e6:.1f} MB, merging {merged.sum:.0f} ms (longest {merged.worst:.1f} ms of one), "
-          f"records of {data / 1e6:.1f} MB in {written.sum:.0f} ms (longest {written.worst:.1f} ms of one); untold {sum(s.untold for s in fleet)} actions, as each said")
+    for number, counts in enumerate(counts_by_director):
+        part = ReportedState().next_part(counts)
+        part_bytes += len(encode(part))
+        merging.time(log.merge, f"d{number}-0", part, now, now)
+    encoding, record_bytes = Stopwatch(), 0
+    for name in sorted(log.changed):
+        record_bytes += len(encoding.time(lambda: encode(log.record(name, 0.0))))
+    print(f"{directors} back at once, {MAX_TURNS} turns each: {part_bytes / 1e6:.1f} MB, merging {merging.sum:.0f} ms (longest {merging.worst:.1f} ms of one), "
+          f"records of {record_bytes / 1e6:.1f} MB in {encoding.sum:.0f} ms (longest {encoding.worst:.1f} ms of one); {sum(counts.dropped for counts in counts_by_director)} actions dropped, as each reports")
 
 
 if __name__ == "__main__":
     count, length = (int(word) for word in (sys.argv[1:] + ["230", "60"][len(sys.argv) - 1:]))
-    print(f"stamping: {stamping():.1f} us a play of four actions")
+    print(f"recording: {measure_recording():.1f} us a play of four actions")
     with tempfile.TemporaryDirectory() as folder:
-        planner(count, length, folder)
-    returning(count)
+        measure_planner(count, length, folder)
+    measure_return(count)
