--- a/laddergw/control/candidates.py
+++ b/laddergw/control/candidates.py
@@ -30,7 +30,10 @@
         self.fleet, self.waiting = fleet, {}
 
     def select_ready(self, now, play):
-        """Sets the play's candidates: nodes that the list calls ready, most free rate first."""
+        """Sets the play's candidates, most free rate first.
+
+        Only nodes that the list calls ready: none that drains or is gone.
+        """
         fleet, deployment = self.fleet, self.fleet.deployment
         first_cell, replica_count = (
             int(play.request.first_cell),
--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -56,7 +56,7 @@
         self.links_to_flush: dict[Link, None] = {}
         self.last_attempt_id = self.waiting = self.active_plays = self.random_draws = 0
         self.stopping = False
-        # `observer`: the connection to the planners, told of admissions, ends and notes; `closed_rejection()`: rejects every play, or None
+        # `observer`: the connection to the planners, told of admissions, ends and notes; `closed_rejection()`: the rejection of every new play while this process has no right to admit plays (fleet/rights.py), else None
         self.observer, self.closed_rejection = None, lambda: None
         self.reload_files: Callable[[], None] = lambda: None    # called on SIGHUP
         self.fleet = Fleet(loop, director_file.lists, str(director_file.number), self.make_link, self.list_changed, self.list_failed, tap)
@@ -282,15 +282,15 @@
     def make_link(self, node: int, address: tuple) -> Link:
         return Link(self.loop, node, address, self.name, self, self.tap)
 
-    def list_changed(self, lines: list, complete: bool, stopped: list[int]) -> None:
-        self.feed(self.controller.update_fleet, self.loop.now, lines, complete)
-        for node in stopped:
+    def list_changed(self, entries: list, complete: bool, not_ready: list[int]) -> None:
+        self.feed(self.controller.update_fleet, self.loop.now, entries, complete)
+        for node in not_ready:
             self.withdraw_unsent_set_ups(node)
         self.fleet.drop_unused(lambda node: bool(self.attempts_by_node.get(node)))
         self.concurrency.keep_only(self.fleet.links)
 
     def withdraw_unsent_set_ups(self, node: int) -> None:
-        """Withdraws set-ups to a draining node of which no byte has been written yet."""
+        """Withdraws set-ups of which no byte has been written yet from a node that drains or is gone."""
         for name, attempt in list(self.attempts_by_node.get(node, {}).items()):
             call, allocation = attempt.call, attempt.allocation
             if allocation.state == allocation_machine.WAITING and (call is None or not call.written):
@@ -340,7 +340,7 @@
 
     # Stopping
     def stop(self) -> None:
-        """Admits nothing new, answers waiting viewers, lets plays run on for `finish_ms`, then ends them and exits."""
+        """Admits no new play from now on (admission.check_capacity declines it); waiting viewers still get their answers. Running plays go on for `finish_ms`, then end, and the process exits."""
         if self.stopping:
             return
         self.stopping = True
--- a/laddergw/director/fleet.py
+++ b/laddergw/director/fleet.py
@@ -16,8 +16,8 @@
 
 
 class Fleet:
-    """The stream of the fleet list, and the links to its nodes. `on_change(lines, complete, stopped)` gets the controller's entries
-    and the nodes that get nothing new from now on; `on_failure()` is called when the stream has ended."""
+    """The stream of the fleet list, and the links to its nodes. `on_change(entries, complete, not_ready)` gets the controller's entries
+    and the nodes that drain or are gone, which get no new set-up from now on; `on_failure()` is called when the stream has ended."""
 
     def __init__(self, loop, address, director: str, make_link: Callable[[int, tuple], Link],
                  on_change: Callable, on_failure: Callable[[], None], tap: Callable | None = None):
@@ -79,11 +79,11 @@
     def apply_entries(self, entries: list[frames.NodeEntry], complete: bool) -> None:
         """Applies the entries of a frame; nodes that a complete list leaves out are gone."""
         named = {entry.node for entry in entries}
-        stopped = [node for node in self.links if node not in named] if complete else []
-        lines = []
+        not_ready = [node for node in self.links if node not in named] if complete else []
+        controller_entries = []
         for entry in entries:
             if entry.state != interface.READY:
-                stopped.append(entry.node)
+                not_ready.append(entry.node)
             old = self.entries.get(entry.node)
             replaced = old is not None and (old.address != entry.address or old.incarnation != entry.incarnation)
             if replaced and entry.node in self.links:
@@ -91,8 +91,8 @@
             if entry.state != interface.GONE and entry.node not in self.links:
                 self.links[entry.node] = self.make_link(entry.node, entry.address)
             self.entries[entry.node] = entry
-            lines.append(self.controller_entry(entry))
-        self.on_change(lines, complete, stopped)
+            controller_entries.append(self.controller_entry(entry))
+        self.on_change(controller_entries, complete, not_ready)
         if complete:
             for node in [node for node in self.entries if node not in named]:
                 self.entries[node] = self.entries[node]._replace(state=interface.GONE)
--- a/laddergw/hosting.py
+++ b/laddergw/hosting.py
@@ -20,7 +20,10 @@
 
 
 class ControllerHost:
-    """Base class of directors; `loop` and `controller` are set by the subclass."""
+    """Base class of directors; `loop` and `controller` are set by the subclass.
+
+    `broken`: the controller has failed and gets no further event.
+    """
 
     loop: Any
     controller: Any
--- a/laddergw/interface.py
+++ b/laddergw/interface.py
@@ -16,7 +16,7 @@
     "cancelled",
     "never sent",
 )
-# State of a media node by the fleet list.
+# State of a media node by the fleet list. A draining one keeps its plays and gets no new ones.
 READY, DRAINING, GONE = "ready", "draining", "gone"
 # Kinds of note on a play under way: the share delivered of its rate; its rung, changed by the node;
 # what is asked of the node's link, and of its rack's uplink, over what they give.
--- a/laddergw/machines/admission.py
+++ b/laddergw/machines/admission.py
@@ -46,7 +46,9 @@
 def check_capacity(
     limits: DirectorLimits, waiting: int, plays: int, stopping: bool, jitter: float
 ) -> Rejection | None:
-    """Rejects a play while the director is full or stops.
+    """Declines a play while the director is full or stops.
+
+    A draining node is not considered here: the controller never chooses one.
 
     `waiting`: viewers without an answer; `plays`: plays being served; `jitter` in [0, 1) spreads
     the retries.
--- a/laddergw/machines/allocation.py
+++ b/laddergw/machines/allocation.py
@@ -134,7 +134,10 @@
         return self.start_release(interface.TIMED_OUT)
 
     def withdrawn(self) -> AllocationActions:
-        """The request was withdrawn before a byte left: its node drains, or the director stops."""
+        """The set-up is given up before a byte of it left.
+
+        Its node drains or is unknown, no time is left for it, or a retry budget is spent.
+        """
         return self.finish(interface.NEVER_SENT) if self.state == WAITING else NO_ACTIONS
 
     def viewer_left(self, written: int, size: int) -> AllocationActions:
--- a/laddergw/planner/audit_client.py
+++ b/laddergw/planner/audit_client.py
@@ -85,11 +85,11 @@
         entries = self.director.fleet.entries
         self.active_versions[versions.LIST] = versions.version(versions.LIST, [repr(entries[node]._replace(age_ms=None)) for node in sorted(entries)])
 
-    def fleet_changed(self, entries: list, is_complete: bool, stopped: list) -> None:
+    def fleet_changed(self, entries: list, is_complete: bool, not_ready: list) -> None:
         """Records the new fleet list, then passes the change on."""
         self.read_fleet_list()
         self.update_version_set()
-        self.next_fleet_changed(entries, is_complete, stopped)
+        self.next_fleet_changed(entries, is_complete, not_ready)
 
     def plan_followed(self, epoch: int, planner: str) -> None:
         """Records the plan in force; all plans of one planner and epoch count as one version, since two and a half arrive every second."""
--- a/laddergw/platform/admission.py
+++ b/laddergw/platform/admission.py
@@ -51,7 +51,7 @@
             viewer.close("a director's message")
 
     def handle_set_up(self, viewer: ViewerConnection, message: binary.Message) -> None:
-        """Takes a set-up: a request for a play, or the hand-over of a running one."""
+        """Takes the hand-over of a running play, or a request, which may be refused at once."""
         session = message.session
         if session in self.director.open_requests or (
             session in self.director.running_plays and not self.is_hand_over(message)
@@ -68,6 +68,7 @@
         self.director.listener.mark_requested(viewer)
         if request.node_id:
             return self.take_over(viewer, session, request)
+        # Hand-overs are accepted during a stop: its end releases them with all running plays.
         if (
             self.director.broken
             or self.director.stopping_since is not None
@@ -76,7 +77,7 @@
             why = (
                 "the director stops"
                 if self.director.stopping_since is not None
-                else "the module failed"
+                else "the controller failed"
                 if self.director.broken
                 else "too many on its connection"
             )
--- a/laddergw/platform/allocator.py
+++ b/laddergw/platform/allocator.py
@@ -33,7 +33,11 @@
         self.answer_handler = AnswerHandler(director, self.ending, self.load_report)
 
     def allocate(self, play: Play, verdict: interface.Verdict) -> None:
-        """Sends a play's set-up to the verdict's node, or ends the allocation as never sent."""
+        """Sends a play's set-up to the verdict's node, or ends the allocation as never sent.
+
+        The node's drain is not checked again: the controller decides after all list events of the
+        turn, and its verdicts are carried out at once.
+        """
         play.number, play.sent_at = play.number + 1, self.director.loop.now
         play.answer = None
         node = play.node = self.director.nodes.by_number.get(verdict.node)
--- a/laddergw/platform/fleet_list.py
+++ b/laddergw/platform/fleet_list.py
@@ -22,16 +22,17 @@
     def apply_event(self, event: changes.Event) -> None:
         """Applies one event: updates the nodes, then the controller.
 
-        Set-ups that have not left yet are withdrawn from the nodes that no longer serve.
+        The controller places new plays only at nodes that are SERVING. From all others the set-ups
+        that have not left yet are withdrawn; plays that run at a draining node go on.
         """
-        stopped = self.mark_missing(event) if event.is_complete else []
+        not_serving = self.mark_missing(event) if event.is_complete else []
         entries = []
         for member in event.members:
             if member.state == "DELETED" and member.id not in self.director.nodes.by_id:
                 continue
             node = self.update_node(member, event.number)
             if member.state != "SERVING":
-                stopped.append(node)
+                not_serving.append(node)
             entries.append(self.entry_of(node))
         self.director.feed(
             self.director.controller.update_fleet,
@@ -39,7 +40,7 @@
             entries,
             event.is_complete,
         )
-        for node in stopped:
+        for node in not_serving:
             self.withdraw_unsent(node)
 
     def mark_missing(self, event: changes.Event) -> list[Node]:
--- a/laddergw/signalling/binary.py
+++ b/laddergw/signalling/binary.py
@@ -20,7 +20,7 @@
     53,
     60,
 )
-# Parameter codes
+# Parameter codes. The cause of a PONG is 1, or 0 while the director stops and takes no new plays
 PRODUCT, WAIT_LIMIT, TITLE, ATTRIBUTES, RETRY_AFTER, HINT, CAUSE, DESCRIPTION = (
     180,
     183,
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -44,8 +44,8 @@
 class IgnoresDrains(Director):
     """Rule 3: ignores drains."""
 
-    def list_changed(self, lines, whole, stopped):
-        super().list_changed([line._replace(state=interface.READY) for line in lines], False, [])
+    def list_changed(self, entries, complete, not_ready):
+        super().list_changed([entry._replace(state=interface.READY) for entry in entries], False, [])
 
 
 class ReplacedStages(Controller):
