--- a/laddergw/control/fleet_state.py
+++ b/laddergw/control/fleet_state.py
@@ -179,7 +179,7 @@
         return resource.own + resource.others_load(now, self.others_share)
 
     def free_rate(self, now, node, margin=None):
-        """Returns what is free at a node's link and at its upresource, beyond the margin."""
+        """Returns what is free at a node's link and at its uplink, beyond the margin."""
         return min(
             rate * (1 - (self.margin(now, resource) if margin is None else margin))
             - self.load(now, resource)
--- a/laddergw/control/prices.py
+++ b/laddergw/control/prices.py
@@ -1,6 +1,7 @@
 """The bid-price gate: shadow prices of a node's streams, link and uplink, and the rung that pays.
 
-It follows the DLPC policy of Bichler and Setzer, "Admission Control for Media on Demand Services".
+A new play is priced in Prices.choose_node; Prices.best_rung has the formula. It
+follows the DLPC policy of Bichler and Setzer, "Admission Control for Media on Demand Services".
 """
 
 from operator import mul
@@ -40,7 +41,10 @@
         play.demand_counted = True
 
     def choose_node(self, now, play):
-        """Gives the play to the first candidate that offers a rung, or ends it."""
+        """Prices the play at one candidate after another; takes the first that offers a rung.
+
+        Where none does the play ends.
+        """
         for node in play.candidates:
             rung = self.best_rung(now, play, node, play.length_ms, node.free_rate)
             if rung is not None:
@@ -49,9 +53,14 @@
         return decline_or_fail(self.fleet, play)
 
     def best_rung(self, now, play, node, length_ms, free_rate, current_rung=None):
-        """Returns the highest rung that fits and whose payoff beats its cost at the node, or None.
+        """Returns the highest rung that fits and pays at the node, or None.
+
+        payoff = importance * worth of the rung * length
+        cost = crossing + length / 2 * (price per stream + rate * price per kB/s)
 
-        `length_ms` is lk of the policy. With a `current_rung` the play is under way.
+        A rung pays where its payoff exceeds that of the best rung below it by more than its cost
+        does. `length_ms` is the play's expected length, lk of the policy. With a `current_rung` the
+        play is under way: only rungs above it count, and a change of rung costs step_cost_ms.
         """
         fleet = self.fleet
         if current_rung is None and (
@@ -64,7 +73,7 @@
             streams_price / node.max_streams,
             link_price / fleet.usable_rate(now, node) + uplink_price / node.rack.uplink_rate(now),
         )
-        # below: payoff and cost of the rung below
+        # below: payoff and cost of the best rung below, 0 where there is none
         chosen, below, current_rate = None, (0.0, 0.0), 0.0
         crossing = (
             fleet.crossing_price(node) * play.product.importance * length_ms
@@ -93,7 +102,7 @@
             rate = fleet.added_rate(play, node, rung)
             payoff = play.product.importance * play.deployment.rung_worth[rung] * length_ms
             cost = crossing + length_ms / 2 * (price_per_stream + rate * price_per_kb)
-            # A play at its lowest rung beats a decline
+            # A play at its lowest rung beats a decline, also beyond the free rate
             is_lowest = current_rung is None and rung == play.product.floor
             # Each step must pay for what it adds: a top rung can pay as a whole while its last step
             # does not
@@ -105,7 +114,7 @@
 
     def last_step_pays(self, now, play):
         """Whether the last step of a play under way pays, by the admission's test."""
-        # Weighted out
+        # A node of weight 0 gives nothing
         if (link_rate := self.fleet.usable_rate(now, play.node)) <= 0:
             return False
         remaining_ms, (_, link_price, uplink_price) = (
@@ -121,7 +130,8 @@
     def shadow_prices(self, now, node, horizon_ms):
         """Returns the prices of a node's streams, link and uplink over the horizon (lk).
 
-        The capacity that they price is net of plays under way.
+        Each is the price of the whole resource, in worth a second. The capacity that they price is
+        net of plays under way.
         """
         fleet, rack, deployment = self.fleet, node.rack, self.fleet.deployment
         link_rate, uplink_rate = fleet.usable_rate(now, node), rack.uplink_rate(now)
@@ -134,10 +144,10 @@
         rack_share = (
             sum(other.setups.at(now) for other in rack.nodes.values()) + even_spread * rack.rate
         ) / total
-        # Others' plays are planned anew, since they change rungs, too: over our own demand, as of
-        # the products that we see asked for
+        # Plays of other directors change rungs, too, so they count as demand like new plays: in
+        # proportion to our own demand for each product
         others_streams = fleet.others_streams(now, node)
-        # Time a play takes of the horizon: it may start at any time in it (q)
+        # Mean time that a play takes of the horizon, as it may start at any time in it (q)
         holding_ms = min(self.usual_length_ms, horizon_ms) * (
             1 - min(self.usual_length_ms, horizon_ms) / (2 * horizon_ms)
         )
