--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -14,6 +14,7 @@
 from laddergw.director.attempts import Attempt
 from laddergw.http.client import Call
 
+# Events with which a viewer is told that its play has ended
 ENDED, MOVED, STOPPED, LOST = "ended", "moved", "director stops", "broken"
 PROBE_OUTCOMES = {200: interface.SERVED, 429: interface.FULL, 503: interface.FULL}
 EVENT_BY_OUTCOME = {interface.SERVED: ENDED, interface.BROKEN: LOST}
--- a/laddergw/director/link.py
+++ b/laddergw/director/link.py
@@ -2,6 +2,9 @@
 
 The stream of notes is the long answer to one request; a session lasts as long as it does, see session.py. A keep renews the session's lease and
 carries confirmations, releases and changes of rungs.
+
+When a node falls silent (see check_session): after SILENCE_TIMEOUT_MS without an answer no further keep is sent, so that its lease expires; then the stream
+is aborted and `session_lost` is reported, with which the director ends the plays there as broken (machines/allocation.py).
 """
 from typing import Callable, Protocol
 
--- a/laddergw/director/session.py
+++ b/laddergw/director/session.py
@@ -1,4 +1,4 @@
-"""State of a director's session at a node: an estimate of the node's clock, when keeps are due, silence, the lease. No I/O.
+"""State of a director's session at a node: an estimate of the node's clock, when keeps (keep-alive requests) are due, silence, the lease. No I/O.
 
 A session connects one director with one process of a node. The node ends all that it holds for a session when the session's
 stream of notes breaks or its lease, renewed by keeps, expires. Times are ms of the director's clock, unless they are said to be the node's.
--- a/laddergw/machines/allocation.py
+++ b/laddergw/machines/allocation.py
@@ -1,9 +1,12 @@
 """State machine of one allocation, without I/O; events from the sockets are fed in.
 
-    WAITING --sent--> OUT --set up in time--> HELD --ended, released, lost--> GONE
-       |               |--refused, error, never ran------------------------> GONE
-       |               `--time-out, cut, viewer left--> ENDING --acknowledged, lease over--> GONE
-       `--withdrawn, no connection-----------------------------------------> GONE
+    WAITING --sent--> OUT --set up in time--> HELD --ended by its node, session lost--> GONE
+       |               |                        `--viewer left, moved, stalled--> ENDING
+       |               |--refused, error, never ran--> GONE
+       |               `--time-out, cut, viewer left--> ENDING
+       `--withdrawn, no connection--> GONE
+
+    ENDING --release acknowledged, ended by its node, lease or session over--> GONE
 
 A node may hold an allocation until it has acknowledged its release, or until its lease, told in the
 node's own clock, is over. Only then is the allocation's end reported (`AllocationActions.ended`),
--- a/laddergw/platform/node.py
+++ b/laddergw/platform/node.py
@@ -16,10 +16,11 @@
 # A connection is not used so shortly before the node closes it as idle: a set-up that crosses the
 # close may have run, for all we know, and a paid play then fails.
 IDLE_CLOSE_MARGIN_MS = 500.0
-# A message from a node proves that it is alive; so long after its last one it is pinged. An answer
-# passes at once: a connection whose ping is unanswered for PING_TIMEOUT_MS is dead. With the checks
-# (each nodes.CHECK_INTERVAL_MS) before both, and so many connections in a row that never come up, a
-# machine is found gone within 6 s of the 8 s after which its plays count as lost.
+# A message from a node proves that it is alive; PING_AFTER_MS after its last one it is pinged. An
+# answer passes at once: a connection whose ping is unanswered for PING_TIMEOUT_MS is dead. Then
+# MAX_UNANSWERED_DIALS connections in a row that do not come up prove that the machine is gone. With
+# the checks (each nodes.CHECK_INTERVAL_MS) before both this takes up to 6 s; the plays of a silent
+# machine count as lost after 8 s.
 PING_AFTER_MS = 1_500.0
 PING_TIMEOUT_MS = 1_000.0
 MAX_UNANSWERED_DIALS = 2
@@ -34,7 +35,7 @@
 
 
 class Node:
-    """One media node and our connections to it."""
+    """One media node and our connections to it; `fleet`: all nodes (nodes.py)."""
 
     def __init__(self, fleet: "Nodes", number: int, member):
         self.fleet, self.number, self.id, self.address = (
@@ -122,6 +123,7 @@
             raise rtsp.MalformedError("an answer to a set-up that has not left yet")
         if message.method:
             return self.fleet.handle_request(self, connection, message)
+        # A response repeats the CSeq of its request: 1 of a set-up, 2 of a release (rtsp.py)
         if (
             message.cseq == "2"
             and message.status
@@ -142,6 +144,7 @@
         if why == NO_DESCRIPTOR:
             return
         self.fleet.dial_waiting(1)
+        # A refused dial proves that the process has died, unanswered ones that the machine is gone
         if not connection.up:
             self.unanswered_dials += why != CONNECTION_REFUSED
             if why == CONNECTION_REFUSED or (
@@ -164,7 +167,10 @@
         self.dial_if_needed()
 
     def lose_plays(self, why: str | None) -> None:
-        """Ends all plays that run there: their node or its process is gone."""
+        """Ends all plays that run there: their node or its process is gone.
+
+        They end as broken, for their viewers and for the controller (play_ending.py).
+        """
         self.queued_messages = []
         if self.running_plays:
             log.info("node %s: %d plays lost: %s", self.id, len(self.running_plays), why)
@@ -172,7 +178,11 @@
             self.fleet.allocation_ended(play, allocation.RUNNING, allocation.NODE_LOST)
 
     def check(self, now: float) -> None:
-        """Checks that the node's machine still answers, while plays run there."""
+        """Checks that the node's machine still answers, while plays run there.
+
+        Aborts connections whose ping is unanswered, pings a node that has been silent for
+        PING_AFTER_MS, and dials one that has no connection; connection_ended concludes the rest.
+        """
         for connection in [
             connection
             for connection in self.connections
--- a/laddergw/platform/nodes.py
+++ b/laddergw/platform/nodes.py
@@ -199,7 +199,8 @@
     def check(self) -> None:
         """Checks the nodes where plays run, the one that was heard longest ago first.
 
-        Connections may be fewer than nodes: that one has had no turn for longest.
+        Where the limit of connections is below the number of nodes, that one has waited longest
+        for a connection.
         """
         self.loop.call_later(CHECK_INTERVAL_MS, self.check)
         self.dial_waiting(len(self.awaiting_connection))
