--- a/benchmarks/budgets_use.py
+++ b/benchmarks/budgets_use.py
@@ -102,7 +102,7 @@
     holding.build_rows(1, 0.0)
     holding.apply_grants(1, 1, STORE, [Grant("b", 10 ** 9, 10 ** 9, 0, 10_000.0)], 0.0)
     budgets.configure({"b": BudgetTerms(10 ** 9, 0.0, 10_000.0)})
-    for name, call in (("a spend of a fleet budget", lambda: holding.spend("b", 1_000.0)), ("of a director's own", lambda: budgets.may_retry(("b",), 1_000.0))):
+    for name, call in (("a spend of a fleet budget", lambda: holding.spend("b", 1_000.0)), ("of a director's own", lambda: budgets.charge_retry(("b",), 1_000.0))):
         best = float("inf")
         for _ in range(5):
             began = time.perf_counter()
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -59,7 +59,7 @@
         names = budget_names(effective.entries, limits)
         at_limit(3, concurrency.total_limit(ready), 3.0, 3.0, 1)
         budgets.record_play(names, 1.0)
-        budgets.may_retry(names, 1.0)
+        budgets.charge_retry(names, 1.0)
     new_routes = [f"/r{n % 200}/{n}" for n in range(10_000)]
     print(f"limits on the request path: {mean_us(request, new_routes):.1f} us for a route asked for the first time, {mean_us(request, new_routes):.1f} us after that")
 
--- a/laddergw/control/controller.py
+++ b/laddergw/control/controller.py
@@ -71,6 +71,7 @@
         """Takes in a viewer's request; the play is pending until decide()."""
         self.prices.record_length_hint(request)
         play = self.plays[request.play] = Play(request, self.fleet.deployment, now)
+        # Counted as a play taken, where retries are rationed
         self.allocations.play_times.extend([now] * (self.fleet.deployment.budget_free is not None))
         return self.result(self.pending.append(play))
 
--- a/laddergw/control/plays.py
+++ b/laddergw/control/plays.py
@@ -100,9 +100,14 @@
             return decline_or_fail(self.fleet, play)
 
     def check_retry_budget(self, now, play):
-        """Ends a play whose retry exceeds the stated budget, counted over a sliding window."""
+        """Ends a play whose next set-up, a retry, would exceed the deployment's retry budget.
+
+        Within any budget_ms the retries sent are budget_free at most, plus budget_share of the
+        plays taken.
+        """
         if play.setup_count and (deployment := self.fleet.deployment).budget_free is not None:
-            # A set-up leaves so much later, or never; 1: rounding
+            # A set-up leaves up to so much after this decision (1: rounding), or never. So plays
+            # are counted over less than the window, and retries over more
             late_ms = deployment.connect_ms + 1
             for times, slack_ms in (self.play_times, late_ms), (self.retry_times, -late_ms):
                 while times and times[0] < now - deployment.budget_ms + slack_ms:
--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -24,11 +24,12 @@
     """Carries out allocations; a base class of Director. See the module."""
 
     def allocate(self, attempt: Attempt, verdict: interface.Verdict) -> None:
-        """Begins an allocation on the node that the controller chose: at once, or after the pause that the terms demand before a retry."""
+        """Begins an allocation on the node that the controller chose: at once, or after the pause that the terms demand before a retry.
+        A retry is charged to its budgets first; where one is spent, nothing is sent and the attempt gets its final answer."""
         now, play_state = self.loop.now, attempt.play_state
-        number, pause = play_state.attempts_made, play_state.next_pause_ms()
+        number, pause = play_state.allocations_made, play_state.next_pause_ms()
         name = f"{self.name}.{attempt.id}.{number}"
-        spent_budget = self.budgets.may_retry(attempt.budgets, now) if number else None
+        spent_budget = self.budgets.charge_retry(attempt.budgets, now) if number else None
         attempt.allocation = allocation = play_state.allocate(name, attempt.id, verdict.node, verdict.rung, verdict.timeout_ms, now)
         timeout = allocation.set_up_deadline - now - pause
         self.attempts_by_allocation[name] = attempt
@@ -38,7 +39,7 @@
         if timeout <= 0 or link is None or spent_budget is not None:
             if spent_budget is not None:
                 self.watch("budget spent", play=attempt.id, budget=spent_budget)
-                play_state.exhaust_attempts()
+                play_state.exhaust_allocations()
             return self.loop.call_soon(lambda: self.apply_by_name(attempt, name, Allocation.withdrawn))
         attempt.lease_timer = self.loop.call_at(allocation.set_up_deadline, lambda: self.set_up_timed_out(attempt, name))
         if pause:
@@ -165,7 +166,7 @@
         attempt.play_state.allocation_ended(outcome)
         if self.observer is not None:
             self.observer.ended(allocation.node, outcome)
-        if not (attempt.viewer_gone or attempt.answered) and attempt.play_state.attempts_exhausted():
+        if not (attempt.viewer_gone or attempt.answered) and attempt.play_state.allocations_exhausted():
             self.finish(attempt, *attempt.play_state.final_answer(self.random_fraction()), reason=ATTEMPTS_EXHAUSTED)
         over = attempt.viewer_gone or attempt.answered
         self.feed(self.controller.allocation_ended, self.loop.now, attempt.id, allocation.number, outcome, allocation.node, over, report)
--- a/laddergw/interface.py
+++ b/laddergw/interface.py
@@ -70,8 +70,8 @@
     warm_ms: float  # from its start until a node gives all of its capacity
     fall_multiple: float  # set-ups that a cold node takes, over its streams in warm_ms
     fall_ms: float  # span in which all set-ups to a cold node are counted
-    budget_free: float  # retries free of the share; None where they are not rationed
-    budget_share: float  # further retries, as a share of the plays taken
+    budget_free: float  # retries allowed besides the share; None: they are not rationed
+    budget_share: float  # retries allowed, as a share of the plays taken
     budget_ms: float  # window in which both are counted
     must_ask: bool  # the fleet list comes only when asked for
     reports: tuple  # names of the values in a load report
--- a/laddergw/machines/play.py
+++ b/laddergw/machines/play.py
@@ -24,6 +24,7 @@
     interface.UNREACHABLE,
     interface.NEVER_SENT,
 )
+# Reason where an attempt has had all its allocations, or a viewer all its attempts
 ATTEMPTS_EXHAUSTED = "it was tried as often as its terms allow"
 # When viewers that this machine declines may ask again: the range that the controller uses, too
 RETRY_AFTER_RANGE_MS = (
@@ -78,7 +79,7 @@
 
 
 class PlayState:
-    """One viewer's attempt.
+    """One viewer's attempt; each of its allocations but the first is a retry.
 
     `wait_ms`: how long its viewer still waits, less what the answer's way needs (`margin_ms`).
     """
@@ -90,7 +91,7 @@
         self.deadline = now + min(wait_ms, terms.time_limit_ms - margin_ms)
         # The director answers by then, whatever holds it up
         self.answer_deadline = max(self.deadline - ANSWER_GUARD_MS, now) + margin_ms / 2
-        self.attempts_made, self.may_have_run = 0, False
+        self.allocations_made, self.may_have_run = 0, False
 
     def check_viewer_attempts(self, attempts: int) -> Rejection | None:
         """Rejects a play that its viewer has tried too often, without a time to ask again."""
@@ -104,7 +105,9 @@
         """Returns the pause before the next allocation is sent, ms; none before the first."""
         first, factor, longest = self.terms.backoff_ms
         return (
-            min(first * factor ** (self.attempts_made - 1), longest) if self.attempts_made else 0.0
+            min(first * factor ** (self.allocations_made - 1), longest)
+            if self.allocations_made
+            else 0.0
         )
 
     def allocate(
@@ -119,7 +122,7 @@
         timeout_ms = min(
             wanted_timeout_ms, terms.set_up_ms, self.deadline - now - pause_ms - terms.grace_ms
         )
-        number, self.attempts_made = self.attempts_made, self.attempts_made + 1
+        number, self.allocations_made = self.allocations_made, self.allocations_made + 1
         return Allocation(
             name,
             number,
@@ -137,13 +140,13 @@
         if outcome not in NEVER_RAN:
             self.may_have_run = True
 
-    def exhaust_attempts(self) -> None:
+    def exhaust_allocations(self) -> None:
         """A budget that its retries draw on is spent: no further allocation is allowed."""
-        self.attempts_made = max(self.attempts_made, self.terms.attempts)
+        self.allocations_made = max(self.allocations_made, self.terms.attempts)
 
-    def attempts_exhausted(self) -> bool:
+    def allocations_exhausted(self) -> bool:
         """Returns whether no further allocation is allowed."""
-        return self.attempts_made >= self.terms.attempts
+        return self.allocations_made >= self.terms.attempts
 
     def final_answer(self, jitter: float) -> tuple[str, float | None]:
         """Returns the answer once no allocation is left, and when to ask again, ms.
--- a/laddergw/machines/retry_budget.py
+++ b/laddergw/machines/retry_budget.py
@@ -54,13 +54,17 @@
 
 
 class RetryBudgets:
-    """Retry budgets by name, such as a route's or a tenant's."""
+    """Retry budgets of the operators' limits file by name, such as a route's or a tenant's.
+
+    A retry is a further allocation of an admitted play, not a viewer's new attempt. The
+    deployment's own budget is kept by the controller (control/plays.py).
+    """
 
     def __init__(self):
         self.plays: dict[str, SlidingWindowCounter] = {}
         self.retries: dict[str, SlidingWindowCounter] = {}
         self.terms: dict[str, BudgetTerms] = {}
-        # Grants of budgets that the whole fleet shares (fleet/grants.py)
+        # Grants of budgets that the whole fleet shares (fleet/grants.py); None: there are none
         self.fleet_grants = None
 
     def configure(self, terms: dict[str, BudgetTerms]) -> None:
@@ -82,10 +86,11 @@
             if name in self.plays:
                 self.plays[name].add(now)
 
-    def may_retry(self, names: Iterable[str], now: float) -> str | None:
-        """Counts a retry in the budgets of these names and returns None.
+    def charge_retry(self, names: Iterable[str], now: float) -> str | None:
+        """Charges a retry to the budgets of these names and returns None.
 
-        Where a budget is spent, returns the name of the first such and counts nothing. A budget
+        Where a budget is spent, returns the name of the first such and charges nothing. What is
+        over a director's own part of a budget is drawn from the fleet's grants. A budget
         that was lowered below what is spent allows nothing until its window has passed.
         """
         known, from_fleet = [name for name in names if name in self.terms], set()
--- a/laddergw/terms/search.py
+++ b/laddergw/terms/search.py
@@ -110,7 +110,7 @@
     def choose_node(self, state: SearchState) -> bool | None:
         """The controller chooses a node whenever it is asked; the play decides how often that is."""
         now, play = state.now, state.play
-        key = (round(now - state.requested_at, 3), state.viewer_attempts, play.attempts_made, play.may_have_run, state.wait_ms,
+        key = (round(now - state.requested_at, 3), state.viewer_attempts, play.allocations_made, play.may_have_run, state.wait_ms,
                tuple(sorted(round(until - now, 3) for until in state.held_until if until > now)))
         if key in self.visited:
             return
@@ -121,26 +121,26 @@
             return
         if play.may_have_run and play.retry_safety == "paid":      # the controller refuses a retry, and so does the token of a viewer that comes back
             return self.record_answer(state.then("it may have run, and is paid: failed"))
-        if play.attempts_exhausted() or play.attempts_made >= self.max_allocations:
+        if play.allocations_exhausted() or play.allocations_made >= self.max_allocations:
             return self.answer(state.then("no attempts are left: declined"))
         if now >= play.answer_deadline:
             return self.answer(state.then("the time limit is near: failed"))
         play = copy_play(play)
         pause = play.next_pause_ms()
-        allocation = play.allocate("a", 1, play.attempts_made, 0, float("inf"), now)
+        allocation = play.allocate("a", 1, play.allocations_made, 0, float("inf"), now)
         if allocation.set_up_deadline - now - pause <= 0:
             return self.answer(state.then("no time is left for an allocation: declined"))
         if now + pause >= play.answer_deadline:
             return self.answer(state.then("the time limit is near: failed", now=play.answer_deadline))
         if not pause:
             return self.send_setup(state.then(play=play), allocation)
-        state = state.then(f"a pause of {pause:g} ms before allocation {play.attempts_made}", play=play)
+        state = state.then(f"a pause of {pause:g} ms before allocation {play.allocations_made}", play=play)
         self.end_allocation(state.then("its node drains: the allocation is withdrawn", "drains", now + pause), copy_allocation(allocation).withdrawn())
         return self.send_setup(state.then(now=now + pause), allocation)
 
     def send_setup(self, state: SearchState, allocation: Allocation) -> None:
         """Sends the set-up and follows each of its possible outcomes."""
-        now, terms, number = state.now, self.terms.play, state.play.attempts_made
+        now, terms, number = state.now, self.terms.play, state.play.allocations_made
         name = f"set-up {number}"
         refused = copy_allocation(allocation)
         refused.sent()
@@ -213,7 +213,7 @@
         """The viewer has its answer, and retries as soon as it may."""
         if self.record_answer(state):
             return
-        if state.play.retry_safety == "paid" and state.play.attempts_made and state.held_until:
+        if state.play.retry_safety == "paid" and state.play.allocations_made and state.held_until:
             return                               # a set-up may have run: its token rules out a retry at any director
         self.request(state.then(move="comes again", now=state.now + state.play.terms.retry_after_ms[0]))
 
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -95,13 +95,13 @@
     def test_a_lease_ends_within_the_viewers_wait(self, wanted, wait, set_up, grace, sent, pause):
         terms = PlayTerms(set_up_ms=set_up, lease_ms=set_up + grace, attempts=3, backoff_ms=(pause, 2.0, 4 * pause))
         play = PlayState(terms, "safe", 100.0, wait, 40.0)
-        play.attempts_made = sent
+        play.allocations_made = sent
         allocation = play.allocate("a", 1, 5, 0, wanted, 100.0)
         due_at = play.requested_at + min(pause * 2 ** (sent - 1), 4 * pause) if sent else 100.0
         timeout = allocation.set_up_deadline - due_at
         self.assertLessEqual(allocation.lease_ends_at, max(play.deadline, 0) + 1e-6 if timeout > 0 else float("inf"))
         self.assertTrue(timeout <= wanted + 1e-6 and timeout <= set_up + 1e-6)
-        self.assertEqual((play.attempts_made, play.attempts_exhausted()), (sent + 1, sent >= 2))
+        self.assertEqual((play.allocations_made, play.allocations_exhausted()), (sent + 1, sent >= 2))
 
     def test_a_release_that_is_not_acknowledged(self):
         """The allocation counts as ended after the terms' wait for a release or with its lease, whichever comes first."""
--- a/tests/test_budgets_cluster.py
+++ b/tests/test_budgets_cluster.py
@@ -47,7 +47,7 @@
         director, had = self.cluster.directors[number], 0
         for _ in range(times):
             director.loop.now = max(director.loop.now, self.cluster.world.now)
-            if director.budgets.may_retry((NAME,), director.loop.now) is None:
+            if director.budgets.charge_retry((NAME,), director.loop.now) is None:
                 self.spends.append(self.cluster.world.now)
                 had += 1
         return had
@@ -67,7 +67,7 @@
         self.assertGreater(alone[0], 0.4 * WHOLE * 10)                   # half of it may be held as floors of a previous planner
         both = self.storm(20_000)
         self.assertGreater(min(both.values()), 0.15 * sum(both.values()))
-        self.assertEqual(self.cluster.directors[0].budgets.may_retry((NAME,), self.cluster.directors[0].loop.now), NAME)
+        self.assertEqual(self.cluster.directors[0].budgets.charge_retry((NAME,), self.cluster.directors[0].loop.now), NAME)
         row, = json.loads(self.planner.auditor.answer_question(wire.Ask("budgets")))["budgets"]
         self.assertEqual((row["whole"], len(row["held"]), row["charged"] <= WHOLE), (WHOLE, 3, True), row)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -173,7 +173,7 @@
     def test_pauses_attempts_and_retries(self):
         play = PlayState(PlayTerms(attempts=3, backoff_ms=(50, 3, 120), retry_after_ms=(700, 800)), "keyed", 0.0, 9_000.0, 40.0)
         pauses = []
-        while not play.attempts_exhausted():
+        while not play.allocations_exhausted():
             pauses.append(play.next_pause_ms())
             play.allocate("a", 1, 1, 0, 500.0, 0.0)
         self.assertEqual(pauses, [0.0, 50, 120])
@@ -206,13 +206,13 @@
     def test_budget_lowered_below_what_is_spent(self):
         budgets = RetryBudgets()
         budgets.configure({"a": BudgetTerms(5, 0, 1_000), "b": BudgetTerms(1, 0.5, 1_000)})
-        self.assertEqual([budgets.may_retry(("a",), 0.0) for _ in range(6)], [None] * 5 + ["a"])
+        self.assertEqual([budgets.charge_retry(("a",), 0.0) for _ in range(6)], [None] * 5 + ["a"])
         budgets.configure({"a": BudgetTerms(2, 0, 1_000), "b": BudgetTerms(1, 0.5, 1_000)})
-        self.assertEqual([budgets.may_retry(("a",), at) for at in (500.0, 990.0, 1_100.0, 1_100.0, 1_100.0)], ["a", "a", None, None, "a"])
+        self.assertEqual([budgets.charge_retry(("a",), at) for at in (500.0, 990.0, 1_100.0, 1_100.0, 1_100.0)], ["a", "a", None, None, "a"])
         budgets.record_play(("b", "unknown"), 0.0)
         budgets.record_play(("b",), 0.0)
-        self.assertEqual([budgets.may_retry(("b", "unknown"), 10.0) for _ in range(3)], [None, None, "b"])
-        self.assertEqual(budgets.may_retry(("a", "b"), 1_190.0), "a")
+        self.assertEqual([budgets.charge_retry(("b", "unknown"), 10.0) for _ in range(3)], [None, None, "b"])
+        self.assertEqual(budgets.charge_retry(("a", "b"), 1_190.0), "a")
 
 if __name__ == "__main__":
     unittest.main()
