--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -75,7 +75,7 @@
         return self.generations.current.limits
 
     def change_limits(self, limits: Limits) -> list[str]:
-        """Puts a checked file in force for plays that are requested from now on; returns its changes, a line each."""
+        """Puts a checked file in force; returns its changes, a line each. Its terms hold for plays that are requested from now on; its budgets, cold pace and concurrency limit change at once."""
         changed = describe_changes(self.limits, limits)
         self.generations.switch(limits, self.loop.now)
         self.budgets.configure(budget_terms(limits))
--- a/laddergw/director/limits_file.py
+++ b/laddergw/director/limits_file.py
@@ -1,7 +1,10 @@
-"""Watches the operators' file and puts each valid version in force: polled several times a second and at SIGHUP, checked as a whole, applied at one moment.
+"""Watches the operators' file and puts each valid version in force: polled several times a second and at SIGHUP, checked as a whole, applied at one moment
+(Director.change_limits).
 
 A version is used once two polls in a row have read the same, so that a half-written file is not taken for one. A file that cannot be read or is rejected
-changes nothing; it is reported once. The check runs in a child process, or, in memory, at once.
+changes nothing; it is reported once, and not checked again until its bytes change. Rejected is a file with a fault in its form (terms/loading.py), one under
+which a rule could be broken or that loosens the deployment's own terms (terms/proof.py), and one whose check fails or takes longer than CHECK_TIMEOUT_MS. The
+check runs in a child process, or, in memory, at once.
 """
 import contextlib
 import hashlib
@@ -35,7 +38,7 @@
 
 
 class SubprocessCheck:
-    """Checks in a child process, one version at a time; a version that comes meanwhile is read again afterwards."""
+    """Checks in a child process, against the director's file as it is on disk then. LimitsFile starts one check at a time and reads the file again after it."""
 
     def __init__(self, loop, director_file_path: str):
         self.loop, self.director_file_path = loop, director_file_path
@@ -58,12 +61,13 @@
 
 
 class LimitsFile:
-    """See the module. `apply(limits)` is called for each valid version, `reject(texts)` once for each other one."""
+    """See the module. `apply(limits)` is called for each valid version, `reject(texts)` once for each other one.
+    `in_force`: the bytes of the version that is in force already; with None the file's first version is checked and applied, too."""
 
     def __init__(self, loop, path: str, checker, apply: Callable, reject: Callable[[list[str]], None], in_force: bytes | None):
         self.loop, self.path, self.checker, self.apply, self.reject = loop, path, checker, apply, reject
         self.name = os.path.basename(path)
-        # Of the last poll, and of the last version that was checked
+        # Of the last poll, and of the last version that was given to the checker, whatever the result
         self.last_digest = self.handled_digest = digest(in_force)
         self.last_error, self.checking, self.data = "", False, b""
         loop.call_later(POLL_INTERVAL_MS, self.poll)
@@ -95,8 +99,8 @@
             self.reject([reason])
 
     def bring(self, data: bytes, verify: Callable[[Limits], str | None], done: Callable[[list[str]], None]) -> None:
-        """Takes in a version that came over the network: it is checked like the file and by `verify(limits)`, put in force, and then written to disk in
-        the file's place. If it cannot be written, the file's own version is in force again after the next start. Calls `done(faults)`."""
+        """Takes in a version that a planner has sent: it is checked like the file, after a check that is still running, and by `verify(limits)`, put in force,
+        and then written to disk in the file's place. If it cannot be written, the file's own version is in force again after the next start. Calls `done(faults)`."""
         if self.checking:
             self.loop.call_later(POLL_INTERVAL_MS, lambda: self.bring(data, verify, done))
             return
--- a/laddergw/director/program.py
+++ b/laddergw/director/program.py
@@ -45,7 +45,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-def reload_director_file(path: str, director: Director, log, limits: str | None = None) -> None:
+def reload_director_file(path: str, director: Director, log, limits_path: str | None = None) -> None:
     """Reads the director's file again, at SIGHUP: its keys, deployment and peers are in force from now on; the rest needs a restart. A rejected
     file, or one that the operators' limits do not fit, changes nothing."""
     try:
@@ -54,8 +54,8 @@
         log.error("file refused", faults=[str(fault) for fault in error.faults])
         return
     faults = director_files.switch_fault(director.house, director_file)
-    if faults is None and limits is not None:
-        faults = "; ".join(load_file(limits, director_file).texts()) or None
+    if faults is None and limits_path is not None:
+        faults = "; ".join(load_file(limits_path, director_file).texts()) or None
     if faults is not None:
         log.error("file refused", faults=[faults])
         return
@@ -73,14 +73,14 @@
     return PlannerClient(director, director_file.planners, None, (lambda: client_context(*director_file.tls)) if director_file.tls is not None else None)
 
 
-def reload_files(path: str, director: Director, watch: LimitsFile | None, log) -> None:
+def reload_files(path: str, director: Director, limits_file: LimitsFile | None, log) -> None:
     """Reads the director's own file and the operators' limits again, at SIGHUP."""
-    reload_director_file(path, director, log, watch.path if watch is not None else None)
-    if watch is not None:
-        watch.poll(immediately=True)
+    reload_director_file(path, director, log, limits_file.path if limits_file is not None else None)
+    if limits_file is not None:
+        limits_file.poll(immediately=True)
 
 
-def watch_limits(limits: str, path: str, director: Director, log) -> LimitsFile:
+def watch_limits(limits_path: str, director_file_path: str, director: Director, log) -> LimitsFile:
     """Watches the operators' limits: applies each valid version and logs each rejected one; both are counted and recorded."""
     def apply(found: Limits) -> None:
         lines = director.change_limits(found)
@@ -89,7 +89,7 @@
     def reject(texts: list[str]) -> None:
         director.limits_refused(texts)
         log.error("limits refused", faults=texts)
-    return LimitsFile(director.loop, limits, SubprocessCheck(director.loop, path), apply, reject, None)
+    return LimitsFile(director.loop, limits_path, SubprocessCheck(director.loop, director_file_path), apply, reject, None)
 
 
 def run(path: str, level: str = "info", tap_file: str | None = None, source: str = "d", create: Callable = Director,
@@ -130,10 +130,10 @@
     planner_side = connect_to_planners(director, director_file)
     if planner_side is not None:
         director.pages["GET", "/planner"] = planner_side.page
-    watch = watch_limits(limits, path, director, log) if limits is not None else None
-    if planner_side is not None and watch is not None:
-        planner_side.audit.accept_files(watch.bring)
-    director.reload_files = lambda: reload_files(path, director, watch, log)
+    limits_file = watch_limits(limits, path, director, log) if limits is not None else None
+    if planner_side is not None and limits_file is not None:
+        planner_side.audit.accept_files(limits_file.bring)
+    director.reload_files = lambda: reload_files(path, director, limits_file, log)
     loop.on_signal(signal.SIGHUP, director.reload_files)
     on_start(director, log)
     log.info("director runs", address=director.address, process=os.getpid())
--- a/laddergw/machines/admission.py
+++ b/laddergw/machines/admission.py
@@ -17,7 +17,10 @@
 
 
 class DirectorLimits(NamedTuple):
-    """Limits of one director's process. Times in ms."""
+    """Limits of one director's process: `bounds` of its own file, not the operators' limits file.
+
+    Times in ms.
+    """
 
     # Viewers that wait for an answer: 5 s of 400 a second
     max_waiting_viewers: int = 2_000
--- a/laddergw/platform/__main__.py
+++ b/laddergw/platform/__main__.py
@@ -25,7 +25,10 @@
 
 
 def reload_configuration(path: str, director: Director) -> None:
-    """Handles SIGHUP: reads the file again. A file that is refused changes nothing."""
+    """Handles SIGHUP: reads the file again. A file that is refused changes nothing.
+
+    Limits are part of this file: the operators' limits file is laddergw/director's alone.
+    """
     try:
         configuration = with_descriptors(configurations.read_file(path))
         director.apply_configuration(configuration)
