--- a/laddergw/interface.py
+++ b/laddergw/interface.py
@@ -5,7 +5,8 @@
 
 from typing import NamedTuple
 
-# How an allocation ended, in the words that the host passes to Controller.allocation_ended().
+# How an allocation ended, in the words that the host passes to Controller.allocation_ended(). After
+# FULL, UNREACHABLE and NEVER_SENT its node has certainly not begun the play, otherwise it may have.
 SERVED, ERROR, FULL, TIMED_OUT, UNREACHABLE, BROKEN, CANCELLED, NEVER_SENT = (
     "served",
     "error",
--- a/laddergw/machines/__init__.py
+++ b/laddergw/machines/__init__.py
@@ -1,4 +1,5 @@
-"""Pure state machines that the directors run; the search that proves a limits file runs them too.
+"""Pure state machines that the HTTP director runs, and the search that proves a limits file.
 
-They cover an allocation, a viewer's attempt, admission, concurrency limits and retry budgets.
+They cover an allocation, a viewer's attempt, admission, concurrency limits and retry budgets. The
+platform's director does not use them: see platform/allocation.py and platform/admission.py.
 """
--- a/laddergw/platform/allocation.py
+++ b/laddergw/platform/allocation.py
@@ -1,7 +1,8 @@
 """The table from what is observed of an allocation on the sockets to its outcome. Does no I/O.
 
 States of an allocation: UNSENT, not every byte of its set-up has left, so that the node cannot act
-on it; SENT, every byte has left; RUNNING, its play runs at the node.
+on it; SENT, every byte has left; RUNNING, its play runs at the node. The HTTP director, whose nodes
+hold leases, has machines/allocation.py instead.
 """
 
 from laddergw import interface
