--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -41,7 +41,7 @@
                 self.watch("budget spent", play=attempt.id, budget=spent_budget)
                 play_state.exhaust_allocations()
             return self.loop.call_soon(lambda: self.apply_by_name(attempt, name, Allocation.withdrawn))
-        attempt.lease_timer = self.loop.call_at(allocation.set_up_deadline, lambda: self.set_up_timed_out(attempt, name))
+        attempt.allocation_timer = self.loop.call_at(allocation.set_up_deadline, lambda: self.set_up_timed_out(attempt, name))
         if pause:
             return self.loop.call_later(pause, lambda: self.connect(attempt, verdict.node, name)) and None
         return self.connect(attempt, verdict.node, name)
@@ -101,14 +101,14 @@
 
     def set_up_timed_out(self, attempt: Attempt, name: str) -> None:
         """Handles a set-up that was not answered by its deadline."""
-        attempt.lease_timer = None
+        attempt.allocation_timer = None
         if attempt.allocation is not None and attempt.allocation.name == name:
             self.concurrency.for_node(attempt.allocation.node).record_failure()
         self.apply_by_name(attempt, name, Allocation.timed_out, self.loop.now, *bytes_written(attempt))
 
     def lease_timed_out(self, attempt: Attempt, name: str) -> None:
         """Handles the end of a lease whose release was not acknowledged."""
-        attempt.lease_timer = None
+        attempt.allocation_timer = None
         self.apply_by_name(attempt, name, Allocation.lease_expired, self.loop.now)
 
     # Actions of the allocation's state machine
@@ -124,9 +124,9 @@
         if actions.release:
             if link is not None:
                 link.release(allocation.name)
-            if attempt.lease_timer is not None:
-                attempt.lease_timer.cancel()
-            attempt.lease_timer = self.loop.call_at(max(allocation.set_release_deadline(self.loop.now), self.loop.now), lambda: self.lease_timed_out(attempt, allocation.name))
+            if attempt.allocation_timer is not None:
+                attempt.allocation_timer.cancel()
+            attempt.allocation_timer = self.loop.call_at(max(allocation.set_release_deadline(self.loop.now), self.loop.now), lambda: self.lease_timed_out(attempt, allocation.name))
         if actions.confirm and link is not None:
             link.confirm(allocation.name)
         if actions.playing:
@@ -156,9 +156,9 @@
         allocation = attempt.allocation
         self.attempts_by_allocation.pop(allocation.name, None)
         self.attempts_by_node.get(allocation.node, {}).pop(allocation.name, None)
-        if attempt.lease_timer is not None:
-            attempt.lease_timer.cancel()
-            attempt.lease_timer = None
+        if attempt.allocation_timer is not None:
+            attempt.allocation_timer.cancel()
+            attempt.allocation_timer = None
         if attempt.call is not None:
             call, attempt.call = attempt.call, None
             call.abort("the allocation is over")
--- a/laddergw/director/attempts.py
+++ b/laddergw/director/attempts.py
@@ -12,7 +12,7 @@
 class Attempt:
     """One request for a play. `play_state` decides what its terms allow; `budgets` names the retry budgets that its retries draw on."""
     __slots__ = ("id", "exchange", "request", "product", "previous", "requested_at", "play_state", "generation", "budgets", "allocation", "call", "body",
-                 "answer_timer", "lease_timer", "answered", "playing", "viewer_gone", "sent_to_controller", "node_time_ms", "end_event", "set_up_sent_at", "deployment", "version_set")
+                 "answer_timer", "allocation_timer", "answered", "playing", "viewer_gone", "sent_to_controller", "node_time_ms", "end_event", "set_up_sent_at", "deployment", "version_set")
 
     def __init__(self, number: int, exchange: Exchange, request: Request, product: int, previous: PreviousAttempt, play_state: PlayState,
                  generation: Generation, budgets: tuple[str, ...], deployment: Deployment):
@@ -22,7 +22,8 @@
         self.requested_at, self.play_state, self.generation, self.budgets = play_state.requested_at, play_state, generation, budgets
         self.allocation: Allocation | None = None
         self.call: Call | None = None
-        self.body = self.answer_timer = self.lease_timer = None
+        # allocation_timer: runs to the deadline of its set-up; once it is being released, to the release deadline
+        self.body = self.answer_timer = self.allocation_timer = None
         self.answered = self.playing = self.viewer_gone = self.sent_to_controller = False
         # Time that nodes took to answer: subtracted from the total to get the director's own delay
         self.node_time_ms, self.set_up_sent_at = 0.0, 0.0
@@ -40,7 +41,7 @@
 
     def stop_timers(self) -> None:
         """Cancels both timers."""
-        for timer in self.answer_timer, self.lease_timer:
+        for timer in self.answer_timer, self.allocation_timer:
             if timer is not None:
                 timer.cancel()
-        self.answer_timer = self.lease_timer = None
+        self.answer_timer = self.allocation_timer = None
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -30,7 +30,7 @@
     """Rule 2: a set-up that has timed out is given up without a release and before its lease ends."""
 
     def set_up_timed_out(self, attempt, name):
-        attempt.lease_timer = None
+        attempt.allocation_timer = None
         if attempt.allocation is not None and attempt.allocation.name == name:
             attempt.allocation.lease_ends_at += 10_000
             attempt.call = None
