--- a/laddergw/director/director.py
+++ b/laddergw/director/director.py
@@ -340,7 +340,7 @@
 
     # Stopping
     def stop(self) -> None:
-        """Admits no new play from now on (admission.check_capacity declines it); waiting viewers still get their answers. Running plays go on for `finish_ms`, then end, and the process exits."""
+        """Accepts no connection and admits no new play from now on (admission.check_capacity declines it); waiting viewers still get their answers. Running plays go on for `finish_ms`, then end, and the process exits."""
         if self.stopping:
             return
         self.stopping = True
