--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -5,7 +5,7 @@
 import unittest
 
 from laddergw.director.limits_file import InProcessCheck, LimitsFile
-from laddergw.lab.lines import Line
+from laddergw.lab.network_faults import FaultyLink
 from laddergw.planner import wire
 from laddergw.planner.planner_client import PlannerClient
 from laddergw.planner.server import Planner
@@ -27,7 +27,7 @@
         self.start_planner()
         self.links, self.clients, self.files = {}, {}, {}
         for number in self.cluster.directors:
-            link = Line(self.cluster.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.cluster.record)
+            link = FaultyLink(self.cluster.world.host(f"relay{number}"), f"d{number}>p0", (f"relay{number}", 1), lambda: ("p0", 8300), self.cluster.record)
             self.links[number] = link
             self.connect_planner(number)
         self.cluster.run(1_500)
--- a/tests/fleet_commands.py
+++ b/tests/fleet_commands.py
@@ -3,7 +3,7 @@
 import sys
 
 from laddergw.lab.fleet_processes import FleetProcesses
-from laddergw.lab.stage_processes import CouldNotRun
+from laddergw.lab.stage_processes import RehearsalError
 
 # Of one command: the interpreter, its imports, a few answers.
 COMMAND_TIMEOUT_MS = 30_000.0
@@ -36,6 +36,6 @@
             self.wait(lambda: self.loop.now >= next_poll, 1_000, what)
 
     def assert_before(self, deadline: float, what: str) -> None:
-        """Raises CouldNotRun after a deadline."""
+        """Raises RehearsalError after a deadline."""
         if self.loop.now > deadline:
-            raise CouldNotRun(f"{what}: not within {COMMAND_TIMEOUT_MS:.0f} ms")
+            raise RehearsalError(f"{what}: not within {COMMAND_TIMEOUT_MS:.0f} ms")
