--- a/laddergw/interface.py
+++ b/laddergw/interface.py
@@ -5,7 +5,8 @@
 
 from typing import NamedTuple
 
-# How an allocation ended, in the words that the host passes to Controller.allocation_ended().
+# How an allocation ended, in the words that the host passes to Controller.allocation_ended(). After
+# FULL, UNREACHABLE and NEVER_SENT its node has certainly not begun the play, otherwise it may have.
 SERVED, ERROR, FULL, TIMED_OUT, UNREACHABLE, BROKEN, CANCELLED, NEVER_SENT = (
     "served",
     "error",
@@ -16,7 +17,7 @@
     "cancelled",
     "never sent",
 )
-# State of a media node by the fleet list.
+# State of a media node by the fleet list. A draining one keeps its plays and gets no new ones.
 READY, DRAINING, GONE = "ready", "draining", "gone"
 # Kinds of note on a play under way: the share delivered of its rate; its rung, changed by the node;
 # what is asked of the node's link, and of its rack's uplink, over what they give.
@@ -70,8 +71,8 @@
     warm_ms: float  # from its start until a node gives all of its capacity
     fall_multiple: float  # set-ups that a cold node takes, over its streams in warm_ms
     fall_ms: float  # span in which all set-ups to a cold node are counted
-    budget_free: float  # retries free of the share; None where they are not rationed
-    budget_share: float  # further retries, as a share of the plays taken
+    budget_free: float  # retries allowed besides the share; None: they are not rationed
+    budget_share: float  # retries allowed, as a share of the plays taken
     budget_ms: float  # window in which both are counted
     must_ask: bool  # the fleet list comes only when asked for
     reports: tuple  # names of the values in a load report
--- a/laddergw/machines/admission.py
+++ b/laddergw/machines/admission.py
@@ -17,7 +17,10 @@
 
 
 class DirectorLimits(NamedTuple):
-    """Limits of one director's process. Times in ms."""
+    """Limits of one director's process: `bounds` of its own file, not the operators' limits file.
+
+    Times in ms.
+    """
 
     # Viewers that wait for an answer: 5 s of 400 a second
     max_waiting_viewers: int = 2_000
@@ -46,7 +49,9 @@
 def check_capacity(
     limits: DirectorLimits, waiting: int, plays: int, stopping: bool, jitter: float
 ) -> Rejection | None:
-    """Rejects a play while the director is full or stops.
+    """Declines a play while the director is full or stops.
+
+    A draining node is not considered here: the controller never chooses one.
 
     `waiting`: viewers without an answer; `plays`: plays being served; `jitter` in [0, 1) spreads
     the retries.
