--- a/tests/replays.py
+++ b/tests/replays.py
@@ -54,7 +54,7 @@
     def script_node(self, number: int) -> None:
         """Makes the node of this number follow the moves."""
         node = self.nodes[number]
-        set_up, keep, finish, release_lost = node.set_up, node.keep, node.finish_set_up, set()
+        set_up, keep, finish, release_lost = node.handle_set_up, node.handle_keep, node.finish_set_up, set()
 
         def scripted_set_up(exchange, frame):
             move = self.moves.popleft() if self.moves else "taken"
@@ -64,14 +64,14 @@
                 release_lost.add(frame["allocation"])
             set_up(exchange, frame)
             if move in ("cut", "silent"):
-                node.held[frame["allocation"]].mute = True
+                node.allocations[frame["allocation"]].mute = True
             if move == "cut":
                 node.abort(exchange)
             return None
 
         def scripted_keep(exchange, frame):
             return None if release_lost & set(frame["release"]) else keep(exchange, frame)
-        node.set_up, node.keep = scripted_set_up, scripted_keep
+        node.handle_set_up, node.handle_keep = scripted_set_up, scripted_keep
         node.finish_set_up = lambda held: None if getattr(held, "mute", False) else finish(held)
 
     def play(self, objection) -> None:
