--- a/benchmarks/limits_random.py
+++ b/benchmarks/limits_random.py
@@ -23,7 +23,7 @@
     logging.disable(logging.CRITICAL)
     the_plant = build_deployment(1 + number % 25, directors=3, nodes=10, rate=RATE, seconds=SECONDS)
     settings = director_files.read(the_plant.director_file(0, ("d", 1), ("list", 1), 1))
-    text = lab.sound(77, number, settings)
+    text = lab.valid_text(77, number, settings)
     limits = limits_file.read(text, settings.names, default_terms(settings))
 
     class LimitedDirector(Director):
@@ -31,7 +31,7 @@
             super().__init__(loop, house, limits=limits, **more)
     records = MemoryStage(the_plant, bad_day(the_plant), LimitedDirector).run()
     verdict = audit.audit(the_plant, records)
-    problems = [broken.what for broken in verdict.breaks] + ["dropped"] * lab.switched(records)["dropped"] + ["without an outcome"] * verdict.without
+    problems = [broken.what for broken in verdict.breaks] + ["dropped"] * lab.count_switches(records)["dropped"] + ["without an outcome"] * verdict.without
     return verdict.plays, "; ".join(problems), text if problems else ""
 
 
