--- a/laddergw/lab/audit.py
+++ b/laddergw/lab/audit.py
@@ -131,14 +131,14 @@
     for (play, number), attempt in attempts.items():
         limit = attempt["at"] + attempt["wait_ms"]
         if attempt["answers"] > 1:
-            found.append(violation("answers", f"two answers to {play} try {number}", attempt))
+            found.append(violation("answers", f"two answers to {play} attempt {number}", attempt))
         if attempt["answer"] is not None:
             if attempt["answered_at"] > limit + ANSWER_SLACK_MS:
-                found.append(violation("answers", f"{play} try {number} answered {attempt['answered_at'] - limit:.0f} ms past its limit", attempt))
+                found.append(violation("answers", f"{play} attempt {number} answered {attempt['answered_at'] - limit:.0f} ms past its limit", attempt))
             continue
         if attempt["end"] is None:
             if limit + ANSWER_SLACK_MS < records.end:
-                found.append(violation("answers", f"{play} try {number} has no end", attempt))
+                found.append(violation("answers", f"{play} attempt {number} has no end", attempt))
             continue
         what, ended, facts = attempt["end"]
         if what == "gave up" and facts["early"] or what == "error":
@@ -151,7 +151,7 @@
             continue                              # the director that read it ended before the limit
         if any(start <= limit <= end + RESUME_MS for start, end in frozen.get(attempt["director"], ())):
             continue                              # its process was stopped at the limit: it cannot answer
-        found.append(violation("answers", f"{play} try {number}: taken by {read[0][1]}, {what} without an answer", attempt, read))
+        found.append(violation("answers", f"{play} attempt {number}: read by {read[0][1]}, {what} without an answer", attempt, read))
     return found
 
 
@@ -176,14 +176,14 @@
         for index, entry in enumerate(allocations):
             for other in allocations[index + 1:]:
                 if other["since"] < entry["until"] - OVERLAP_SLACK_MS and other["until"] > other["since"]:
-                    found.append(violation("once", f"{play} has two allocations out: {entry['allocation']} and {other['allocation']}",
+                    found.append(violation("once", f"{play} has two allocations at once: {entry['allocation']} and {other['allocation']}",
                                       entry, other))
     return found
 
 
 def check_paid_products(model: DeploymentModel, records: Records, attempts: dict) -> list[RuleViolation]:
     """Rule 2 for products paid at set-up: at most one set-up per attempt, and no decline after it may have run."""
-    names, found = {product_model.name for product_model in model.wares if product_model.repeat == "paid"}, []
+    names, found = {product.name for product in model.wares if product.repeat == "paid"}, []
     completed_set_ups: dict[str, list] = defaultdict(list)
     for at, fields in records.by["set up"]:
         if fields["product"] in names:
@@ -191,13 +191,13 @@
     by_play = defaultdict(list)
     for group, times in completed_set_ups.items():
         if len(times) > 1:
-            found.append(violation("once", f"paid {times[0][1]['play']} set up {len(times)} times in one try", *times))
+            found.append(violation("once", f"paid {times[0][1]['play']} set up {len(times)} times in one attempt", *times))
         by_play[times[0][1]["play"]].append(times[0])
     for (play, number), attempt in attempts.items():
         if attempt["product"] in names and attempt["answer"] == "declined":
             for at, fields in by_play.get(play, ()):
                 if attempt["at"] <= at <= attempt["answered_at"]:
-                    found.append(violation("once", f"paid {play} try {number} declined after its set-up ran", attempt, (at, fields)))
+                    found.append(violation("once", f"paid {play} attempt {number} declined after its set-up ran", attempt, (at, fields)))
     return found
 
 
@@ -222,7 +222,7 @@
             delay_ms = at - notified[source, fields["node"]]
             max_delay_ms = max(max_delay_ms, delay_ms)
             if delay_ms > model.drain_grace_ms:
-                found.append(violation("drains", f"{source} sent {fields['allocation']} to node {fields['node']} {delay_ms:.0f} ms after it was told", fields))
+                found.append(violation("drains", f"{source} sent {fields['allocation']} to node {fields['node']} {delay_ms:.0f} ms after the list reported its drain or end", fields))
     return found, max_delay_ms
 
 
@@ -251,7 +251,7 @@
                 break
     for at, fields in records.by["fell over"]:
         if not any(f"node {fields['node']}:" in b.what for b in found):
-            found.append(violation("cold", f"node {fields['node']} fell over", (at, fields)))
+            found.append(violation("cold", f"node {fields['node']} failed from overload", (at, fields)))
     return found
 
 
@@ -261,7 +261,7 @@
     for what in "held", "rung":
         for at, fields in records.by[what]:
             if fields["rung"] < products[fields["product"]].floor:
-                found.append(violation("terms", f"{fields['allocation']} of {fields['product']} at rung {fields['rung']}", (at, fields)))
+                found.append(violation("terms", f"{fields['allocation']} of {fields['product']} at rung {fields['rung']}, below its lowest", (at, fields)))
     seats_taken = defaultdict(list)
     for entry in intervals(records).values():
         if products[entry["product"]].seats:
@@ -293,7 +293,7 @@
             extra = sum(1 for other, _ in retries_sent if at - window <= other <= at)
             taken = sum(1 for other in read_requests[source] if at - window <= other <= at)
             if extra > free + share * taken:
-                found.append(violation("budget", f"{source}: {extra} further allocations in {window:.0f} ms, {taken} plays taken", fields))
+                found.append(violation("budget", f"{source}: {extra} retries in {window:.0f} ms, {taken} requests read", fields))
                 break
     return found
 
