--- a/laddergw/director/allocation_calls.py
+++ b/laddergw/director/allocation_calls.py
@@ -14,6 +14,7 @@
 from laddergw.director.attempts import Attempt
 from laddergw.http.client import Call
 
+# Events with which a viewer is told that its play has ended
 ENDED, MOVED, STOPPED, LOST = "ended", "moved", "director stops", "broken"
 PROBE_OUTCOMES = {200: interface.SERVED, 429: interface.FULL, 503: interface.FULL}
 EVENT_BY_OUTCOME = {interface.SERVED: ENDED, interface.BROKEN: LOST}
@@ -23,11 +24,12 @@
     """Carries out allocations; a base class of Director. See the module."""
 
     def allocate(self, attempt: Attempt, verdict: interface.Verdict) -> None:
-        """Begins an allocation on the node that the controller chose: at once, or after the pause that the terms demand before a retry."""
+        """Begins an allocation on the node that the controller chose: at once, or after the pause that the terms demand before a retry.
+        A retry is charged to its budgets first; where one is spent, nothing is sent and the attempt gets its final answer."""
         now, play_state = self.loop.now, attempt.play_state
-        number, pause = play_state.attempts_made, play_state.next_pause_ms()
+        number, pause = play_state.allocations_made, play_state.next_pause_ms()
         name = f"{self.name}.{attempt.id}.{number}"
-        spent_budget = self.budgets.may_retry(attempt.budgets, now) if number else None
+        spent_budget = self.budgets.charge_retry(attempt.budgets, now) if number else None
         attempt.allocation = allocation = play_state.allocate(name, attempt.id, verdict.node, verdict.rung, verdict.timeout_ms, now)
         timeout = allocation.set_up_deadline - now - pause
         self.attempts_by_allocation[name] = attempt
@@ -37,9 +39,9 @@
         if timeout <= 0 or link is None or spent_budget is not None:
             if spent_budget is not None:
                 self.watch("budget spent", play=attempt.id, budget=spent_budget)
-                play_state.exhaust_attempts()
+                play_state.exhaust_allocations()
             return self.loop.call_soon(lambda: self.apply_by_name(attempt, name, Allocation.withdrawn))
-        attempt.lease_timer = self.loop.call_at(allocation.set_up_deadline, lambda: self.set_up_timed_out(attempt, name))
+        attempt.allocation_timer = self.loop.call_at(allocation.set_up_deadline, lambda: self.set_up_timed_out(attempt, name))
         if pause:
             return self.loop.call_later(pause, lambda: self.connect(attempt, verdict.node, name)) and None
         return self.connect(attempt, verdict.node, name)
@@ -99,14 +101,14 @@
 
     def set_up_timed_out(self, attempt: Attempt, name: str) -> None:
         """Handles a set-up that was not answered by its deadline."""
-        attempt.lease_timer = None
+        attempt.allocation_timer = None
         if attempt.allocation is not None and attempt.allocation.name == name:
             self.concurrency.for_node(attempt.allocation.node).record_failure()
         self.apply_by_name(attempt, name, Allocation.timed_out, self.loop.now, *bytes_written(attempt))
 
     def lease_timed_out(self, attempt: Attempt, name: str) -> None:
         """Handles the end of a lease whose release was not acknowledged."""
-        attempt.lease_timer = None
+        attempt.allocation_timer = None
         self.apply_by_name(attempt, name, Allocation.lease_expired, self.loop.now)
 
     # Actions of the allocation's state machine
@@ -122,9 +124,9 @@
         if actions.release:
             if link is not None:
                 link.release(allocation.name)
-            if attempt.lease_timer is not None:
-                attempt.lease_timer.cancel()
-            attempt.lease_timer = self.loop.call_at(max(allocation.set_release_deadline(self.loop.now), self.loop.now), lambda: self.lease_timed_out(attempt, allocation.name))
+            if attempt.allocation_timer is not None:
+                attempt.allocation_timer.cancel()
+            attempt.allocation_timer = self.loop.call_at(max(allocation.set_release_deadline(self.loop.now), self.loop.now), lambda: self.lease_timed_out(attempt, allocation.name))
         if actions.confirm and link is not None:
             link.confirm(allocation.name)
         if actions.playing:
@@ -154,9 +156,9 @@
         allocation = attempt.allocation
         self.attempts_by_allocation.pop(allocation.name, None)
         self.attempts_by_node.get(allocation.node, {}).pop(allocation.name, None)
-        if attempt.lease_timer is not None:
-            attempt.lease_timer.cancel()
-            attempt.lease_timer = None
+        if attempt.allocation_timer is not None:
+            attempt.allocation_timer.cancel()
+            attempt.allocation_timer = None
         if attempt.call is not None:
             call, attempt.call = attempt.call, None
             call.abort("the allocation is over")
@@ -164,7 +166,7 @@
         attempt.play_state.allocation_ended(outcome)
         if self.observer is not None:
             self.observer.ended(allocation.node, outcome)
-        if not (attempt.viewer_gone or attempt.answered) and attempt.play_state.attempts_exhausted():
+        if not (attempt.viewer_gone or attempt.answered) and attempt.play_state.allocations_exhausted():
             self.finish(attempt, *attempt.play_state.final_answer(self.random_fraction()), reason=ATTEMPTS_EXHAUSTED)
         over = attempt.viewer_gone or attempt.answered
         self.feed(self.controller.allocation_ended, self.loop.now, attempt.id, allocation.number, outcome, allocation.node, over, report)
--- a/laddergw/lab/stitched_processes.py
+++ b/laddergw/lab/stitched_processes.py
@@ -8,7 +8,7 @@
 
 
 class StitchedProcesses(ProcessStage):
-    """The process stage with edges in place of directors and players in place of viewers."""
+    """The process stage with edges in place of directors and players in place of viewers. `sessions`: how many, spread over the run."""
     tail_ms = TAIL_MS
     audience = "players"
 
@@ -19,9 +19,11 @@
             stream.write(programme_text([node.node for node in model.nodes]))
 
     def director_command(self, file: str, source: str) -> list[str]:
+        """The command of an edge with the programme's rules."""
         return [sys.executable, "-m", "laddergw.cli", "edge", file, "--rules", self.file("rules.scm"), "--log", self.level,
                 "--tap", self.file(f"{source}.jsonl"), "--source", source]
 
     def start_viewers(self) -> None:
+        """Gives the players' process its sessions."""
         self.viewers.send_command(directors=self.addresses, sessions=[
             [session_at(self.model, number, self.sessions), session_frame(self.model, number)] for number in range(self.sessions)])
--- a/laddergw/machines/allocation.py
+++ b/laddergw/machines/allocation.py
@@ -1,9 +1,12 @@
 """State machine of one allocation, without I/O; events from the sockets are fed in.
 
-    WAITING --sent--> OUT --set up in time--> HELD --ended, released, lost--> GONE
-       |               |--refused, error, never ran------------------------> GONE
-       |               `--time-out, cut, viewer left--> ENDING --acknowledged, lease over--> GONE
-       `--withdrawn, no connection-----------------------------------------> GONE
+    WAITING --sent--> OUT --set up in time--> HELD --ended by its node, session lost--> GONE
+       |               |                        `--viewer left, moved, stalled--> ENDING
+       |               |--refused, error, never ran--> GONE
+       |               `--time-out, cut, viewer left--> ENDING
+       `--withdrawn, no connection--> GONE
+
+    ENDING --release acknowledged, ended by its node, lease or session over--> GONE
 
 A node may hold an allocation until it has acknowledged its release, or until its lease, told in the
 node's own clock, is over. Only then is the allocation's end reported (`AllocationActions.ended`),
@@ -134,7 +137,10 @@
         return self.start_release(interface.TIMED_OUT)
 
     def withdrawn(self) -> AllocationActions:
-        """The request was withdrawn before a byte left: its node drains, or the director stops."""
+        """The set-up is given up before a byte of it left.
+
+        Its node drains or is unknown, no time is left for it, or a retry budget is spent.
+        """
         return self.finish(interface.NEVER_SENT) if self.state == WAITING else NO_ACTIONS
 
     def viewer_left(self, written: int, size: int) -> AllocationActions:
--- a/tests/broken_budgets.py
+++ b/tests/broken_budgets.py
@@ -3,7 +3,7 @@
 from laddergw.fleet.grants import GrantHolder, HeldGrant
 from laddergw.fleet.grant_issuer import Charge, GrantIssuer, SentGrant
 from laddergw.fleet.rights import LEASE_MS
-from laddergw.lab.budget_parts import Rules
+from laddergw.lab.budget_model import Implementations
 
 
 def holding(mistake=None, **grant_methods):
@@ -22,12 +22,12 @@
             if mistake is not None:
                 for name, held in self.held.items():
                     mistake(self, held, before[name], number, epoch, answer[0])
-    return Rules(holding=Broken)
+    return Implementations(grant_holder=Broken)
 
 
 def issuer(fenced=True, **issuer_methods):
     """Returns rules for a planner whose issuer has other methods."""
-    return Rules(issuer=type("BrokenIssuer", (GrantIssuer,), issuer_methods), fenced=fenced)
+    return Implementations(issuer=type("BrokenIssuer", (GrantIssuer,), issuer_methods), fenced=fenced)
 
 
 def charging(**charge_methods):
@@ -39,7 +39,7 @@
             charge = self.charges.setdefault(process, Charge())
             charge.__class__ = broken_charge
             return super().handle_request(process, number, row, now)
-    return Rules(issuer=Broken)
+    return Implementations(issuer=Broken)
 
 
 def mark_answered(holding, held, before, number, epoch, grant):
@@ -132,7 +132,7 @@
     "it reports that it spent nothing": reports(used=lambda held, now: 0), "it reports expired grants as held": reports(amount=lambda held, now: held.amount),
     "it reports another grant than it obeys": reports(number=lambda held, now: held.rank[1] + 2), "it spends one too many": holding(may_spend=lambda held, now: held.spent.upper_bound(now) <= held.right(now)),
     "no waiting after a takeover": issuer(is_settled=lambda self, lease, now: True),
-    "it waits out leases but not windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Rules(fenced=False),
+    "it waits out leases but not windows": issuer(is_settled=lambda self, lease, now: now >= self.began + LEASE_MS / 2), "two issuers": Implementations(fenced=False),
     "only the latest grant is charged": issuer(handle_request=charge_latest_only), "a share moves before its spends left the window": issuer(handle_request=ignore_used),
     "it grants more than is left": issuer(grant=grant_beyond_total),
     "it grants without charging": issuer(grant=grant_without_charge), "it grants the whole to each": issuer(grant=grant_whole_to_each), "it grants the floor twice": issuer(grant=grant_floor_twice),
--- a/tests/test_budgets_cluster.py
+++ b/tests/test_budgets_cluster.py
@@ -5,7 +5,7 @@
 from laddergw.fleet.grants import FLOOR_LEASE_MS
 from laddergw.fleet.grant_issuer import Budget, charge_duration_ms
 from laddergw.fleet.rights import LEASE_MS
-from laddergw.lab.budget_parts import most_within
+from laddergw.lab.budget_model import max_within_window
 from laddergw.planner import wire
 from laddergw.planner.budgeting import store_identity
 from laddergw.store.planner_store import Store
@@ -47,7 +47,7 @@
         director, had = self.cluster.directors[number], 0
         for _ in range(times):
             director.loop.now = max(director.loop.now, self.cluster.world.now)
-            if director.budgets.may_retry((NAME,), director.loop.now) is None:
+            if director.budgets.charge_retry((NAME,), director.loop.now) is None:
                 self.spends.append(self.cluster.world.now)
                 had += 1
         return had
@@ -59,7 +59,7 @@
             self.cluster.run(50)
             for number in numbers:
                 had[number] += self.spend(number, 2)
-        self.assertLessEqual(most_within(self.spends, WINDOW_MS)[0], WHOLE)
+        self.assertLessEqual(max_within_window(self.spends, WINDOW_MS)[0], WHOLE)
         return had
 
     def test_shares_follow_need_and_no_window_exceeds_the_total(self):
@@ -67,7 +67,7 @@
         self.assertGreater(alone[0], 0.4 * WHOLE * 10)                   # half of it may be held as floors of a previous planner
         both = self.storm(20_000)
         self.assertGreater(min(both.values()), 0.15 * sum(both.values()))
-        self.assertEqual(self.cluster.directors[0].budgets.may_retry((NAME,), self.cluster.directors[0].loop.now), NAME)
+        self.assertEqual(self.cluster.directors[0].budgets.charge_retry((NAME,), self.cluster.directors[0].loop.now), NAME)
         row, = json.loads(self.planner.auditor.answer_question(wire.Ask("budgets")))["budgets"]
         self.assertEqual((row["whole"], len(row["held"]), row["charged"] <= WHOLE), (WHOLE, 3, True), row)
 
@@ -99,7 +99,7 @@
         self.storm(LEASE_MS + WINDOW_MS)
         begun = len(self.spends)
         self.storm(8_000)
-        self.assertLessEqual(most_within(self.spends[begun:], WINDOW_MS)[0], 3)
+        self.assertLessEqual(max_within_window(self.spends[begun:], WINDOW_MS)[0], 3)
         self.assertGreater(len(self.spends) - begun, 4)                  # three units for three directors, in turns
         self.planner.auditor.budget_grants.configure((Budget(NAME, WHOLE, WINDOW_MS),))
         self.storm(8_000)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -8,7 +8,7 @@
 import unittest
 
 from laddergw.lab import audit
-from laddergw.lab.limits import sound
+from laddergw.lab.limits import valid_text
 from laddergw.lab.deployment_model import DEFAULT_PRODUCTS, build_deployment
 from laddergw.lab.script import FaultEvent
 from laddergw.planner import wire
@@ -18,7 +18,7 @@
 class OperatorCommands(CommandedFleet):
     """Runs the operators' command while all processes run, and once more with both planners killed."""
 
-    def want(self) -> None:
+    def request_rollout(self) -> None:
         """Wants nothing; `roll_out` does."""
 
     def before_end(self) -> None:
@@ -42,7 +42,7 @@
 
     def forbid_version(self) -> None:
         """Stalls the edge that closes without planners while the others switch to new limits and its own are forbidden: when it resumes it declines plays."""
-        leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
+        leader = next(planner for planner in self.planner_addresses if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         of = lambda: {process: row["version"] for row in self.ask(leader, wire.Ask("versions"))["versions"] if row["kind"] == "limits" for process in row["directors"]}
         old = next(version for process, version in of().items() if process.startswith("d1-"))
         others = lambda: [version for process, version in of().items() if not process.startswith("d1-")]
@@ -72,14 +72,14 @@
     def roll_out(self) -> None:
         """Rolls out a version over links of one edge that are slow and break during the file, with the planner killed as it begins: the other planner continues,
         and each edge has the version on its disk."""
-        text = sound(self.model.seed, 9, self.read_house) + "\n; " + "x" * 150_000
-        slow_links = [line for (source, _), line in self.lines.by_ends.items() if source == "d0"]
+        text = valid_text(self.model.seed, 9, self.director_file) + "\n; " + "x" * 150_000
+        slow_links = [line for (source, _), line in self.network.by_ends.items() if source == "d0"]
         for link in slow_links:
             link.fault("rate", 100_000.0)
         with open(self.file("wanted.terms"), "w") as stream:
             stream.write(text)
         self.command("want", "--soak", "0.5", "limits", self.file("wanted.terms"))
-        leader = next(planner for planner in self.places if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
+        leader = next(planner for planner in self.planner_addresses if (self.ask(planner, wire.Ask("verify")) or {}).get("kept"))
         self.planners[leader].kill()
         self.planners[leader].wait()
         self.start_planner(leader, True)
@@ -91,7 +91,7 @@
             return bool(asked) and asked[0]["want"] is not None and asked[0]["state"] == "done" and not asked[0]["behind"]
         self.until(all_on_it, "all are on the wanted version")
         self.command("stragglers")
-        self.kept = [pathlib.Path(self.limits(number)).read_text() == text for number in range(self.model.directors)]
+        self.kept = [pathlib.Path(self.limits_path(number)).read_text() == text for number in range(self.model.directors)]
 
     def collect_of(self, source: str) -> list:
         """Returns the complete lines of a process's tap."""
