--- a/laddergw/lab/audit.py
+++ b/laddergw/lab/audit.py
@@ -318,7 +318,7 @@
 
 def service(model: DeploymentModel, attempts: dict) -> dict[str, float]:
     """Share of the requested importance answered within the first-frame target, attempts counted from the play's first."""
-    products = {product_model.name: product_model for product_model in model.wares}
+    products = {product.name: product for product in model.wares}
     first, in_time = {}, set()
     for (play, number), attempt in sorted(attempts.items(), key=lambda item: (item[0][0], item[0][1])):
         first.setdefault(play, attempt)
@@ -334,7 +334,7 @@
 
 def worth(model: DeploymentModel, records: list[tuple]) -> float:
     """Importance times the rung's worth of plays answered within the first-frame target, over the requested importance."""
-    products, first, in_time = {product_model.name: product_model for product_model in model.wares}, {}, {}
+    products, first, in_time = {product.name: product for product in model.wares}, {}, {}
     for (play, _), attempt in sorted(viewer_tries(Records(records)).items()):
         first.setdefault(play, attempt)
         if attempt["answer"] == "playing" and attempt["answered_at"] - first[play]["at"] <= products[attempt["product"]].aim_ms:
