--- a/laddergw/lab/stage_memory.py
+++ b/laddergw/lab/stage_memory.py
@@ -58,6 +58,7 @@
         self.done = True
 
     def start_node(self, facts, incarnation: int, cold: bool, rack: int, port: int, ready: Callable) -> None:
+        """Starts a node on a host of its own."""
         name = f"n{facts.node}.{incarnation}"
         host = self.world.host(name)
         node = self.nodes[facts.node] = NodeStandIn(host, facts, self.racks[rack], (name, 0), incarnation, self.model.seed,
